--- a/src/brain.rs
+++ b/src/brain.rs
@@ -96,7 +96,7 @@
     memory: u64,
     limit: Limit,
     lengths: Vec<RunLength>,
-    ways: Vec<Way>,
+    ways: Vec<RouteState>,
     calls: Calls,
     connections: Connections,
     effects: Effects,
--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -102,7 +102,7 @@
 
 impl Brain {
     /// How the calls of a class stand.
-    pub(super) fn way(&self, class: usize) -> Way {
+    pub(super) fn way(&self, class: usize) -> RouteState {
         self.s.classes[class].way(self.ways.get(class).copied().unwrap_or_default())
     }
 
@@ -184,11 +184,11 @@
             let fits = give_up_after.as_secs_f64().min(needed_s) <= room_s;
             let hurry = secs(self.calls.mean_s * CALL_HURRY);
             crowded |= !fits && (!skips || self.now >= at + hurry);
-            let leaves_out = skips && (crowded || left < hurry || way == Way::LeaveOut);
-            if way == Way::Shut || leaves_out || spent {
+            let leaves_out = skips && (crowded || left < hurry || way == RouteState::Skip);
+            if way == RouteState::Closed || leaves_out || spent {
                 self.waiting_calls.remove(&(at, id));
                 // It runs, so it is not turned away.
-                self.go_without(id, skips && way != Way::Shut, actions);
+                self.go_without(id, skips && way != RouteState::Closed, actions);
             } else if self.now >= at && fits {
                 self.waiting_calls.remove(&(at, id));
                 self.set_phase(id, Phase::Calling);
--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -59,7 +59,7 @@
         let age_s = self.now.saturating_sub(r.arrived).as_secs_f64();
         let refused_s = &mut self.lengths[r.class].refused_s;
         *refused_s += LEARN_WEIGHT * (age_s - *refused_s);
-        let away = self.hung || self.retire.is_some() || self.way(r.class) == Way::Shut;
+        let away = self.hung || self.retire.is_some() || self.way(r.class) == RouteState::Closed;
         // A caller that stays away takes its foreground along: it is asked to only until a slot comes free.
         let most = if self.s.advice { self.s.advice_max } else { Duration::ZERO };
         let retry_after = if away { most } else { secs(self.mean_length() / self.limit.slots).min(most) };
--- a/src/brain/schedule.rs
+++ b/src/brain/schedule.rs
@@ -89,7 +89,7 @@
         let call_room = !class.calls || (self.at_calls as f64) < f64::from(self.s.cores) * AT_CALL_PER_CORE;
         let fits = (self.memory + r.run_extra) as f64 <= self.s.memory_kb * 1000.0 * MEMORY_START_SHARE;
         let once = class.repeat != Repeat::Deduplicated || self.stands_for_key(id);
-        let shut = r.late_for_drain || self.hung || self.way(r.class) == Way::Shut;
+        let shut = r.late_for_drain || self.hung || self.way(r.class) == RouteState::Closed;
         in_time && call_room && fits && once && !shut
     }
 
@@ -120,7 +120,7 @@
             let Some(r) = self.requests.get(&id).filter(|r| r.phase == Phase::Held) else { continue };
             let start = self.now + secs(AHEAD_SHARE * ahead_s / slots);
             let hopeless = start > self.latest_start(r) || r.late_for_drain || self.effect_ran(id);
-            if hopeless || self.hung || self.way(r.class) == Way::Shut {
+            if hopeless || self.hung || self.way(r.class) == RouteState::Closed {
                 self.turn_away(id, actions);
             } else {
                 ahead_s += self.length(r);
--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -5,7 +5,7 @@
 use super::pending::Pending;
 use crate::core::types::*;
 use crate::core::{Core, End, Live, Phase};
-use crate::interface::{Event, Outcome, Repeat, RequestId, Way};
+use crate::interface::{Event, Outcome, Repeat, RequestId, RouteState};
 
 /// Runs that a line of the log names at most.
 const MOST_NAMED: usize = 8;
@@ -138,7 +138,7 @@
         let class = &self.site.settings.classes[live.class];
         let way = self.way_of(live.class);
         class.skip_worth > 0.0
-            && way != Way::Shut
+            && way != RouteState::Closed
             && live.route.as_ref().is_none_or(|route| route.allows_skipping())
     }
 }
--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -9,12 +9,12 @@
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
 use crate::fleet::routing::{Allowed, Allows, Call};
-use crate::interface::{self, Event, RequestId, Way};
+use crate::interface::{self, Event, RequestId, RouteState};
 
 /// What the fleet says of the calls of each class, by its name.
 #[derive(Debug, Default)]
 pub(super) struct Ways {
-    stand: HashMap<String, Way>,
+    stand: HashMap<String, RouteState>,
     allow: HashMap<String, OfClass>,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn take_ways(&mut self, ways: Vec<(String, Way)>) {
+    pub(super) fn take_ways(&mut self, ways: Vec<(String, RouteState)>) {
         self.ways.get_or_insert_default().stand = ways.into_iter().collect();
         self.tell_ways();
     }
@@ -149,7 +149,7 @@
     }
 
     /// How the calls of a class stand.
-    pub(super) fn way_of(&self, class: usize) -> Way {
+    pub(super) fn way_of(&self, class: usize) -> RouteState {
         let stand = self.ways.as_ref().and_then(|ways| ways.stand.get(&self.site.class_names[class]));
         stand.copied().unwrap_or_default()
     }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -9,7 +9,7 @@
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
 use crate::fleet::routing;
-use crate::interface::Way;
+use crate::interface::RouteState;
 use crate::settings::Site;
 
 /// Bytes that are passed on unchanged.
@@ -133,7 +133,7 @@
         fence: Option<Fence>,
     },
     /// How the calls of the named classes stand, where the fleet routes them; those of others are open.
-    Ways(Vec<(String, Way)>),
+    Ways(Vec<(String, RouteState)>),
     /// What all routes that are in force from now on allow: at most as many as a table has.
     Allows(Vec<routing::Allows>),
     /// A call goes out by a route that allows something else than was known here when it was ordered.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -45,14 +45,14 @@
 
 /// How the calls of a class stand, where the fleet routes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum RouteState {
     /// They are made.
     #[default]
     Open,
     /// None may be made now; their requests may be answered without.
-    LeaveOut,
+    Skip,
     /// None may be made now, and no request may be answered without.
-    Shut,
+    Closed,
 }
 
 /// What the fleet's routes allow of a request's calls.
@@ -105,11 +105,11 @@
 
 impl Class {
     /// How its calls stand where the fleet says `told`: what is worth nothing without its call is not answered without it.
-    pub fn way(&self, told: Way) -> Way {
+    pub fn way(&self, told: RouteState) -> RouteState {
         match told {
-            Way::LeaveOut if self.skip_worth <= 0.0 => Way::Shut,
+            RouteState::Skip if self.skip_worth <= 0.0 => RouteState::Closed,
             way if self.calls => way,
-            _ => Way::Open,
+            _ => RouteState::Open,
         }
     }
 }
@@ -364,7 +364,7 @@
         took: Duration,
     },
     /// How the calls of each class stand from now on, by the place of the class; further ones are open.
-    Ways(Vec<Way>),
+    Ways(Vec<RouteState>),
     /// What the fleet's routes allow of a request's calls, in place of the module's own bounds.
     Allowed {
         /// The request.
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -12,7 +12,7 @@
 use super::Hub;
 use crate::core::Query;
 use crate::fleet;
-use crate::interface::Way;
+use crate::interface::RouteState;
 
 /// The last line of a text.
 const END: &str = "# EOF\n";
@@ -41,7 +41,7 @@
     if let Some(routing) = &hub.routing {
         let open = Family::<Vec<(String, String)>, Gauge>::default();
         for (class, way) in ways(&**routing, &hub.classes()) {
-            open.get_or_create(&vec![("class".to_string(), class)]).set(i64::from(way == Way::Open));
+            open.get_or_create(&vec![("class".to_string(), class)]).set(i64::from(way == RouteState::Open));
         }
         registry.register("routes_open", "1 where the calls of a class are made", open);
     }
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -10,7 +10,7 @@
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
 use crate::fleet::routing::{self, Allows, Call, Order, OrderError, Routed, Routing};
-use crate::interface::Way;
+use crate::interface::RouteState;
 
 /// The ways of the classes are looked at this often.
 const LOOK: Duration = Duration::from_millis(20);
@@ -73,11 +73,11 @@
 }
 
 /// The ways of these classes, by their names.
-pub(super) fn ways(router: &dyn Router, classes: &[String]) -> Vec<(String, Way)> {
+pub(super) fn ways(router: &dyn Router, classes: &[String]) -> Vec<(String, RouteState)> {
     let way = |way| match way {
-        routing::Way::Open => Way::Open,
-        routing::Way::LeaveOut => Way::LeaveOut,
-        routing::Way::Shut => Way::Shut,
+        routing::Way::Open => RouteState::Open,
+        routing::Way::LeaveOut => RouteState::Skip,
+        routing::Way::Shut => RouteState::Closed,
     };
     let ways = router.ways(classes).into_iter().map(way);
     classes.iter().cloned().zip(ways).collect()
@@ -87,10 +87,10 @@
 pub(super) fn start(hub: &Arc<Hub>) {
     let Some(router) = hub.routing.clone() else { return };
     let hub = hub.clone();
-    let tell = move |hub: &Hub, told: &Vec<(String, Way)>| {
+    let tell = move |hub: &Hub, told: &Vec<(String, RouteState)>| {
         hub.push(Input::Ways(told.clone()));
         // What is read after a check that found this matcher ready comes behind it in the inbox.
-        hub.calls_shut.store(told.iter().any(|(_, way)| *way != Way::Open), Ordering::Release);
+        hub.calls_shut.store(told.iter().any(|(_, way)| *way != RouteState::Open), Ordering::Release);
     };
     let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, routes)) = router.allowed(*known) {
@@ -278,7 +278,7 @@
         let (hub, inbox) = hub(Some(Arc::new(Double::of([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
-        let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
+        let told = [("a".to_string(), RouteState::Open), ("b".to_string(), RouteState::Open)];
         assert!(matches!(inbox.try_recv(), Ok(Input::Ways(ways)) if ways == told));
     }
 }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -7,7 +7,7 @@
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::routes::Fence;
 use hopwalk::fleet::routing::{Allowed, Allows, Call};
-use hopwalk::interface::Way;
+use hopwalk::interface::RouteState;
 use hopwalk::settings::Site;
 use rstest::rstest;
 
@@ -36,7 +36,7 @@
         let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
         let mut bench = Self { core, done: Vec::new(), next: 1 };
         if routes {
-            bench.ways(0, Way::Open);
+            bench.ways(0, RouteState::Open);
         }
         bench.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
         bench
@@ -59,7 +59,7 @@
         }
     }
 
-    fn ways(&mut self, at: u64, way: Way) -> Vec<Effect> {
+    fn ways(&mut self, at: u64, way: RouteState) -> Vec<Effect> {
         let classes = ["queue-status", "queue-prefs", "lobby-confirm"];
         self.step(at, Input::Ways(classes.map(|class| (class.to_string(), way)).to_vec()))
     }
@@ -222,14 +222,14 @@
     let mut bench = Bench::new(true);
     let running = bench.send(10, "queue-status", |_| ());
     bench.call_ended(15, running, End::Barred, None);
-    bench.ways(20, Way::Shut);
+    bench.ways(20, RouteState::Closed);
     bench.send(30, "queue-status", |_| ());
     let advice = |v: &&Verdict| matches!(v, Verdict::Refused { retry_after, no_retry: false } if !retry_after.is_zero());
     assert!(bench.answers(2).iter().all(advice) && bench.answers(2).len() == 1, "{:?}", bench.answers(2));
     assert!(bench.answers(1).is_empty(), "it runs, and may need no call");
     bench.needs_call(40, running);
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 0));
-    bench.ways(50, Way::Open);
+    bench.ways(50, RouteState::Open);
     bench.send(60, "queue-status", |_| ());
     assert!(bench.answers(3).is_empty());
 }
@@ -237,7 +237,7 @@
 #[test]
 fn where_it_may_be_a_call_is_left_out_without_a_lease() {
     let mut bench = Bench::new(true);
-    bench.ways(20, Way::LeaveOut);
+    bench.ways(20, RouteState::Skip);
     let read = bench.send(30, "queue-status", |_| ());
     let told = bench.needs_call(40, read);
     let skip = Command::Forgo { handle: read, cursor: 1 };
@@ -251,7 +251,7 @@
 #[test]
 fn the_ways_hold_for_the_life_that_the_agents_greeting_begins_and_for_other_settings() {
     let mut bench = Bench::new(true);
-    bench.ways(5, Way::Shut);
+    bench.ways(5, RouteState::Closed);
     let other =
         include_str!("../src/lab/site.json").replace(r#""promise_us": 1800000"#, r#""promise_us": 1700000"#);
     bench.step(10, Input::Reload { site: Box::new(Site::parse(&other).unwrap()), stop_after: STOP_AFTER });
@@ -260,7 +260,7 @@
     let site = Site::parse(include_str!("../src/lab/site.json")).unwrap();
     let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
     let mut early = Bench { core, done: Vec::new(), next: 1 };
-    early.ways(0, Way::Shut);
+    early.ways(0, RouteState::Closed);
     early.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
     early.send(20, "queue-status", |_| ());
     assert!(matches!(early.answers(1)[..], [Verdict::Refused { .. }]));
@@ -279,7 +279,7 @@
     complete(&mut bench, 2_000, late);
     bench.send(2_010, "queue-status", |_| ());
     bench.pass(5_100);
-    bench.ways(5_200, Way::Shut);
+    bench.ways(5_200, RouteState::Closed);
     bench.send(5_210, "queue-status", |_| ());
     assert_eq!(bench.counted(), [Kind::Served, Kind::Late, Kind::Failed, Kind::TurnedAway]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -303,7 +303,7 @@
 }
 
 /// One request waits for its call and one is held, when the calls of their class may no longer be made.
-fn barred(way: Way, skip_worth: f64) -> Bench {
+fn barred(way: RouteState, skip_worth: f64) -> Bench {
     let mut s = settings();
     (s.below, s.call_share) = (Below::Shared, 5.0);
     (s.advice, s.advice_max) = (true, ms(700));
@@ -315,13 +315,13 @@
     b.fill_cores();
     b.arrive(2, 1, |_| ());
     assert!(b.did(&Action::Start(1)) && !b.did(&Action::Start(2)));
-    b.event(Event::Ways(vec![Way::Open, way]));
+    b.event(Event::Ways(vec![RouteState::Open, way]));
     b
 }
 
 #[test]
 fn what_waits_for_a_call_that_may_not_be_made_fails_and_what_is_held_is_turned_away_with_advice() {
-    let mut b = barred(Way::Shut, 0.5);
+    let mut b = barred(RouteState::Closed, 0.5);
     let refuse = |id| Action::Refuse { id, retry_after: ms(700), no_retry: false };
     assert!(b.did(&Action::Fail(1)) && b.did(&refuse(2)), "{:?}", b.log);
     b.arrive(3, 1, |_| ());
@@ -339,9 +339,9 @@
 
 #[test]
 fn a_call_that_may_be_left_out_is_and_its_request_goes_on() {
-    let b = barred(Way::LeaveOut, 0.5);
+    let b = barred(RouteState::Skip, 0.5);
     assert!(b.did(&Action::SkipCall(1)) && b.answers(1) + b.answers(2) == 0, "{:?}", b.log);
-    let b = barred(Way::LeaveOut, 0.0);
+    let b = barred(RouteState::Skip, 0.0);
     assert!(b.did(&Action::Fail(1)) && b.answers(2) == 1, "worth nothing without: {:?}", b.log);
 }
 
@@ -350,7 +350,7 @@
     let mut s = settings();
     s.classes[1].calls = false;
     let mut b = Bench::new(s);
-    b.event(Event::Ways(vec![Way::Shut, Way::Shut]));
+    b.event(Event::Ways(vec![RouteState::Closed, RouteState::Closed]));
     b.arrive(1, 1, |_| ());
     assert!(b.did(&Action::Start(1)));
 }
@@ -372,7 +372,7 @@
     // Guards against a refusal once the effect ran.
     let mut b = Bench::new(keyed_settings());
     b.arrive(1, 1, |_| ());
-    b.event(Event::Ways(vec![Way::Shut, Way::Shut]));
+    b.event(Event::Ways(vec![RouteState::Closed, RouteState::Closed]));
     b.arrive(2, 1, |a| a.repeats = Some(1));
     assert!(b.did(&Action::Join(2)) && b.answers(2) == 0, "{:?}", b.log);
 }
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -125,12 +125,12 @@
 }
 
 #[rstest]
-#[case::open_and_allowed(Way::Open, true, Some(true))]
-#[case::open_and_not(Way::Open, false, Some(false))]
-#[case::left_out(Way::LeaveOut, true, Some(true))]
-#[case::shut(Way::Shut, true, Some(false))]
+#[case::open_and_allowed(RouteState::Open, true, Some(true))]
+#[case::open_and_not(RouteState::Open, false, Some(false))]
+#[case::left_out(RouteState::Skip, true, Some(true))]
+#[case::shut(RouteState::Closed, true, Some(false))]
 fn a_request_is_answered_without_its_call_only_where_its_route_allows_it(
-    #[case] way: Way,
+    #[case] way: RouteState,
     #[case] without: bool,
     #[case] skipped: Option<bool>,
 ) {
@@ -139,12 +139,12 @@
     b.event(Event::Ways(vec![way, way]));
     let allowed = Allowed { tries: 1, without };
     b.batch(vec![Event::Allowed { id: 1, allowed }, Event::CallNeeded { id: 1 }]);
-    if way == Way::Open {
+    if way == RouteState::Open {
         b.event(Event::CallEnded { id: 1, outcome: Outcome::Error, took: ms(5) });
     }
     assert_eq!(Some(b.did(&Action::SkipCall(1))), skipped);
     assert_eq!(Some(!b.did(&Action::Fail(1))), skipped);
-    assert_eq!(b.calls(1), usize::from(way == Way::Open));
+    assert_eq!(b.calls(1), usize::from(way == RouteState::Open));
 }
 
 #[test]
