--- a/src/brain.rs
+++ b/src/brain.rs
@@ -172,7 +172,7 @@
                 self.waiting_calls.insert((now, id));
             }
             Event::CallEnded { id, outcome, took } => self.call_ended(id, outcome, took, actions),
-            Event::Ways(ways) => self.ways = ways,
+            Event::RouteStates(states) => self.ways = states,
             Event::Allowed { id, allowed } => {
                 self.requests.get_mut(&id).into_iter().for_each(|r| r.allowed = Some(allowed));
             }
--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -159,6 +159,6 @@
         let Some(ways) = &self.ways else { return };
         let names = self.site.class_names.iter();
         let ways = names.map(|name| ways.stand.get(name).copied().unwrap_or_default()).collect();
-        self.events.push_back(Event::Ways(ways));
+        self.events.push_back(Event::RouteStates(ways));
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -364,7 +364,7 @@
         took: Duration,
     },
     /// How the calls of each class stand from now on, by the place of the class; further ones are open.
-    Ways(Vec<RouteState>),
+    RouteStates(Vec<RouteState>),
     /// What the fleet's routes allow of a request's calls, in place of the module's own bounds.
     Allowed {
         /// The request.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -315,7 +315,7 @@
     b.fill_cores();
     b.arrive(2, 1, |_| ());
     assert!(b.did(&Action::Start(1)) && !b.did(&Action::Start(2)));
-    b.event(Event::Ways(vec![RouteState::Open, way]));
+    b.event(Event::RouteStates(vec![RouteState::Open, way]));
     b
 }
 
@@ -329,7 +329,7 @@
     b.event(Event::Finished { id: 1_000, outcome: Outcome::Done, took: ms(10) });
     b.arrive(4, 0, |_| ());
     assert!(b.did(&Action::Start(4)), "the other class goes on");
-    b.event(Event::Ways(vec![]));
+    b.event(Event::RouteStates(vec![]));
     b.event(Event::Finished { id: 1_001, outcome: Outcome::Done, took: ms(10) });
     b.arrive(5, 1, |_| ());
     assert!(b.did(&Action::Start(5)));
@@ -350,7 +350,7 @@
     let mut s = settings();
     s.classes[1].calls = false;
     let mut b = Bench::new(s);
-    b.event(Event::Ways(vec![RouteState::Closed, RouteState::Closed]));
+    b.event(Event::RouteStates(vec![RouteState::Closed, RouteState::Closed]));
     b.arrive(1, 1, |_| ());
     assert!(b.did(&Action::Start(1)));
 }
@@ -372,7 +372,7 @@
     // Guards against a refusal once the effect ran.
     let mut b = Bench::new(keyed_settings());
     b.arrive(1, 1, |_| ());
-    b.event(Event::Ways(vec![RouteState::Closed, RouteState::Closed]));
+    b.event(Event::RouteStates(vec![RouteState::Closed, RouteState::Closed]));
     b.arrive(2, 1, |a| a.repeats = Some(1));
     assert!(b.did(&Action::Join(2)) && b.answers(2) == 0, "{:?}", b.log);
 }
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -136,7 +136,7 @@
 ) {
     let mut b = bench();
     b.arrive(1, 0, |a| a.due = Some(ms(90_000)));
-    b.event(Event::Ways(vec![way, way]));
+    b.event(Event::RouteStates(vec![way, way]));
     let allowed = Allowed { tries: 1, without };
     b.batch(vec![Event::Allowed { id: 1, allowed }, Event::CallNeeded { id: 1 }]);
     if way == RouteState::Open {
