--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -103,7 +103,7 @@
 impl Brain {
     /// How the calls of a class stand.
     pub(super) fn way(&self, class: usize) -> RouteState {
-        self.s.classes[class].way(self.ways.get(class).copied().unwrap_or_default())
+        self.s.classes[class].route_state(self.ways.get(class).copied().unwrap_or_default())
     }
 
     /// How often a call of a request may be tried, and whether it may be answered without.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,10 +105,10 @@
 
 impl Class {
     /// How its calls stand where the fleet says `told`: what is worth nothing without its call is not answered without it.
-    pub fn way(&self, told: RouteState) -> RouteState {
-        match told {
+    pub fn route_state(&self, reported: RouteState) -> RouteState {
+        match reported {
             RouteState::Skip if self.skip_worth <= 0.0 => RouteState::Closed,
-            way if self.calls => way,
+            state if self.calls => state,
             _ => RouteState::Open,
         }
     }
