--- a/src/brain.rs
+++ b/src/brain.rs
@@ -77,7 +77,7 @@
     late_for_drain: bool,
     call_tries: u8,
     /// What the fleet's routes allow of its calls, where it routes them.
-    allowed: Option<Allowed>,
+    limits: Option<CallLimits>,
 }
 
 /// The decision module: one for each server.
@@ -166,15 +166,15 @@
             Event::CallNeeded { id } => {
                 self.progress_at = now;
                 // A route's tries are those of each call, not of all that a run makes.
-                let next = |r: &&mut Request| r.allowed.is_some() && r.phase == Phase::Running;
+                let next = |r: &&mut Request| r.limits.is_some() && r.phase == Phase::Running;
                 self.requests.get_mut(&id).filter(next).into_iter().for_each(|r| r.call_tries = 0);
                 self.set_phase(id, Phase::AtCall);
                 self.waiting_calls.insert((now, id));
             }
             Event::CallEnded { id, outcome, took } => self.call_ended(id, outcome, took, actions),
             Event::RouteStates(states) => self.ways = states,
-            Event::Allowed { id, allowed } => {
-                self.requests.get_mut(&id).into_iter().for_each(|r| r.allowed = Some(allowed));
+            Event::CallLimits { id, limits } => {
+                self.requests.get_mut(&id).into_iter().for_each(|r| r.limits = Some(limits));
             }
             Event::Retire { age, stop_at } => {
                 self.retire = Some((now.saturating_sub(age), stop_at));
@@ -238,7 +238,7 @@
             answered: false,
             late_for_drain: self.retire.is_some_and(|(at, _)| arrived > at + self.s.drain_grace),
             call_tries: 0,
-            allowed: None,
+            limits: None,
         };
         // Where a new connection has a price, idle cores pay for keeping one.
         let used = self.gauges.core_use.filter(|_| self.s.connect_price > 0.0).unwrap_or(1.0);
--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -109,7 +109,7 @@
     /// How often a call of a request may be tried, and whether it may be answered without.
     fn allows(&self, r: &Request) -> (u8, bool) {
         let skips = self.s.classes[r.class].skip_worth > 0.0;
-        r.allowed.map_or((CALL_TRIES.0, skips), |a| (a.tries.clamp(1, CALL_TRIES.1), skips && a.without))
+        r.limits.map_or((CALL_TRIES.0, skips), |a| (a.max_tries.clamp(1, CALL_TRIES.1), skips && a.may_skip))
     }
 
     pub(super) fn call_ended(
@@ -137,7 +137,7 @@
         let (stale, more) = (outcome == Outcome::Stale, r.call_tries < tries);
         // A call is repeated only where that is harmless: the earlier one never ran, or it may run again.
         let harmless = more && self.s.classes[r.class].repeat == Repeat::Idempotent && !stale;
-        let unrun = outcome.never_ran() && (more || r.allowed.is_none());
+        let unrun = outcome.never_ran() && (more || r.limits.is_none());
         if (unrun || harmless) && ready_at < r.wanted {
             self.waiting_calls.insert((ready_at, id));
         } else {
@@ -169,7 +169,7 @@
             let until = if class.late_value > 0.0 { r.due } else { r.wanted.max(self.now + TICK).min(r.due) };
             let left = until.saturating_sub(self.now);
             // Another version may allow fewer tries than there were.
-            let spent = r.allowed.is_some() && r.call_tries >= self.allows(r).0;
+            let spent = r.limits.is_some() && r.call_tries >= self.allows(r).0;
             // A silent call is made again where that is harmless; the last try gets all the time left.
             let again = class.repeat == Repeat::Idempotent && r.call_tries + 1 < self.allows(r).0;
             let patience = Some(secs(self.calls.mean_s * CALL_PATIENCE)).filter(|p| again && !p.is_zero());
--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -78,7 +78,7 @@
 
 /// As the module hears it.
 fn told(id: RequestId, Allowed { tries, without }: Allowed) -> Event {
-    Event::Allowed { id, allowed: interface::Allowed { tries, without } }
+    Event::CallLimits { id, limits: interface::CallLimits { max_tries: tries, may_skip: without } }
 }
 
 impl Core {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -57,11 +57,11 @@
 
 /// What the fleet's routes allow of a request's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct CallLimits {
     /// How often each is tried at most, whatever comes of it; the module keeps it from 1 to 10.
-    pub tries: u8,
+    pub max_tries: u8,
     /// The request may be answered without.
-    pub without: bool,
+    pub may_skip: bool,
 }
 
 /// The free value that goes back to callers with every answer.
@@ -366,11 +366,11 @@
     /// How the calls of each class stand from now on, by the place of the class; further ones are open.
     RouteStates(Vec<RouteState>),
     /// What the fleet's routes allow of a request's calls, in place of the module's own bounds.
-    Allowed {
+    CallLimits {
         /// The request.
         id: RequestId,
         /// By the version that it belongs to.
-        allowed: Allowed,
+        limits: CallLimits,
     },
     /// The process is to leave and will be stopped.
     Retire {
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -14,11 +14,11 @@
 }
 
 /// Request 1 runs and needs a call, of which a route allows this.
-fn at_call(b: &mut Bench, class: usize, allowed: Option<Allowed>) {
+fn at_call(b: &mut Bench, class: usize, limits: Option<CallLimits>) {
     b.arrive(1, class, |a| a.due = Some(ms(90_000)));
     assert!(b.did(&Action::Start(1)));
     b.event(Event::CallNeeded { id: 1 });
-    b.batch(allowed.map(|allowed| Event::Allowed { id: 1, allowed }).into_iter().collect());
+    b.batch(limits.map(|limits| Event::CallLimits { id: 1, limits }).into_iter().collect());
 }
 
 /// Ends every call of request 1 from the `first` one on in the same way, until no more is made; how many
@@ -36,8 +36,8 @@
     ended - before
 }
 
-fn route(tries: u8, without: bool) -> Option<Allowed> {
-    Some(Allowed { tries, without })
+fn route(max_tries: u8, may_skip: bool) -> Option<CallLimits> {
+    Some(CallLimits { max_tries, may_skip })
 }
 
 #[rstest]
@@ -55,12 +55,12 @@
 #[case::of_an_older_version(0, 5, Outcome::Stale, 1)]
 fn a_call_is_tried_at_most_as_often_as_its_route_says(
     #[case] class: usize,
-    #[case] tries: u8,
+    #[case] max_tries: u8,
     #[case] outcome: Outcome,
     #[case] calls: usize,
 ) {
     let mut b = bench();
-    at_call(&mut b, class, route(tries, true));
+    at_call(&mut b, class, route(max_tries, true));
     assert_eq!(all_end(&mut b, 1, outcome), calls);
     let skipped = outcome != Outcome::Stale;
     assert_eq!((b.did(&Action::SkipCall(1)), b.did(&Action::Fail(1))), (skipped, !skipped));
@@ -112,15 +112,15 @@
 
 #[test]
 fn another_version_that_allows_less_ends_what_waits() {
-    for without in [true, false] {
+    for may_skip in [true, false] {
         let mut b = bench();
         at_call(&mut b, 0, route(5, true));
         for _ in 0..2 {
             b.event(Event::CallEnded { id: 1, outcome: Outcome::Busy, took: ms(5) });
             b.advance(20);
         }
-        b.batch(route(1, without).map(|allowed| Event::Allowed { id: 1, allowed }).into_iter().collect());
-        assert_eq!((b.did(&Action::SkipCall(1)), b.did(&Action::Fail(1))), (without, !without));
+        b.batch(route(1, may_skip).map(|limits| Event::CallLimits { id: 1, limits }).into_iter().collect());
+        assert_eq!((b.did(&Action::SkipCall(1)), b.did(&Action::Fail(1))), (may_skip, !may_skip));
     }
 }
 
@@ -131,14 +131,14 @@
 #[case::shut(RouteState::Closed, true, Some(false))]
 fn a_request_is_answered_without_its_call_only_where_its_route_allows_it(
     #[case] way: RouteState,
-    #[case] without: bool,
+    #[case] may_skip: bool,
     #[case] skipped: Option<bool>,
 ) {
     let mut b = bench();
     b.arrive(1, 0, |a| a.due = Some(ms(90_000)));
     b.event(Event::RouteStates(vec![way, way]));
-    let allowed = Allowed { tries: 1, without };
-    b.batch(vec![Event::Allowed { id: 1, allowed }, Event::CallNeeded { id: 1 }]);
+    let limits = CallLimits { max_tries: 1, may_skip };
+    b.batch(vec![Event::CallLimits { id: 1, limits }, Event::CallNeeded { id: 1 }]);
     if way == RouteState::Open {
         b.event(Event::CallEnded { id: 1, outcome: Outcome::Error, took: ms(5) });
     }
@@ -149,25 +149,25 @@
 
 #[test]
 fn in_a_crowd_a_call_is_left_out_only_where_its_route_allows_it() {
-    for without in [true, false] {
+    for may_skip in [true, false] {
         let mut s = settings();
         (s.below, s.call_share, s.cores) = (Below::Shared, 1.2, 8);
         s.classes.iter_mut().for_each(|c| c.skip_worth = 0.3);
         let mut b = Bench::new(s);
         for id in 1..=4 {
             b.arrive(id, 0, |_| ());
-            let allowed = Allowed { tries: 1, without };
-            b.batch(vec![Event::Allowed { id, allowed }, Event::CallNeeded { id }]);
+            let limits = CallLimits { max_tries: 1, may_skip };
+            b.batch(vec![Event::CallLimits { id, limits }, Event::CallNeeded { id }]);
         }
         b.advance(300);
         let skipped = (1..=4).filter(|id| b.did(&Action::SkipCall(*id))).count();
-        assert_eq!(skipped > 0, without, "{skipped}");
+        assert_eq!(skipped > 0, may_skip, "{skipped}");
     }
 }
 
 #[test]
 fn the_last_try_that_a_route_allows_gets_all_the_time_left() {
-    for (tries, whole) in [(1, true), (2, false)] {
+    for (max_tries, whole) in [(1, true), (2, false)] {
         let mut b = bench();
         for id in 2..12 {
             b.arrive(id, 0, |_| ());
@@ -176,8 +176,8 @@
             b.event(Event::Finished { id, outcome: Outcome::Done, took: ms(30) });
         }
         b.arrive(1, 0, |a| a.due = Some(ms(90_000)));
-        let allowed = Allowed { tries, without: true };
-        b.batch(vec![Event::Allowed { id: 1, allowed }, Event::CallNeeded { id: 1 }]);
+        let limits = CallLimits { max_tries, may_skip: true };
+        b.batch(vec![Event::CallLimits { id: 1, limits }, Event::CallNeeded { id: 1 }]);
         let patience = b.log.iter().find_map(|(_, a)| match a {
             Action::Call { id: 1, give_up_after } => Some(*give_up_after),
             _ => None,
