--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -202,8 +202,8 @@
 
     /// The calls that may be out however slow they are, and the most that may.
     fn call_bounds(&self) -> (f64, f64) {
-        let (most, part) = match self.s.below {
-            Below::Shared => (self.s.call_share * CALL_SHARE_PART, CALL_SHARE_LEAST),
+        let (most, part) = match self.s.dependency {
+            Dependency::Shared => (self.s.call_share * CALL_SHARE_PART, CALL_SHARE_LEAST),
             _ => (f64::from(self.s.cores) * AT_CALL_PER_CORE, 1.0),
         };
         ((most * part).max(1.0).min(most), most)
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -33,7 +33,7 @@
 
 /// What the requests of this server call while they run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Below {
+pub enum Dependency {
     /// Nothing.
     #[default]
     Off,
@@ -157,7 +157,7 @@
     /// What can be done with running work.
     pub preemption: Preemption,
     /// What is called while running.
-    pub below: Below,
+    pub dependency: Dependency,
     /// This server's share of the calls that a shared dependency survives (a mean).
     pub call_share: f64,
     /// The time over which calls in hand are averaged.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,7 +19,7 @@
 use crate::fleet::membership::MOST_SEEDS;
 use crate::fleet::routes::table::Known;
 use crate::fleet::{driver, link};
-use crate::interface::{Below, Class, Preemption, Repeat, Settings, Signal, Tenant};
+use crate::interface::{Class, Dependency, Preemption, Repeat, Settings, Signal, Tenant};
 
 use node::{flag, kilobytes, micros, number, parse_json, parsed, text, whole, Node};
 
@@ -102,10 +102,10 @@
                 "pause" => Preemption::Pause,
                 _ => Preemption::Off,
             },
-            below: match word(sp.at("below")?)?.as_str() {
-                "common" => Below::Shared,
-                "next_hop" => Below::Tier,
-                _ => Below::Off,
+            dependency: match word(sp.at("below")?)?.as_str() {
+                "common" => Dependency::Shared,
+                "next_hop" => Dependency::Tier,
+                _ => Dependency::Off,
             },
             call_share: sp.at("calls_out")?.or(0.0, number)?,
             call_span: sp.at("share_span_us")?.or(Duration::ZERO, micros)?,
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -3,7 +3,7 @@
 use super::error::{ConfigError, Problem};
 use super::node::{text, Node};
 use super::Site;
-use crate::interface::{Below, Repeat};
+use crate::interface::{Dependency, Repeat};
 
 /// The words that `repeat` knows.
 const REPEATS: [&str; 3] = ["idempotent", "deduplicated", "at_most_once"];
@@ -31,7 +31,7 @@
     for (worth, class) in sp.at("worth_without")?.items()?.into_iter().zip(&s.classes) {
         part(worth, class.skip_worth)?;
     }
-    if s.below == Below::Shared && s.classes.iter().any(|class| class.calls) {
+    if s.dependency == Dependency::Shared && s.classes.iter().any(|class| class.calls) {
         if s.call_share == 0.0 {
             return sp.at("calls_out")?.bad(Problem::NoCallsOut);
         }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -6,7 +6,7 @@
 
 use hopwalk::core::{Answer, Command, End, LinkId, Notice, Verdict};
 use hopwalk::fleet::routes::Fence;
-use hopwalk::interface::Below;
+use hopwalk::interface::Dependency;
 use hopwalk::net::fields::{Bad, Message, Parsed};
 use hopwalk::net::front::Wire;
 use hopwalk::net::inlet::Inlet;
@@ -338,10 +338,10 @@
     let without_span = SITE.replacen(r#""share_span_us": 5000000, "#, "", 1);
     assert_ne!(without_span, SITE);
     let without_below = without_span.replacen(r#""below": "next_hop", "#, "", 1);
-    for (site, below) in [(without_span, Below::Tier), (without_below, Below::Off)] {
+    for (site, dependency) in [(without_span, Dependency::Tier), (without_below, Dependency::Off)] {
         let site = config(&site).unwrap().site;
         let s = &site.settings;
-        assert_eq!((s.below, s.call_share, s.call_span), (below, 0.0, Duration::ZERO));
+        assert_eq!((s.dependency, s.call_share, s.call_span), (dependency, 0.0, Duration::ZERO));
         assert!(site.tenant_names.is_empty() && s.tenants.is_empty());
         assert_eq!((s.over_share_worth, s.cold, s.fresh_for), (1.0, false, Duration::ZERO));
         assert!(s.classes.iter().all(|c| c.late_value == 0.0 && c.wanted_stretch == 0.0));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,7 +68,7 @@
 pub fn keyed_settings() -> Settings {
     let mut s = settings();
     s.classes[1].repeat = Repeat::Deduplicated;
-    s.below = Below::Shared;
+    s.dependency = Dependency::Shared;
     s.call_share = 5.0;
     s
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -127,7 +127,7 @@
                 2 => {
                     let ready: Vec<_> =
                         running.into_iter().filter(|id| self.s.classes[self.tries[id].class].calls).collect();
-                    if let (Some(id), true) = (self.dice.pick(&ready), self.s.below != Below::Off) {
+                    if let (Some(id), true) = (self.dice.pick(&ready), self.s.dependency != Dependency::Off) {
                         let t = self.tries.get_mut(&id).unwrap();
                         if t.answered {
                             self.end(id, now);
@@ -311,7 +311,7 @@
         assert!(memory <= self.s.memory_kb, "memory {memory} of {}", self.s.memory_kb);
         let running = self.ids(State::Running).len() as f64;
         assert!(running <= f64::from(self.s.cores) * self.s.crowd_per_core, "crowd {running}");
-        if self.s.below == Below::Shared {
+        if self.s.dependency == Dependency::Shared {
             assert!(self.ids(State::Calling).len() as f64 <= self.s.call_share.max(1.0), "calls");
         }
         for (id, t) in &self.tries {
@@ -371,13 +371,13 @@
     let mut seed = 1;
     let (mut started, mut arrived) = (0, 0);
     for preemption in [Preemption::Off, Preemption::Drop, Preemption::Pause] {
-        for below in [Below::Off, Below::Shared, Below::Tier] {
+        for dependency in [Dependency::Off, Dependency::Shared, Dependency::Tier] {
             for signal in [Signal::Off, Signal::MinRank, Signal::Tokens, Signal::Bias] {
                 for bits in [0, 5, 10, 15_u32] {
                     seed += 1;
                     let flag = |n: u32| bits >> n & 1 == 1;
                     let mut s = keyed_settings();
-                    (s.preemption, s.below, s.signal) = (preemption, below, signal);
+                    (s.preemption, s.dependency, s.signal) = (preemption, dependency, signal);
                     (s.cold, s.cold_from, s.readiness) = (flag(0), 0.2, flag(0));
                     s.classes[0].skip_worth = if flag(1) { 0.5 } else { 0.0 };
                     s.worth_by_work = flag(1);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -305,7 +305,7 @@
 /// One request waits for its call and one is held, when the calls of their class may no longer be made.
 fn barred(way: RouteState, skip_worth: f64) -> Bench {
     let mut s = settings();
-    (s.below, s.call_share) = (Below::Shared, 5.0);
+    (s.dependency, s.call_share) = (Dependency::Shared, 5.0);
     (s.advice, s.advice_max) = (true, ms(700));
     s.classes[1].skip_worth = skip_worth;
     let mut b = Bench::new(s);
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -8,7 +8,7 @@
 
 fn bench() -> Bench {
     let mut s = settings();
-    s.below = Below::Tier;
+    s.dependency = Dependency::Tier;
     s.classes.iter_mut().for_each(|c| (c.wanted, c.give_up, c.skip_worth) = (ms(60_000), ms(90_000), 0.3));
     Bench::new(s)
 }
@@ -151,7 +151,7 @@
 fn in_a_crowd_a_call_is_left_out_only_where_its_route_allows_it() {
     for may_skip in [true, false] {
         let mut s = settings();
-        (s.below, s.call_share, s.cores) = (Below::Shared, 1.2, 8);
+        (s.dependency, s.call_share, s.cores) = (Dependency::Shared, 1.2, 8);
         s.classes.iter_mut().for_each(|c| c.skip_worth = 0.3);
         let mut b = Bench::new(s);
         for id in 1..=4 {
