--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -90,7 +90,7 @@
             (None, None) => request.handle.to_string().into_bytes(),
         };
         let class = &self.site.settings.classes[class];
-        let more = request.cost.unwrap_or_default().as_secs_f64() * class.wanted_stretch.max(0.0);
+        let more = request.cost.unwrap_or_default().as_secs_f64() * class.target_stretch.max(0.0);
         let more = Duration::try_from_secs_f64(more).unwrap_or_default();
         let aim = start + (class.wanted + more).min(class.give_up);
         Some(Box::new(Subject { tenant: request.tenant.clone(), subject, tried: None, allowed: None, aim }))
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -84,7 +84,7 @@
     /// Answered within this time after its first try, a request earns its full worth.
     pub wanted: Duration,
     /// The aim grows by this many times the work of the request.
-    pub wanted_stretch: f64,
+    pub target_stretch: f64,
     /// How long a client waits over all tries.
     pub give_up: Duration,
     /// May it run again?
@@ -221,7 +221,7 @@
             ("over-share worth", s.over_share_worth),
             ("connection price", s.connect_price),
         ];
-        let classes = s.classes.iter().flat_map(|c| [c.worth, c.late_value, c.skip_worth, c.wanted_stretch]);
+        let classes = s.classes.iter().flat_map(|c| [c.worth, c.late_value, c.skip_worth, c.target_stretch]);
         let quotas = s.tenants.iter().map(|t| t.quota_per_s);
         if let Some((name, _)) = figures.iter().find(|(_, x)| !usable(*x)) {
             return Err(SettingsError::BadFigure(name));
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -54,7 +54,7 @@
             class_names.push(p.at("name")?.or(String::new(), text)?);
             classes.push(Class {
                 wanted: p.at("promise_us")?.some(micros)?,
-                wanted_stretch: p.at("aim_stretch")?.or(0.0, number)?,
+                target_stretch: p.at("aim_stretch")?.or(0.0, number)?,
                 give_up: p.at("give_up_us")?.some(micros)?,
                 repeat: p.at("repeat")?.some(|node, value| {
                     Ok(match text(node, value)?.as_str() {
