--- a/src/brain.rs
+++ b/src/brain.rs
@@ -227,7 +227,7 @@
             tenant: a.tenant,
             phase: Phase::Held,
             arrived,
-            wanted: (first_try + (class.wanted + secs(stretch)).min(class.give_up)).min(due),
+            wanted: (first_try + (class.target_latency + secs(stretch)).min(class.give_up)).min(due),
             due,
             hint: a.hint,
             size: size as u64,
--- a/src/brain/run_length.rs
+++ b/src/brain/run_length.rs
@@ -20,7 +20,7 @@
 
 impl RunLength {
     pub(super) fn guess(class: &Class) -> Self {
-        Self { mean_s: class.wanted.as_secs_f64() * GUESS_SHARE, hint_s: 0.0, refused_s: 0.0 }
+        Self { mean_s: class.target_latency.as_secs_f64() * GUESS_SHARE, hint_s: 0.0, refused_s: 0.0 }
     }
 
     pub(super) fn learn(&mut self, took: Duration, hint: Option<Duration>) {
--- a/src/brain/schedule.rs
+++ b/src/brain/schedule.rs
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn wait_goal(&self) -> f64 {
-        let least = self.s.kept_classes().map(|(_, c)| c.wanted).min().unwrap_or_default();
+        let least = self.s.kept_classes().map(|(_, c)| c.target_latency).min().unwrap_or_default();
         least.max(TICK).as_secs_f64() * WAIT_GOAL_SHARE
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Answered within this time after its first try, a request earns its full worth.
-    pub wanted: Duration,
+    pub target_latency: Duration,
     /// The aim grows by this many times the work of the request.
     pub target_stretch: f64,
     /// How long a client waits over all tries.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -53,7 +53,7 @@
         for (at, p) in node.at("profiles")?.items()?.into_iter().enumerate() {
             class_names.push(p.at("name")?.or(String::new(), text)?);
             classes.push(Class {
-                wanted: p.at("promise_us")?.some(micros)?,
+                target_latency: p.at("promise_us")?.some(micros)?,
                 target_stretch: p.at("aim_stretch")?.or(0.0, number)?,
                 give_up: p.at("give_up_us")?.some(micros)?,
                 repeat: p.at("repeat")?.some(|node, value| {
@@ -481,7 +481,7 @@
         }
         let mut lines: Vec<_> = lines.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
         for (name, class) in self.site.class_names.iter().zip(&s.classes) {
-            let (worth, wanted) = (class.worth, class.wanted.as_millis());
+            let (worth, wanted) = (class.worth, class.target_latency.as_millis());
             lines.push((format!("class {name}"), format!("worth {worth}, wanted within {wanted} ms")));
         }
         lines
@@ -532,7 +532,7 @@
                 return Err(ConfigError::new(key, Problem::NotUnique));
             }
             let times = &site.settings.classes[at];
-            for (key, time) in [("promise_us", times.wanted), ("give_up_us", times.give_up)] {
+            for (key, time) in [("promise_us", times.target_latency), ("give_up_us", times.give_up)] {
                 if time.is_zero() {
                     return Err(ConfigError::new(format!("settings.profiles[{at}].{key}"), Problem::Zero));
                 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
 
 fn class(worth: f64, repeat: Repeat) -> Class {
     Class {
-        wanted: ms(2_000),
+        target_latency: ms(2_000),
         target_stretch: 0.0,
         give_up: ms(6_000),
         repeat,
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -9,7 +9,9 @@
 fn bench() -> Bench {
     let mut s = settings();
     s.dependency = Dependency::Tier;
-    s.classes.iter_mut().for_each(|c| (c.wanted, c.give_up, c.skip_worth) = (ms(60_000), ms(90_000), 0.3));
+    s.classes
+        .iter_mut()
+        .for_each(|c| (c.target_latency, c.give_up, c.skip_worth) = (ms(60_000), ms(90_000), 0.3));
     Bench::new(s)
 }
 
