--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -40,7 +40,8 @@
     let _ = config.describe();
     // Longer times are mistakes, and would overflow sums of times some day.
     let day = Duration::from_secs(86_400);
-    let times = config.site.settings.classes.iter().flat_map(|c| [c.target_latency, c.give_up, c.window]);
+    let times =
+        config.site.settings.classes.iter().flat_map(|c| [c.target_latency, c.client_timeout, c.window]);
     assert!(times.chain([config.stop_after]).all(|time| time <= day), "a time of more than a day");
     let at = |ms: u64| Duration::from_millis(1_764_576_000_000 + ms);
     let Ok(mut core) = Core::new(config.site.clone(), config.seed, config.stop_after, at(0)) else { return };
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -212,10 +212,10 @@
             return actions.push(Action::Refuse { id: a.id, retry_after: Duration::ZERO, no_retry: false });
         };
         let arrived = self.now.saturating_sub(a.age);
-        let due = a.due.unwrap_or(arrived + class.give_up).max(self.now);
+        let due = a.due.unwrap_or(arrived + class.client_timeout).max(self.now);
         let stretch = a.hint.unwrap_or_default().as_secs_f64() * class.target_stretch.max(0.0);
         let low = a.standing * (self.s.kept_classes().count() as f64) < 1.0;
-        let first_try = self.first_try(a, low, [arrived, due], class.give_up);
+        let first_try = self.first_try(a, low, [arrived, due], class.client_timeout);
         if first_try == arrived {
             for (class, part) in self.mix.iter_mut().enumerate() {
                 *part += MIX_WEIGHT * (f64::from(u8::from(class == a.class)) - *part);
@@ -227,7 +227,7 @@
             tenant: a.tenant,
             phase: Phase::Held,
             arrived,
-            wanted: (first_try + (class.target_latency + secs(stretch)).min(class.give_up)).min(due),
+            wanted: (first_try + (class.target_latency + secs(stretch)).min(class.client_timeout)).min(due),
             due,
             hint: a.hint,
             size: size as u64,
--- a/src/brain/keys.rs
+++ b/src/brain/keys.rs
@@ -69,7 +69,8 @@
         actions: &mut Vec<Action>,
     ) {
         let effect = self.effects.note(a.id, a.repeats);
-        let (e, patience) = (self.effects.all.entry(effect).or_default(), self.s.classes[a.class].give_up);
+        let (e, patience) =
+            (self.effects.all.entry(effect).or_default(), self.s.classes[a.class].client_timeout);
         e.first = Some(e.first.unwrap_or(arrived).min(arrived));
         e.forget_at = e.forget_at.max(arrived + window * 2);
         let ends = arrived + window + TICK;
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -32,7 +32,7 @@
             return self.turn_back(request.conn, Verdict::Invalid("this request id is in use"));
         }
         let start = request.start.min(now);
-        let patience = request.patience.unwrap_or(self.site.settings.classes[class].give_up);
+        let patience = request.patience.unwrap_or(self.site.settings.classes[class].client_timeout);
         let due = start + patience;
         let route = self.subject(&request, class, start);
         let key = request.key.filter(|_| keyed);
@@ -102,7 +102,7 @@
     /// The longest time for which a caller of a keyed class waits by the settings: so late may a try be read.
     pub(super) fn longest_wait(&self) -> Duration {
         let keyed = self.site.settings.classes.iter().filter(|c| c.repeat == Repeat::Deduplicated);
-        keyed.map(|c| c.give_up).max().unwrap_or_default()
+        keyed.map(|c| c.client_timeout).max().unwrap_or_default()
     }
 
     /// The try is so old that a run of its key, within whose window it came, may have been forgotten: its caller
--- a/src/core/retune.rs
+++ b/src/core/retune.rs
@@ -21,7 +21,7 @@
             classes.iter_mut().enumerate().filter(|(at, _)| !told.iter().any(|(name, _)| *name == names[*at]))
         {
             if !std::mem::replace(&mut class.dropped, true) {
-                self.served_until.insert(at, now + DROPPED_LATE + class.give_up);
+                self.served_until.insert(at, now + DROPPED_LATE + class.client_timeout);
             }
         }
         let mut fresh = Vec::new();
--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -92,7 +92,7 @@
         let class = &self.site.settings.classes[class];
         let more = request.cost.unwrap_or_default().as_secs_f64() * class.target_stretch.max(0.0);
         let more = Duration::try_from_secs_f64(more).unwrap_or_default();
-        let aim = start + (class.target_latency + more).min(class.give_up);
+        let aim = start + (class.target_latency + more).min(class.client_timeout);
         Some(Box::new(Subject { tenant: request.tenant.clone(), subject, tried: None, allowed: None, aim }))
     }
 
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -196,7 +196,7 @@
             let refusal = Verdict::Refused { retry_after: Duration::ZERO, no_retry: false };
             return self.answer(request.conn, refusal);
         }
-        let longest = self.site.settings.classes.iter().map(|c| c.give_up).max();
+        let longest = self.site.settings.classes.iter().map(|c| c.client_timeout).max();
         // A caller may state any start: the other process reads times of 64 bits of microseconds.
         let request = Request { start: request.start.min(now), ..request };
         let due = request.start + request.patience.or(longest).unwrap_or_default();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -86,7 +86,7 @@
     /// The aim grows by this many times the work of the request.
     pub target_stretch: f64,
     /// How long a client waits over all tries.
-    pub give_up: Duration,
+    pub client_timeout: Duration,
     /// May it run again?
     pub repeat: Repeat,
     /// For deduplicated classes: a try can come again this long after it arrived.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -55,7 +55,7 @@
             classes.push(Class {
                 target_latency: p.at("promise_us")?.some(micros)?,
                 target_stretch: p.at("aim_stretch")?.or(0.0, number)?,
-                give_up: p.at("give_up_us")?.some(micros)?,
+                client_timeout: p.at("give_up_us")?.some(micros)?,
                 repeat: p.at("repeat")?.some(|node, value| {
                     Ok(match text(node, value)?.as_str() {
                         "idempotent" => Repeat::Idempotent,
@@ -532,7 +532,7 @@
                 return Err(ConfigError::new(key, Problem::NotUnique));
             }
             let times = &site.settings.classes[at];
-            for (key, time) in [("promise_us", times.target_latency), ("give_up_us", times.give_up)] {
+            for (key, time) in [("promise_us", times.target_latency), ("give_up_us", times.client_timeout)] {
                 if time.is_zero() {
                     return Err(ConfigError::new(format!("settings.profiles[{at}].{key}"), Problem::Zero));
                 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,7 +30,7 @@
     Class {
         target_latency: ms(2_000),
         target_stretch: 0.0,
-        give_up: ms(6_000),
+        client_timeout: ms(6_000),
         repeat,
         window: ms(10_000),
         worth,
--- a/tests/lab_scenario.rs
+++ b/tests/lab_scenario.rs
@@ -128,7 +128,7 @@
     let read = Scenario::parse(r#"{"site":{"stop_ms":2400,"give_up_ms":1700,"every_effect":true}}"#).unwrap();
     let site = Site::parse(&read.site.settings()).unwrap();
     let classes = &site.settings.classes;
-    assert!(classes.iter().all(|class| class.give_up == Duration::from_millis(1_700)));
+    assert!(classes.iter().all(|class| class.client_timeout == Duration::from_millis(1_700)));
     let repeats: Vec<_> = classes.iter().map(|class| class.repeat).collect();
     assert_eq!(repeats, [Repeat::Idempotent, Repeat::AtMostOnce, Repeat::Deduplicated]);
     assert_eq!((read.site.stop_ms, read.site.earliest_kill_ms()), (2_400, 2_400));
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -67,7 +67,7 @@
         let age = ms(self.dice.roll(80));
         let arrived = self.now.saturating_sub(age);
         let span = ms(200 + self.dice.roll(3_000));
-        let due = if self.with_due { arrived + span } else { arrived + self.s.classes[class].give_up };
+        let due = if self.with_due { arrived + span } else { arrived + self.s.classes[class].client_timeout };
         let alive = self.table.get(&key).filter(|(_, ends)| *ends >= arrived).map(|(id, _)| *id);
         let keyed = repeat == Repeat::Deduplicated;
         let repeats = alive.filter(|_| keyed);
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -11,7 +11,7 @@
     s.dependency = Dependency::Tier;
     s.classes
         .iter_mut()
-        .for_each(|c| (c.target_latency, c.give_up, c.skip_worth) = (ms(60_000), ms(90_000), 0.3));
+        .for_each(|c| (c.target_latency, c.client_timeout, c.skip_worth) = (ms(60_000), ms(90_000), 0.3));
     Bench::new(s)
 }
 
