--- a/src/brain/schedule.rs
+++ b/src/brain/schedule.rs
@@ -86,7 +86,8 @@
     fn may_start(&self, id: RequestId, r: &Request) -> bool {
         let class = &self.s.classes[r.class];
         let in_time = self.now <= self.latest_start(r) || (self.running == 0 && self.now < r.due);
-        let call_room = !class.calls || (self.at_calls as f64) < f64::from(self.s.cores) * AT_CALL_PER_CORE;
+        let call_room =
+            !class.makes_calls || (self.at_calls as f64) < f64::from(self.s.cores) * AT_CALL_PER_CORE;
         let fits = (self.memory + r.run_extra) as f64 <= self.s.memory_kb * 1000.0 * MEMORY_START_SHARE;
         let once = class.repeat != Repeat::Deduplicated || self.stands_for_key(id);
         let shut = r.late_for_drain || self.hung || self.way(r.class) == RouteState::Closed;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -96,7 +96,7 @@
     /// Part of the worth that a late answer earns.
     pub late_value: f64,
     /// Its requests may call what is below.
-    pub calls: bool,
+    pub makes_calls: bool,
     /// Part of the worth that is left when a call is skipped; 0 forbids skipping.
     pub skip_worth: f64,
     /// The site no longer has this class; only requests that came before, or just behind, are of it.
@@ -108,7 +108,7 @@
     pub fn route_state(&self, reported: RouteState) -> RouteState {
         match reported {
             RouteState::Skip if self.skip_worth <= 0.0 => RouteState::Closed,
-            state if self.calls => state,
+            state if self.makes_calls => state,
             _ => RouteState::Open,
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -66,7 +66,7 @@
                 window: p.at("memory_span_us")?.or(Duration::ZERO, micros)?,
                 worth: p.at("worth")?.some(number)?,
                 late_value: p.at("late_value")?.or(0.0, number)?,
-                calls: calls.get(at).and_then(|n| n.value.map(|v| flag(n, v))).unwrap_or(Ok(false))?,
+                makes_calls: calls.get(at).and_then(|n| n.value.map(|v| flag(n, v))).unwrap_or(Ok(false))?,
                 dropped: false,
                 skip_worth: worth.get(at).and_then(|n| n.value.map(|v| number(n, v))).unwrap_or(Ok(0.0))?,
             });
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -31,7 +31,7 @@
     for (worth, class) in sp.at("worth_without")?.items()?.into_iter().zip(&s.classes) {
         part(worth, class.skip_worth)?;
     }
-    if s.dependency == Dependency::Shared && s.classes.iter().any(|class| class.calls) {
+    if s.dependency == Dependency::Shared && s.classes.iter().any(|class| class.makes_calls) {
         if s.call_share == 0.0 {
             return sp.at("calls_out")?.bad(Problem::NoCallsOut);
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -35,7 +35,7 @@
         window: ms(10_000),
         worth,
         late_value: 0.0,
-        calls: true,
+        makes_calls: true,
         skip_worth: 0.0,
         dropped: false,
     }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -125,8 +125,10 @@
                     Event::Finished { id, outcome, took }
                 })),
                 2 => {
-                    let ready: Vec<_> =
-                        running.into_iter().filter(|id| self.s.classes[self.tries[id].class].calls).collect();
+                    let ready: Vec<_> = running
+                        .into_iter()
+                        .filter(|id| self.s.classes[self.tries[id].class].makes_calls)
+                        .collect();
                     if let (Some(id), true) = (self.dice.pick(&ready), self.s.dependency != Dependency::Off) {
                         let t = self.tries.get_mut(&id).unwrap();
                         if t.answered {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -348,7 +348,7 @@
 #[test]
 fn a_class_without_calls_does_not_mind_that_none_can_be_made() {
     let mut s = settings();
-    s.classes[1].calls = false;
+    s.classes[1].makes_calls = false;
     let mut b = Bench::new(s);
     b.event(Event::RouteStates(vec![RouteState::Closed, RouteState::Closed]));
     b.arrive(1, 1, |_| ());
