--- a/src/interface.rs
+++ b/src/interface.rs
@@ -145,7 +145,7 @@
     /// Share of its speed that a cold server has at least.
     pub cold_from: f64,
     /// A cold server is warm after this time at the latest.
-    pub cold_for: Duration,
+    pub warm_up_time: Duration,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -92,7 +92,7 @@
             idle_timeout: sp.at("idle_us")?.or(Duration::ZERO, micros)?,
             cold: sp.at("cold")?.or(false, flag)?,
             cold_from: rules.at("cold_from")?.or(0.0, number)?,
-            cold_for: rules.at("cold_us")?.or(Duration::ZERO, micros)?,
+            warm_up_time: rules.at("cold_us")?.or(Duration::ZERO, micros)?,
             classes,
             tenants,
             over_share_worth: node.at("over_share_worth")?.or(1.0, number)?,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -51,7 +51,7 @@
         servers: 4,
         callers: 2,
         entry: true,
-        cold_for: ms(10_000),
+        warm_up_time: ms(10_000),
         classes: vec![class(1.0, Repeat::Idempotent), class(3.0, Repeat::AtMostOnce)],
         over_share_worth: 1.0,
         call_span: ms(5_000),
