--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -177,7 +177,7 @@
             // The share is kept whatever the delay: the call is given up before it has used up what is left.
             let (least, most) = self.call_bounds();
             let most = (most - self.calls.held_back).max(least);
-            let (span, linger_s) = (self.s.call_span, self.s.call_linger.as_secs_f64());
+            let (span, linger_s) = (self.s.call_share_window, self.s.call_linger.as_secs_f64());
             let room_s = self.calls.room_s(self.now, most, span) - linger_s;
             let usual_s = self.calls.mean_s * if skips { CALL_HURRY } else { CALL_PATIENCE };
             let needed_s = usual_s.min((most * span.as_secs_f64() - linger_s) / 2.0).max(f64::EPSILON);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -161,7 +161,7 @@
     /// This server's share of the calls that a shared dependency survives (a mean).
     pub call_share: f64,
     /// The time over which calls in hand are averaged.
-    pub call_span: Duration,
+    pub call_share_window: Duration,
     /// A call given up stays with the dependency for this long.
     pub call_linger: Duration,
     /// How long the answer to a read can serve others; zero means never.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -108,7 +108,7 @@
                 _ => Dependency::Off,
             },
             call_share: sp.at("calls_out")?.or(0.0, number)?,
-            call_span: sp.at("share_span_us")?.or(Duration::ZERO, micros)?,
+            call_share_window: sp.at("share_span_us")?.or(Duration::ZERO, micros)?,
             call_linger: sp.at("lingers_us")?.or(Duration::ZERO, micros)?,
             fresh_for: sp.at("fresh_us")?.or(Duration::ZERO, micros)?,
             signal: match word(sp.at("say")?)?.as_str() {
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -35,7 +35,7 @@
         if s.call_share == 0.0 {
             return sp.at("calls_out")?.bad(Problem::NoCallsOut);
         }
-        if s.call_share < 1.0 && s.call_span.is_zero() {
+        if s.call_share < 1.0 && s.call_share_window.is_zero() {
             return sp.at("share_span_us")?.bad(Problem::NoCallSpan);
         }
     }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -341,7 +341,7 @@
     for (site, dependency) in [(without_span, Dependency::Tier), (without_below, Dependency::Off)] {
         let site = config(&site).unwrap().site;
         let s = &site.settings;
-        assert_eq!((s.dependency, s.call_share, s.call_span), (dependency, 0.0, Duration::ZERO));
+        assert_eq!((s.dependency, s.call_share, s.call_share_window), (dependency, 0.0, Duration::ZERO));
         assert!(site.tenant_names.is_empty() && s.tenants.is_empty());
         assert_eq!((s.over_share_worth, s.cold, s.fresh_for), (1.0, false, Duration::ZERO));
         assert!(s.classes.iter().all(|c| c.late_value == 0.0 && c.target_stretch == 0.0));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,7 +54,7 @@
         warm_up_time: ms(10_000),
         classes: vec![class(1.0, Repeat::Idempotent), class(3.0, Repeat::AtMostOnce)],
         over_share_worth: 1.0,
-        call_span: ms(5_000),
+        call_share_window: ms(5_000),
         call_linger: ms(200),
         answer_slack: ms(60),
         drain_grace: ms(1_000),
--- a/tests/small.rs
+++ b/tests/small.rs
@@ -157,7 +157,7 @@
 #[test]
 fn a_share_under_one_call_is_kept_in_the_mean() {
     let mut s = small();
-    (s.dependency, s.call_share, s.call_span) = (Dependency::Shared, 0.1, ms(5_000));
+    (s.dependency, s.call_share, s.call_share_window) = (Dependency::Shared, 0.1, ms(5_000));
     let mut b = Bench::new(s);
     let (mut in_hand_ms, mut made) = (0, 0);
     for n in 0..100 {
@@ -185,7 +185,7 @@
 fn a_share_under_one_call_is_kept_in_the_mean_while_calls_turn_slow() {
     let mut s = small();
     s.classes[1].repeat = Repeat::Deduplicated;
-    (s.dependency, s.call_share, s.call_span) = (Dependency::Shared, 0.4, ms(5_000));
+    (s.dependency, s.call_share, s.call_share_window) = (Dependency::Shared, 0.4, ms(5_000));
     let mut b = Bench::new(s.clone());
     let mut spans: Vec<(u64, u64)> = Vec::new();
     for id in 1..=120 {
@@ -271,7 +271,7 @@
 #[test]
 fn while_calls_have_no_room_what_cannot_be_left_out_goes_first_and_the_rest_is_skipped() {
     let mut s = small();
-    (s.dependency, s.call_share, s.call_span) = (Dependency::Shared, 0.4, ms(5_000));
+    (s.dependency, s.call_share, s.call_share_window) = (Dependency::Shared, 0.4, ms(5_000));
     s.classes[0].skip_worth = 0.6;
     let mut b = Bench::new(s);
     b.arrive(1, 1, |_| ());
@@ -346,7 +346,7 @@
 #[test]
 fn a_call_far_longer_than_in_good_times_is_followed_by_a_pause() {
     let mut s = small();
-    (s.dependency, s.call_share, s.call_span) = (Dependency::Shared, 0.4, ms(5_000));
+    (s.dependency, s.call_share, s.call_share_window) = (Dependency::Shared, 0.4, ms(5_000));
     let mut b = Bench::new(s);
     b.arrive(1, 1, |_| ());
     for took in [20, 20, 20, 20, 400] {
