--- a/src/interface.rs
+++ b/src/interface.rs
@@ -177,7 +177,7 @@
     /// Advice to stay away is passed on.
     pub advice: bool,
     /// The longest such advice that is heeded.
-    pub advice_max: Duration,
+    pub max_retry_after: Duration,
     /// The callers' list follows the health answer.
     pub readiness: bool,
     /// An answer may come this long after its due time.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -121,7 +121,7 @@
             connect_price: node.at("prices")?.at("handshake")?.or(0.0, number)?,
             marks_retries: node.at("clients")?.at("marks_retry")?.or(false, flag)?,
             advice: limits.at("retry_after")?.or(false, flag)?,
-            advice_max: limits.at("max_retry_after_us")?.or(Duration::ZERO, micros)?,
+            max_retry_after: limits.at("max_retry_after_us")?.or(Duration::ZERO, micros)?,
             readiness: sp.at("readiness")?.or(false, flag)?,
             answer_slack: rules.at("answer_slack_us")?.some(micros)?,
             drain_grace: rules.at("drain_grace_us")?.some(micros)?,
