--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -123,7 +123,7 @@
         let age = self.now.saturating_sub(self.started_at).as_secs_f64();
         let (from, cold_s) = (self.s.cold_from, self.s.warm_up_time.max(TICK).as_secs_f64());
         let warm = if self.s.cold { (from + (1.0 - from) * age / cold_s).clamp(0.0, 1.0) } else { 1.0 };
-        f64::from(self.s.cores) * (1.0 + (self.s.crowd_per_core - 1.0).max(0.0) * warm) * CROWD_MARGIN
+        f64::from(self.s.cores) * (1.0 + (self.s.max_load_per_core - 1.0).max(0.0) * warm) * CROWD_MARGIN
     }
 
     /// Hang: events go on while the work stands still. Callers are sent elsewhere until work moves again.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -185,7 +185,7 @@
     /// Arrivals later than this after the notice to leave must not run.
     pub drain_grace: Duration,
     /// Requests on the cores, per core, that a warm server survives.
-    pub crowd_per_core: f64,
+    pub max_load_per_core: f64,
     /// The time over which that crowd is averaged.
     pub crowd_span: Duration,
 }
@@ -216,7 +216,7 @@
             ("run factor", s.run_factor),
             ("key size", s.key_kb),
             ("cold start", s.cold_from),
-            ("crowd", s.crowd_per_core),
+            ("crowd", s.max_load_per_core),
             ("call share", s.call_share),
             ("over-share worth", s.over_share_worth),
             ("connection price", s.connect_price),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -125,7 +125,7 @@
             readiness: sp.at("readiness")?.or(false, flag)?,
             answer_slack: rules.at("answer_slack_us")?.some(micros)?,
             drain_grace: rules.at("drain_grace_us")?.some(micros)?,
-            crowd_per_core: rules.at("fall_multiple")?.some(number)?,
+            max_load_per_core: rules.at("fall_multiple")?.some(number)?,
             crowd_span: rules.at("tip_after_us")?.some(micros)?,
         };
         if let Err(e) = settings.check() {
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -14,7 +14,7 @@
     let part = |node: Node, value: f64| if value > 1.0 { node.bad(Problem::OverOne) } else { Ok(()) };
     part(node.at("over_share_worth")?, s.over_share_worth)?;
     part(rules.at("cold_from")?, s.cold_from)?;
-    if s.crowd_per_core < 1.0 {
+    if s.max_load_per_core < 1.0 {
         return rules.at("fall_multiple")?.bad(Problem::UnderOne);
     }
     for (p, class) in node.at("profiles")?.items()?.iter().zip(&s.classes) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -58,7 +58,7 @@
         call_linger: ms(200),
         answer_slack: ms(60),
         drain_grace: ms(1_000),
-        crowd_per_core: 8.0,
+        max_load_per_core: 8.0,
         crowd_span: ms(2_000),
         ..Settings::default()
     }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -312,7 +312,7 @@
         let memory = keys + self.tries.values().map(need).sum::<f64>();
         assert!(memory <= self.s.memory_kb, "memory {memory} of {}", self.s.memory_kb);
         let running = self.ids(State::Running).len() as f64;
-        assert!(running <= f64::from(self.s.cores) * self.s.crowd_per_core, "crowd {running}");
+        assert!(running <= f64::from(self.s.cores) * self.s.max_load_per_core, "crowd {running}");
         if self.s.dependency == Dependency::Shared {
             assert!(self.ids(State::Calling).len() as f64 <= self.s.call_share.max(1.0), "calls");
         }
@@ -390,7 +390,7 @@
                     (s.cores, s.callers) = [(4, 2), (1, 300), (2, 1), (2, 300)][(bits % 4) as usize];
                     s.idle_timeout = ms(30_000);
                     (s.marks_retries, s.connect_price) = (flag(0), if flag(1) { 0.02 } else { 0.0 });
-                    s.crowd_per_core = if flag(0) { 5.0 } else { 8.0 };
+                    s.max_load_per_core = if flag(0) { 5.0 } else { 8.0 };
                     if flag(1) {
                         s.over_share_worth = 0.1;
                         s.tenants = [20.0, 1.0, 0.01].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
