--- a/src/interface.rs
+++ b/src/interface.rs
@@ -187,7 +187,7 @@
     /// Requests on the cores, per core, that a warm server survives.
     pub max_load_per_core: f64,
     /// The time over which that crowd is averaged.
-    pub crowd_span: Duration,
+    pub load_window: Duration,
 }
 
 impl Settings {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -126,7 +126,7 @@
             answer_slack: rules.at("answer_slack_us")?.some(micros)?,
             drain_grace: rules.at("drain_grace_us")?.some(micros)?,
             max_load_per_core: rules.at("fall_multiple")?.some(number)?,
-            crowd_span: rules.at("tip_after_us")?.some(micros)?,
+            load_window: rules.at("tip_after_us")?.some(micros)?,
         };
         if let Err(e) = settings.check() {
             return node.bad(Problem::Unusable(e));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,7 +59,7 @@
         answer_slack: ms(60),
         drain_grace: ms(1_000),
         max_load_per_core: 8.0,
-        crowd_span: ms(2_000),
+        load_window: ms(2_000),
         ..Settings::default()
     }
 }
