--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -61,7 +61,7 @@
         *refused_s += LEARN_WEIGHT * (age_s - *refused_s);
         let away = self.hung || self.retire.is_some() || self.way(r.class) == RouteState::Closed;
         // A caller that stays away takes its foreground along: it is asked to only until a slot comes free.
-        let most = if self.s.advice { self.s.max_retry_after } else { Duration::ZERO };
+        let most = if self.s.sends_retry_after { self.s.max_retry_after } else { Duration::ZERO };
         let retry_after = if away { most } else { secs(self.mean_length() / self.limit.slots).min(most) };
         self.settle(id, actions);
         self.connections.refused += TRIM_WEIGHT * (1.0 - self.connections.refused);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -175,7 +175,7 @@
     /// Further tries bear a mark.
     pub marks_retries: bool,
     /// Advice to stay away is passed on.
-    pub advice: bool,
+    pub sends_retry_after: bool,
     /// The longest such advice that is heeded.
     pub max_retry_after: Duration,
     /// The callers' list follows the health answer.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -120,7 +120,7 @@
             signal_lifetime: sp.at("heeded_us")?.or(Duration::ZERO, micros)?,
             connect_price: node.at("prices")?.at("handshake")?.or(0.0, number)?,
             marks_retries: node.at("clients")?.at("marks_retry")?.or(false, flag)?,
-            advice: limits.at("retry_after")?.or(false, flag)?,
+            sends_retry_after: limits.at("retry_after")?.or(false, flag)?,
             max_retry_after: limits.at("max_retry_after_us")?.or(Duration::ZERO, micros)?,
             readiness: sp.at("readiness")?.or(false, flag)?,
             answer_slack: rules.at("answer_slack_us")?.some(micros)?,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -384,7 +384,7 @@
                     s.classes[0].skip_worth = if flag(1) { 0.5 } else { 0.0 };
                     s.worth_by_work = flag(1);
                     s.memory_kb = if flag(2) { 6_000.0 } else { 1_500.0 };
-                    s.advice = flag(2);
+                    s.sends_retry_after = flag(2);
                     s.call_share =
                         [0.05, 0.6, 3.0][(flag(2) as usize) * (1 + (signal == Signal::Bias) as usize)];
                     (s.cores, s.callers) = [(4, 2), (1, 300), (2, 1), (2, 300)][(bits % 4) as usize];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -306,7 +306,7 @@
 fn barred(way: RouteState, skip_worth: f64) -> Bench {
     let mut s = settings();
     (s.dependency, s.call_share) = (Dependency::Shared, 5.0);
-    (s.advice, s.max_retry_after) = (true, ms(700));
+    (s.sends_retry_after, s.max_retry_after) = (true, ms(700));
     s.classes[1].skip_worth = skip_worth;
     let mut b = Bench::new(s);
     b.arrive(1, 1, |_| ());
--- a/tests/small.rs
+++ b/tests/small.rs
@@ -424,7 +424,7 @@
     // Guards against gateways that heed worth-blind words and take their best requests along: a recorded day
     // lost a third of them while the cores were full of background.
     let mut s = settings();
-    (s.signal, s.advice, s.max_retry_after) = (Signal::Bias, true, ms(1_000));
+    (s.signal, s.sends_retry_after, s.max_retry_after) = (Signal::Bias, true, ms(1_000));
     let mut b = Bench::new(s);
     b.run_until(5_000);
     b.fill_cores();
