--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -121,7 +121,7 @@
     /// The crowd on the cores that is survived: less while cold, at the slowest warming that is promised.
     pub(super) fn crowd_ceiling(&self) -> f64 {
         let age = self.now.saturating_sub(self.started_at).as_secs_f64();
-        let (from, cold_s) = (self.s.cold_from, self.s.warm_up_time.max(TICK).as_secs_f64());
+        let (from, cold_s) = (self.s.cold_speed, self.s.warm_up_time.max(TICK).as_secs_f64());
         let warm = if self.s.cold { (from + (1.0 - from) * age / cold_s).clamp(0.0, 1.0) } else { 1.0 };
         f64::from(self.s.cores) * (1.0 + (self.s.max_load_per_core - 1.0).max(0.0) * warm) * CROWD_MARGIN
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -143,7 +143,7 @@
     /// It started just now and is not warm.
     pub cold: bool,
     /// Share of its speed that a cold server has at least.
-    pub cold_from: f64,
+    pub cold_speed: f64,
     /// A cold server is warm after this time at the latest.
     pub warm_up_time: Duration,
     /// The classes of requests.
@@ -215,7 +215,7 @@
             ("memory", s.memory_kb),
             ("run factor", s.run_factor),
             ("key size", s.key_kb),
-            ("cold start", s.cold_from),
+            ("cold start", s.cold_speed),
             ("crowd", s.max_load_per_core),
             ("call share", s.call_share),
             ("over-share worth", s.over_share_worth),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -91,7 +91,7 @@
             callers: sp.at("senders")?.or(0, whole)?,
             idle_timeout: sp.at("idle_us")?.or(Duration::ZERO, micros)?,
             cold: sp.at("cold")?.or(false, flag)?,
-            cold_from: rules.at("cold_from")?.or(0.0, number)?,
+            cold_speed: rules.at("cold_from")?.or(0.0, number)?,
             warm_up_time: rules.at("cold_us")?.or(Duration::ZERO, micros)?,
             classes,
             tenants,
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -13,7 +13,7 @@
     let (s, sp, rules) = (&site.settings, node.at("specifics")?, node.at("rules")?);
     let part = |node: Node, value: f64| if value > 1.0 { node.bad(Problem::OverOne) } else { Ok(()) };
     part(node.at("over_share_worth")?, s.over_share_worth)?;
-    part(rules.at("cold_from")?, s.cold_from)?;
+    part(rules.at("cold_from")?, s.cold_speed)?;
     if s.max_load_per_core < 1.0 {
         return rules.at("fall_multiple")?.bad(Problem::UnderOne);
     }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -380,7 +380,7 @@
                     let flag = |n: u32| bits >> n & 1 == 1;
                     let mut s = keyed_settings();
                     (s.preemption, s.dependency, s.signal) = (preemption, dependency, signal);
-                    (s.cold, s.cold_from, s.readiness) = (flag(0), 0.2, flag(0));
+                    (s.cold, s.cold_speed, s.readiness) = (flag(0), 0.2, flag(0));
                     s.classes[0].skip_worth = if flag(1) { 0.5 } else { 0.0 };
                     s.worth_by_work = flag(1);
                     s.memory_kb = if flag(2) { 6_000.0 } else { 1_500.0 };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_cold_server_keeps_its_crowd_under_what_it_survives() {
     let mut s = settings();
-    (s.cold, s.cold_from, s.max_load_per_core) = (true, 0.1, 1.5);
+    (s.cold, s.cold_speed, s.max_load_per_core) = (true, 0.1, 1.5);
     let mut b = Bench::new(s);
     let arrivals: Vec<_> = (1..=40).map(|id| (id, 1, None)).collect();
     b.arrive_batch(&arrivals);
