--- a/src/bin/hopwalk-adapter/wire.rs
+++ b/src/bin/hopwalk-adapter/wire.rs
@@ -155,7 +155,7 @@
             due: p.time("not_after_us")?.filter(|t| !t.is_zero()),
             hint: p.time("weight_hint_us")?.filter(|t| !t.is_zero()),
             size_kb: p.number("size_kb")?.unwrap_or(0.0),
-            standing: p.number("standing")?.unwrap_or(0.0),
+            rank: p.number("standing")?.unwrap_or(0.0),
             caller: p.get("from")?.unwrap_or(0),
             age: p.time("age_us")?.unwrap_or_default(),
             repeats: p.get("repeats")?.filter(|r| *r != 0),
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -91,7 +91,7 @@
             due: Some(due),
             hint: request.cost,
             size_kb: request.size_kb,
-            standing: request.rank,
+            rank: request.rank,
             caller: request.caller % MOST_CALLERS,
             age: now.saturating_sub(start),
             repeats,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -274,7 +274,7 @@
     /// Memory while held.
     pub size_kb: f64,
     /// Its rank in 0..1, lowest worth first.
-    pub standing: f64,
+    pub rank: f64,
     /// The number of its caller.
     pub caller: u32,
     /// Time since it reached the machine.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -132,7 +132,7 @@
             due: Some(self.now + ms(6_000)),
             hint: None,
             size_kb: 20.0,
-            standing: if class == 0 { 0.2 } else { 0.7 },
+            rank: if class == 0 { 0.2 } else { 0.7 },
             caller: 1,
             age: ms(0),
             repeats: None,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -96,7 +96,7 @@
             due: self.with_due.then_some(due),
             hint,
             size_kb,
-            standing: (class as f64 + 0.5) / self.s.classes.len() as f64,
+            rank: (class as f64 + 0.5) / self.s.classes.len() as f64,
             caller: self.dice.roll(u64::from(self.s.callers)) as u32,
             age,
             repeats,
