--- a/src/bin/hopwalk-adapter/wire.rs
+++ b/src/bin/hopwalk-adapter/wire.rs
@@ -151,7 +151,7 @@
             id: p.need("id")?,
             class: p.need("tier_class")?,
             tenant: p.get("party")?.unwrap_or(0),
-            keyed: p.pairs.contains_key("entity"),
+            names_object: p.pairs.contains_key("entity"),
             due: p.time("not_after_us")?.filter(|t| !t.is_zero()),
             hint: p.time("weight_hint_us")?.filter(|t| !t.is_zero()),
             size_kb: p.number("size_kb")?.unwrap_or(0.0),
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -87,7 +87,7 @@
             id,
             class,
             tenant,
-            keyed: request.object.is_some(),
+            names_object: request.object.is_some(),
             due: Some(due),
             hint: request.cost,
             size_kb: request.size_kb,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -266,7 +266,7 @@
     /// Its tenant, as an index into [`Settings::tenants`].
     pub tenant: usize,
     /// It names what it is about, so that repeats of a read can be told.
-    pub keyed: bool,
+    pub names_object: bool,
     /// When its caller stops waiting, if that is passed on.
     pub due: Option<Duration>,
     /// Rough expected work, if hinted.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -128,7 +128,7 @@
             id,
             class,
             tenant: 0,
-            keyed: false,
+            names_object: false,
             due: Some(self.now + ms(6_000)),
             hint: None,
             size_kb: 20.0,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -92,7 +92,7 @@
             id,
             class,
             tenant: self.dice.roll(3) as usize,
-            keyed: false,
+            names_object: false,
             due: self.with_due.then_some(due),
             hint,
             size_kb,
