--- a/src/bin/hopwalk-adapter/wire.rs
+++ b/src/bin/hopwalk-adapter/wire.rs
@@ -89,7 +89,7 @@
             "econnrefused" => Outcome::Unreachable,
             "econnreset" => Outcome::Reset,
             "ecanceled" => Outcome::Cancelled,
-            "skipped" => Outcome::Moot,
+            "skipped" => Outcome::NotStarted,
             other => return Err(WireError::Outcome { event: self.name.into(), text: other.into() }),
         })
     }
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -57,7 +57,7 @@
             Self::Complete => Outcome::Done,
             Self::Failed => Outcome::Error,
             Self::Cancelled => Outcome::Cancelled,
-            Self::Unknown | Self::Pointless => Outcome::Moot,
+            Self::Unknown | Self::Pointless => Outcome::NotStarted,
             Self::NotNow => Outcome::Busy,
             Self::Overdue => Outcome::TimedOut,
             Self::Refused => Outcome::Unreachable,
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -107,7 +107,7 @@
                     self.counters.second_runs_barred += 1;
                     self.events.push_back(Event::Finished {
                         id,
-                        outcome: Outcome::Moot,
+                        outcome: Outcome::NotStarted,
                         took: Duration::ZERO,
                     });
                     self.settle(now, id, Verdict::Failed);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -303,7 +303,7 @@
     /// Stopped, or ended at a call because nobody waits.
     Cancelled,
     /// Nothing started, the request was over.
-    Moot,
+    NotStarted,
     /// This server has no right to make the call now; it never ran.
     Barred,
     /// It belongs to an earlier version of the routes, and must not be made under a later one.
@@ -313,7 +313,7 @@
 impl Outcome {
     /// True where the outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Busy | Self::Unreachable | Self::Moot | Self::Barred)
+        matches!(self, Self::Busy | Self::Unreachable | Self::NotStarted | Self::Barred)
     }
 }
 
