--- a/src/bin/hopwalk-adapter/wire.rs
+++ b/src/bin/hopwalk-adapter/wire.rs
@@ -195,8 +195,8 @@
         }
         Action::Fail(id) => writeln!(out, "respond_error who={who} id={id}"),
         Action::Preempt(id) => writeln!(out, "abort_work who={who} id={id}"),
-        Action::Call { id, give_up_after } => {
-            writeln!(out, "go_call who={who} id={id} try_for_us={}", micros(*give_up_after))
+        Action::Call { id, timeout } => {
+            writeln!(out, "go_call who={who} id={id} try_for_us={}", micros(*timeout))
         }
         Action::SkipCall(id) => writeln!(out, "skip who={who} id={id}"),
         Action::Join(id) => writeln!(out, "join who={who} id={id}"),
--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -173,7 +173,7 @@
             // A silent call is made again where that is harmless; the last try gets all the time left.
             let again = class.repeat == Repeat::Idempotent && r.call_tries + 1 < self.allows(r).0;
             let patience = Some(secs(self.calls.mean_s * CALL_PATIENCE)).filter(|p| again && !p.is_zero());
-            let give_up_after = left.min(patience.unwrap_or(left)).max(TICK);
+            let timeout = left.min(patience.unwrap_or(left)).max(TICK);
             // The share is kept whatever the delay: the call is given up before it has used up what is left.
             let (least, most) = self.call_bounds();
             let most = (most - self.calls.held_back).max(least);
@@ -181,7 +181,7 @@
             let room_s = self.calls.room_s(self.now, most, span) - linger_s;
             let usual_s = self.calls.mean_s * if skips { CALL_HURRY } else { CALL_PATIENCE };
             let needed_s = usual_s.min((most * span.as_secs_f64() - linger_s) / 2.0).max(f64::EPSILON);
-            let fits = give_up_after.as_secs_f64().min(needed_s) <= room_s;
+            let fits = timeout.as_secs_f64().min(needed_s) <= room_s;
             let hurry = secs(self.calls.mean_s * CALL_HURRY);
             crowded |= !fits && (!skips || self.now >= at + hurry);
             let leaves_out = skips && (crowded || left < hurry || way == RouteState::Skip);
@@ -192,10 +192,10 @@
             } else if self.now >= at && fits {
                 self.waiting_calls.remove(&(at, id));
                 self.set_phase(id, Phase::Calling);
-                let give_up_after = give_up_after.min(secs(room_s));
-                self.calls.open.insert(id, (self.now, self.now + give_up_after + self.s.call_linger));
-                self.calls.booked_s += give_up_after.as_secs_f64() + linger_s;
-                actions.push(Action::Call { id, give_up_after });
+                let timeout = timeout.min(secs(room_s));
+                self.calls.open.insert(id, (self.now, self.now + timeout + self.s.call_linger));
+                self.calls.booked_s += timeout.as_secs_f64() + linger_s;
+                actions.push(Action::Call { id, timeout });
             }
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -403,7 +403,7 @@
             Action::Refuse { id, retry_after, no_retry } => self.refuse(now, id, retry_after, no_retry),
             Action::Fail(id) => self.fail(now, id),
             Action::Preempt(id) => self.preempt(id),
-            Action::Call { id, give_up_after } => self.call(now, id, give_up_after),
+            Action::Call { id, timeout } => self.call(now, id, timeout),
             Action::SkipCall(id) => {
                 self.skip_call(id);
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -411,7 +411,7 @@
         /// The request.
         id: RequestId,
         /// Give the call up after this time.
-        give_up_after: Duration,
+        timeout: Duration,
     },
     /// Go on without the call.
     SkipCall(RequestId),
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -261,10 +261,10 @@
                         later.push(Event::Finished { id, outcome: Outcome::Cancelled, took: ms(1) });
                     }
                 }
-                Action::Call { id, give_up_after } => {
+                Action::Call { id, timeout } => {
                     let t = self.tries.get_mut(&id).unwrap();
                     assert_eq!(t.state, State::AtCall);
-                    assert!(!give_up_after.is_zero());
+                    assert!(!timeout.is_zero());
                     let repeatable = self.s.classes[t.class].repeat == Repeat::Idempotent;
                     assert!(repeatable || !t.unproved_call, "a call that may have run was repeated");
                     t.state = State::Calling;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -260,7 +260,7 @@
         b.arrive(id, class, |_| ());
         b.event(Event::CallNeeded { id });
         give_up.extend(b.log.iter().filter_map(|(_, a)| match a {
-            Action::Call { id: i, give_up_after } if *i == id => Some(*give_up_after),
+            Action::Call { id: i, timeout } if *i == id => Some(*timeout),
             _ => None,
         }));
         b.event(Event::CallEnded { id, outcome: Outcome::Done, took: ms(20) });
--- a/tests/small.rs
+++ b/tests/small.rs
@@ -193,7 +193,7 @@
         b.event(Event::CallNeeded { id });
         for _ in 0..150 {
             let give_up = b.log.iter().find_map(|(_, a)| match a {
-                Action::Call { id: i, give_up_after } if *i == id => Some(*give_up_after),
+                Action::Call { id: i, timeout } if *i == id => Some(*timeout),
                 _ => None,
             });
             if let Some(give_up) = give_up {
--- a/tests/tries.rs
+++ b/tests/tries.rs
@@ -181,7 +181,7 @@
         let limits = CallLimits { max_tries, may_skip: true };
         b.batch(vec![Event::CallLimits { id: 1, limits }, Event::CallNeeded { id: 1 }]);
         let patience = b.log.iter().find_map(|(_, a)| match a {
-            Action::Call { id: 1, give_up_after } => Some(*give_up_after),
+            Action::Call { id: 1, timeout } => Some(*timeout),
             _ => None,
         });
         assert_eq!(patience.unwrap() > ms(50_000), whole, "{patience:?}");
