--- a/src/brain.rs
+++ b/src/brain.rs
@@ -191,7 +191,7 @@
     pub fn decide(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.now = now;
         if !std::mem::replace(&mut self.begun, true) {
-            actions.push(Action::Health { good: true });
+            actions.push(Action::Health { healthy: true });
             self.tick(actions);
         }
         if std::mem::take(&mut self.ticked) {
--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -138,7 +138,7 @@
         let bad = self.hung || self.retire.is_some();
         if bad != self.unhealthy && (self.now > self.health_at + HEALTH_DWELL || self.retire.is_some()) {
             (self.unhealthy, self.health_at) = (bad, self.now);
-            actions.push(Action::Health { good: !bad });
+            actions.push(Action::Health { healthy: !bad });
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -418,7 +418,7 @@
                     self.keys.forget(key, id);
                 }
             }
-            Action::Health { good } => self.healthy = good,
+            Action::Health { healthy } => self.healthy = healthy,
             Action::Signal(value) => self.signal = Some(value),
             Action::TrimIdle(after) => self.effects.push(Effect::TrimIdle(after)),
             Action::SetTimer { token, after } => self.arm(now + after, Timer::Module(token)),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -429,7 +429,7 @@
     /// Set the answer to health checks.
     Health {
         /// Good or not.
-        good: bool,
+        healthy: bool,
     },
     /// Set the free value sent to callers.
     Signal(f64),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -152,9 +152,9 @@
     b.now = ms(4_000); // the whole process stood still
     b.fire_timers();
     b.advance(100);
-    assert!(!b.did(&Action::Health { good: false }));
+    assert!(!b.did(&Action::Health { healthy: false }));
     b.advance(6_000);
-    assert!(b.did(&Action::Health { good: false }));
+    assert!(b.did(&Action::Health { healthy: false }));
 }
 
 #[test]
