--- a/src/bin/hopwalk-adapter/wire.rs
+++ b/src/bin/hopwalk-adapter/wire.rs
@@ -200,10 +200,10 @@
         }
         Action::SkipCall(id) => writeln!(out, "skip who={who} id={id}"),
         Action::Join(id) => writeln!(out, "join who={who} id={id}"),
-        Action::Remember { id, lifetime } => {
+        Action::RememberKey { id, lifetime } => {
             writeln!(out, "keep who={who} id={id} for_time_us={}", micros(*lifetime))
         }
-        Action::Forget(id) => writeln!(out, "drop_key who={who} id={id}"),
+        Action::ForgetKey(id) => writeln!(out, "drop_key who={who} id={id}"),
         Action::Health { healthy } => writeln!(out, "status who={who} on={} cheap=1", u8::from(*healthy)),
         Action::Signal(amount) => writeln!(out, "stamp who={who} amount={amount:.4}"),
         Action::TrimIdle(after) => writeln!(out, "trim_after who={who} for_time_us={}", micros(*after)),
--- a/src/brain/keys.rs
+++ b/src/brain/keys.rs
@@ -77,7 +77,7 @@
         self.effects.ends.insert(((ends + TICK).min(arrived + patience * 2), effect));
         if !e.ran() && ends > self.now {
             self.memory += if e.entry.replace((a.id, ends)).is_none() { self.s.key_size() } else { 0 };
-            actions.push(Action::Remember { id: a.id, lifetime: ends - self.now });
+            actions.push(Action::RememberKey { id: a.id, lifetime: ends - self.now });
         }
     }
 
@@ -110,7 +110,7 @@
         let Some(e) = effect.filter(|e| !e.ran() && !waits(e)) else { return };
         if let Some((holder, _)) = e.entry.take() {
             self.memory = self.memory.saturating_sub(self.s.key_size());
-            actions.push(Action::Forget(holder));
+            actions.push(Action::ForgetKey(holder));
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -408,12 +408,12 @@
                 self.skip_call(id);
             }
             Action::Join(id) => self.join(now, id),
-            Action::Remember { id, lifetime } => {
+            Action::RememberKey { id, lifetime } => {
                 if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
                     self.keys.remember(key, id, now + lifetime);
                 }
             }
-            Action::Forget(id) => {
+            Action::ForgetKey(id) => {
                 if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
                     self.keys.forget(key, id);
                 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -418,14 +418,14 @@
     /// Answer a held request with the result of the one it repeats.
     Join(RequestId),
     /// Put the request's key into the table.
-    Remember {
+    RememberKey {
         /// The request.
         id: RequestId,
         /// For how long from now.
         lifetime: Duration,
     },
     /// Take the request's key out of the table.
-    Forget(RequestId),
+    ForgetKey(RequestId),
     /// Set the answer to health checks.
     Health {
         /// Good or not.
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -279,10 +279,10 @@
                     assert!(t.repeats, "joined without a forerunner");
                     t.state = State::Joined;
                 }
-                Action::Remember { id, lifetime } => {
+                Action::RememberKey { id, lifetime } => {
                     self.table.insert(self.tries[&id].key, (id, self.now + lifetime));
                 }
-                Action::Forget(id) => {
+                Action::ForgetKey(id) => {
                     let key = self.tries[&id].key;
                     if self.table.get(&key).is_some_and(|(holder, _)| *holder == id) {
                         self.table.remove(&key);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -60,7 +60,7 @@
     b.advance(5_000);
     b.arrive(1, 1, |a| a.age = ms(1_000));
     let kept = b.log.iter().find_map(|(_, a)| match a {
-        Action::Remember { id: 1, lifetime } => Some(*lifetime),
+        Action::RememberKey { id: 1, lifetime } => Some(*lifetime),
         _ => None,
     });
     let kept = kept.expect("kept");
