--- a/src/brain.rs
+++ b/src/brain.rs
@@ -145,7 +145,7 @@
 
     /// Other settings for the same life. A class keeps its place and what was learned of it; those in
     /// `fresh` are new, also where a dropped one stood.
-    pub fn retune(&mut self, settings: Settings, fresh: &[usize]) {
+    pub fn reconfigure(&mut self, settings: Settings, fresh: &[usize]) {
         self.lengths.truncate(settings.classes.len());
         self.lengths.extend(settings.classes.iter().skip(self.lengths.len()).map(RunLength::guess));
         fresh.iter().for_each(|at| self.lengths[*at] = RunLength::guess(&settings.classes[*at]));
--- a/src/core/retune.rs
+++ b/src/core/retune.rs
@@ -68,7 +68,7 @@
                 tenants.push(tenant);
             }
         }
-        self.brain.retune(self.module_settings(), &fresh);
+        self.brain.reconfigure(self.module_settings(), &fresh);
         self.tell_ways();
         self.effects.push(Effect::Relink);
     }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -156,7 +156,7 @@
     /// The dependency survives the shares of all servers: two processes of one server have one share together.
     fn halve_calls(&mut self, halves: bool) {
         if std::mem::replace(&mut self.partner.halves, halves) != halves {
-            self.brain.retune(self.module_settings(), &[]);
+            self.brain.reconfigure(self.module_settings(), &[]);
         }
     }
 
