--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -401,7 +401,7 @@
 
     /// Reads the environment and its files again, for a program that runs with this configuration. A file that
     /// lacks what the one before had was most likely cut short or written by mistake, and is turned down whole.
-    pub fn read_again(&self) -> Result<Self, ConfigError> {
+    pub fn reload(&self) -> Result<Self, ConfigError> {
         let new = Self::from_env()?;
         self.accepts(&new)?;
         Ok(new)
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -42,7 +42,7 @@
     let (reload, reloads) = sync_channel(1);
     std::thread::spawn(move || {
         for () in reloads {
-            match config.read_again() {
+            match config.reload() {
                 Ok(new) => {
                     handle.reload(&new);
                     config = new;
