--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -75,7 +75,7 @@
     };
     let names = config.site.class_names.iter().take(8).cloned().collect::<Vec<_>>();
     open += ask(&mut core, &names, 1, at(1));
-    let replaced = parse(second).filter(|new| config.accepts(new).is_ok());
+    let replaced = parse(second).filter(|new| config.check_replacement(new).is_ok());
     if let Some(new) = replaced {
         core.step(at(2), [Input::Reload { site: Box::new(new.site.clone()), stop_after: new.stop_after }]);
         let names = new.site.class_names.iter().take(8).cloned().collect::<Vec<_>>();
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -403,12 +403,12 @@
     /// lacks what the one before had was most likely cut short or written by mistake, and is turned down whole.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let new = Self::from_env()?;
-        self.accepts(&new)?;
+        self.check_replacement(&new)?;
         Ok(new)
     }
 
     /// Tells whether another configuration can take the place of this one: it must have all keys of it.
-    pub fn accepts(&self, new: &Self) -> Result<(), ConfigError> {
+    pub fn check_replacement(&self, new: &Self) -> Result<(), ConfigError> {
         Node::root(&new.told).has_all_of(&self.told)
     }
 
