--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// A small generator of numbers, the same for the same seed.
-pub struct Dice(pub u64);
+pub struct TestRng(pub u64);
 
-impl Dice {
+impl TestRng {
     pub fn roll(&mut self, sides: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bench::*;
-use common::Dice;
+use common::TestRng;
 use hopwalk::core::*;
 use hopwalk::interface::Outcome;
 use hopwalk::settings::Site;
@@ -274,7 +274,7 @@
     const ENDS: [End; 6] =
         [End::Complete, End::Failed, End::Cancelled, End::Broken, End::Complete, End::Complete];
     for seed in 1..=150 {
-        let (mut bench, mut dice) = (Bench::new(), Dice(0x9e37_79b9_7f4a_7c15 ^ seed));
+        let (mut bench, mut dice) = (Bench::new(), TestRng(0x9e37_79b9_7f4a_7c15 ^ seed));
         let mut open: Vec<Handle> = Vec::new();
         let (mut calls, mut keys, mut due) = (Vec::new(), std::collections::HashMap::new(), Vec::new());
         let (mut at, mut seen, mut cursor) = (0, 0, 0);
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -12,7 +12,7 @@
 /// A play of random events around a notice to leave.
 struct Walk {
     bench: Bench,
-    dice: Dice,
+    dice: TestRng,
     now: u64,
     is_linked: bool,
     cursor: u64,
@@ -24,7 +24,7 @@
 
 impl Walk {
     fn new(seed: u64) -> Self {
-        let dice = Dice(seed * 2_654_435_769 + 1);
+        let dice = TestRng(seed * 2_654_435_769 + 1);
         let (runs, calls) = (Vec::new(), Vec::new());
         Self { bench: Bench::new(), dice, now: 1, is_linked: true, cursor: 0, seen: 0, runs, calls }
     }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{keyed_settings, ms, Dice};
+use common::{keyed_settings, ms, TestRng};
 use hopwalk::interface::*;
 use hopwalk::Brain;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
 
 struct Checker {
     s: Settings,
-    dice: Dice,
+    dice: TestRng,
     now: Duration,
     tries: BTreeMap<RequestId, Try>,
     table: BTreeMap<u64, (RequestId, Duration)>,
@@ -330,7 +330,7 @@
     let mut brain = Brain::new(s.clone(), seed, ms(0)).expect("usable settings");
     let mut c = Checker {
         s,
-        dice: Dice(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+        dice: TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
         now: ms(0),
         tries: BTreeMap::new(),
         table: BTreeMap::new(),
