--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -8,7 +8,7 @@
 use hopwalk::core::{Core, Effect, Input, LinkId, Notice, Request};
 use hopwalk::interface::Action;
 use hopwalk::settings::{Appliance, Config};
-use hopwalk::Brain;
+use hopwalk::DecisionEngine;
 
 use crate::alloc::most_held;
 
@@ -142,7 +142,7 @@
 /// The simulator's lines: what they say is fed to instances of the module.
 pub fn wire(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
-    let mut instances: BTreeMap<u32, Brain> = BTreeMap::new();
+    let mut instances: BTreeMap<u32, DecisionEngine> = BTreeMap::new();
     let mut now = Duration::from_secs(1);
     let mut out = Vec::new();
     for line in text.lines().take(64) {
@@ -160,7 +160,7 @@
                 if settings.cores > 4096 || instances.len() > 3 {
                     continue;
                 }
-                if let Ok(brain) = Brain::new(settings, seed, now) {
+                if let Ok(brain) = DecisionEngine::new(settings, seed, now) {
                     instances.insert(who, brain);
                 }
             }
--- a/src/bin/hopwalk-adapter/main.rs
+++ b/src/bin/hopwalk-adapter/main.rs
@@ -14,12 +14,12 @@
 
 use error::{AdapterError, WireError};
 use hopwalk::interface::Action;
-use hopwalk::{told, Brain};
+use hopwalk::{told, DecisionEngine};
 use wire::Message;
 
 /// An instance and what it wants done in the batch at hand.
 struct Hosted {
-    brain: Brain,
+    brain: DecisionEngine,
     actions: Vec<Action>,
     /// It had an event in this batch.
     touched: bool,
@@ -37,7 +37,7 @@
     fn take(&mut self, now: Duration, line: &str) -> Result<(), WireError> {
         match wire::parse(line)? {
             Message::Configure { who, seed, settings } => {
-                let brain = Brain::new(*settings, seed, now).map_err(WireError::Settings)?;
+                let brain = DecisionEngine::new(*settings, seed, now).map_err(WireError::Settings)?;
                 self.instances.insert(who, Hosted { brain, actions: Vec::new(), touched: true });
                 self.touched.push(who);
             }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -82,7 +82,7 @@
 
 /// The decision module: one for each server.
 #[derive(Debug, Default)]
-pub struct Brain {
+pub struct DecisionEngine {
     s: Settings,
     started_at: Duration,
     now: Duration,
@@ -123,7 +123,7 @@
     logged: BTreeMap<&'static str, Duration>,
 }
 
-impl Brain {
+impl DecisionEngine {
     /// A fresh instance; it knows only `settings`. No decision draws random numbers, so far.
     pub fn new(settings: Settings, _seed: u64, now: Duration) -> Result<Self, SettingsError> {
         settings.check()?;
@@ -156,7 +156,7 @@
         self.s = Settings { cold: self.s.cold, ..settings };
     }
 
-    /// Takes note of an event. Only what cannot wait for [`Brain::decide`] is acted on here.
+    /// Takes note of an event. Only what cannot wait for [`DecisionEngine::decide`] is acted on here.
     pub fn on_event(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
--- a/src/brain/calls.rs
+++ b/src/brain/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use super::{secs, Brain, Phase, Request, LEARN_WEIGHT, TICK};
+use super::{secs, DecisionEngine, Phase, Request, LEARN_WEIGHT, TICK};
 use crate::interface::*;
 
 /// Part of its share of the calls that a dependency survives which a server uses. More leaves no room for
@@ -100,7 +100,7 @@
     }
 }
 
-impl Brain {
+impl DecisionEngine {
     /// How the calls of a class stand.
     pub(super) fn way(&self, class: usize) -> RouteState {
         self.s.classes[class].route_state(self.ways.get(class).copied().unwrap_or_default())
--- a/src/brain/guards.rs
+++ b/src/brain/guards.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::connections::TRIM_WEIGHT;
-use super::{secs, Brain, Phase, Request, LEARN_WEIGHT, STOP_MARGIN, TICK};
+use super::{secs, DecisionEngine, Phase, Request, LEARN_WEIGHT, STOP_MARGIN, TICK};
 use crate::interface::*;
 
 /// Part of the crowd that is survived which the limit may reach.
@@ -21,7 +21,7 @@
 /// Log lines of one kind are at least this far apart.
 const LOG_EVERY: Duration = Duration::from_secs(5);
 
-impl Brain {
+impl DecisionEngine {
     /// Memory: what arrived may not fill it, at any batch; the last in the order of the hold leaves first.
     pub(super) fn shed_memory(&mut self, queue: &[RequestId], actions: &mut Vec<Action>) {
         for &id in queue.iter().rev() {
--- a/src/brain/keys.rs
+++ b/src/brain/keys.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{Brain, Phase, TICK};
+use super::{DecisionEngine, Phase, TICK};
 use crate::interface::*;
 
 /// The tries of one deduplicated request.
@@ -59,7 +59,7 @@
     }
 }
 
-impl Brain {
+impl DecisionEngine {
     /// Keys: one run for all tries of a deduplicated request.
     pub(super) fn note_effect(
         &mut self,
--- a/src/brain/schedule.rs
+++ b/src/brain/schedule.rs
@@ -6,7 +6,7 @@
 
 use super::calls::AT_CALL_PER_CORE;
 use super::connections::TRIM_WEIGHT;
-use super::{secs, Brain, Phase, Request, QUOTA_BURST, STOP_MARGIN, TICK};
+use super::{secs, DecisionEngine, Phase, Request, QUOTA_BURST, STOP_MARGIN, TICK};
 use crate::interface::*;
 
 /// Slots that background may hold while pressed (the paper's five). Fewer keeps more room for foreground.
@@ -29,7 +29,7 @@
 /// Part that starts may fill; the rest is room for what arrives between two looks.
 const MEMORY_START_SHARE: f64 = 0.85;
 
-impl Brain {
+impl DecisionEngine {
     /// Rank: worth of a request, and whether it is background.
     /// Background is the lowest class. Exception: traffic over a tenant's share is background, and where
     /// all classes are worth the same it takes the place of the lowest class.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -25,7 +25,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::brain::Brain;
+use crate::brain::DecisionEngine;
 use crate::interface::{Action, Event, Gauges, RequestId};
 use crate::settings::Site;
 
@@ -96,7 +96,7 @@
 
 /// The reducer's state.
 pub struct Core {
-    brain: Brain,
+    brain: DecisionEngine,
     site: Site,
     seed: u64,
     stop_after: Duration,
@@ -144,7 +144,7 @@
     /// [`CoreError`] where nothing can be decided with its settings.
     pub fn new(site: Site, seed: u64, stop_after: Duration, now: Duration) -> Result<Self, CoreError> {
         let settings = leaving::with_grace_from_reading(site.settings.clone());
-        let brain = Brain::new(settings, seed, now)?;
+        let brain = DecisionEngine::new(settings, seed, now)?;
         let mut core = Self {
             brain,
             site,
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -5,7 +5,7 @@
 
 use super::types::*;
 use super::{keys, Core, End, Pending, Phase, Timer};
-use crate::brain::Brain;
+use crate::brain::DecisionEngine;
 use crate::interface::{Event, Gauges, Outcome, Preemption, RequestId};
 
 /// Letters of a command's name that the log shows.
@@ -23,7 +23,7 @@
                 {
                     let mut settings = self.module_settings();
                     settings.cold = cold;
-                    if let Ok(brain) = Brain::new(settings, self.seed, now.saturating_sub(lasted)) {
+                    if let Ok(brain) = DecisionEngine::new(settings, self.seed, now.saturating_sub(lasted)) {
                         self.brain = brain;
                         self.tell_ways();
                         self.waiting_ticks.clear();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,4 +33,4 @@
 #[forbid(unsafe_code)]
 pub mod told;
 
-pub use brain::Brain;
+pub use brain::DecisionEngine;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use hopwalk::interface::*;
-use hopwalk::Brain;
+use hopwalk::DecisionEngine;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 }
 
 pub struct Bench {
-    pub brain: Brain,
+    pub brain: DecisionEngine,
     pub now: Duration,
     pub log: Vec<(Duration, Action)>,
     pub gauges: Gauges,
@@ -86,7 +86,7 @@
 
 impl Bench {
     pub fn new(settings: Settings) -> Self {
-        let brain = Brain::new(settings.clone(), 7, ms(0)).expect("usable settings");
+        let brain = DecisionEngine::new(settings.clone(), 7, ms(0)).expect("usable settings");
         let mut bench = Self {
             brain,
             now: ms(0),
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -4,7 +4,7 @@
 
 use common::{keyed_settings, ms, TestRng};
 use hopwalk::interface::*;
-use hopwalk::Brain;
+use hopwalk::DecisionEngine;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -327,7 +327,7 @@
 }
 
 fn play(s: Settings, seed: u64, with_due: bool) -> (usize, usize) {
-    let mut brain = Brain::new(s.clone(), seed, ms(0)).expect("usable settings");
+    let mut brain = DecisionEngine::new(s.clone(), seed, ms(0)).expect("usable settings");
     let mut c = Checker {
         s,
         dice: TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -174,7 +174,7 @@
 fn unusable_settings_are_a_typed_error() {
     let mut s = settings();
     s.cores = 0;
-    assert_eq!(hopwalk::Brain::new(s, 1, ms(0)).err(), Some(SettingsError::NoCores));
+    assert_eq!(hopwalk::DecisionEngine::new(s, 1, ms(0)).err(), Some(SettingsError::NoCores));
 }
 
 #[test]
