--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -25,7 +25,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::brain::DecisionEngine;
+use crate::decisions::DecisionEngine;
 use crate::interface::{Action, Event, Gauges, RequestId};
 use crate::settings::Site;
 
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -5,7 +5,7 @@
 
 use super::types::*;
 use super::{keys, Core, End, Pending, Phase, Timer};
-use crate::brain::DecisionEngine;
+use crate::decisions::DecisionEngine;
 use crate::interface::{Event, Gauges, Outcome, Preemption, RequestId};
 
 /// Letters of a command's name that the log shows.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types through which a server and the decision module ([`crate::brain`]) talk.
+//! The types through which a server and the decision module ([`crate::decisions`]) talk.
 //!
 //! Times are [`Duration`]s on one monotonic clock of the host's choosing.
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! hopwalk decides, inside one server of a fleet, what that server takes, runs and turns away, and
 //! carries those decisions out on sockets.
 //!
-//! All decisions are in [`brain`]; the types it speaks are in [`interface`]. [`core`] owns all state and
+//! All decisions are in [`decisions`]; the types it speaks are in [`interface`]. [`core`] owns all state and
 //! turns inputs into effects; [`net`] carries the effects out; [`settings`] reads the configuration.
 //! [`console`] and [`acme`] make an appliance of it; [`told`] words errors for operators. [`lab`] starts processes
 //! of it and puts faults between them.
@@ -13,11 +13,11 @@
 #[forbid(unsafe_code)]
 pub mod acme;
 #[forbid(unsafe_code)]
-pub mod brain;
-#[forbid(unsafe_code)]
 pub mod console;
 #[forbid(unsafe_code)]
 pub mod core;
+#[forbid(unsafe_code)]
+pub mod decisions;
 pub mod fleet;
 #[forbid(unsafe_code)]
 pub mod interface;
@@ -33,4 +33,4 @@
 #[forbid(unsafe_code)]
 pub mod told;
 
-pub use brain::DecisionEngine;
+pub use decisions::DecisionEngine;
