--- a/src/bin/hopwalk-adapter/main.rs
+++ b/src/bin/hopwalk-adapter/main.rs
@@ -4,8 +4,8 @@
 mod wire;
 
 #[cfg(test)]
-#[path = "../../../tests/common/walk.rs"]
-mod walk;
+#[path = "../../../tests/common/error_samples.rs"]
+mod error_samples;
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -126,7 +126,7 @@
     use hopwalk::settings::{ConfigError, Problem};
 
     use super::*;
-    use crate::walk::check;
+    use crate::error_samples::check;
 
     fn event() -> String {
         "submit".into()
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -192,8 +192,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::error_samples::check;
     use crate::samples;
-    use crate::walk::check;
 
     #[test]
     fn every_variant_has_a_help_of_its_own() {
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,8 @@
 mod signals;
 
 #[cfg(test)]
-#[path = "../tests/common/walk.rs"]
-mod walk;
+#[path = "../tests/common/error_samples.rs"]
+mod error_samples;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/program_error.rs
+++ b/src/program_error.rs
@@ -81,8 +81,8 @@
     use std::io::{Error, ErrorKind};
 
     use super::*;
+    use crate::error_samples::check;
     use crate::samples;
-    use crate::walk::check;
     use hopwalk::settings::Problem;
 
     fn io() -> Error {
--- a/tests/common/walk.rs
+++ b/tests/common/error_samples.rs
@@ -23,7 +23,7 @@
         }
         let all = vec![$(Walked::$variant $( { $($field: $value),* } )? $( ( $($arg),* ) )?),*];
         let named = all.into_iter().map(|e| (variant(&e), Box::new(e) as Box<dyn miette::Diagnostic>));
-        named.collect::<Vec<$crate::walk::Sample>>()
+        named.collect::<Vec<$crate::error_samples::Sample>>()
     }};
 }
 
--- a/tests/errors/main.rs
+++ b/tests/errors/main.rs
@@ -1,18 +1,18 @@
 //! Every error of the library says what an operator can do, each variant in its own words.
 
+#[path = "../common/error_samples.rs"]
+mod error_samples;
 mod types;
-#[path = "../common/walk.rs"]
-mod walk;
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
+use error_samples::{check, fault, Sample};
 use hopwalk::interface::SettingsError;
 use hopwalk::json::JsonError;
 use hopwalk::settings::{ConfigError, Problem};
 use types::{all, x};
-use walk::{check, fault, Sample};
 
 #[test]
 fn every_variant_of_every_error_has_a_help_of_its_own() {
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -27,8 +27,8 @@
 use hopwalk::lab::sim::command::SeedsError;
 use hopwalk::net::error::{NodeError, NoticeError};
 
+use crate::error_samples::Sample;
 use crate::samples;
-use crate::walk::Sample;
 
 const KIND: ErrorKind = ErrorKind::AddrInUse;
 const SECOND: Duration = Duration::from_secs(1);
