--- a/src/core/leaving.rs
+++ b/src/core/leaving.rs
@@ -32,7 +32,7 @@
 
 /// The time from a notice to the earliest kill: as the configuration tells it, or as the site's deadlines allow it.
 fn earliest_kill(stop_after: Duration, site: &Site) -> Duration {
-    let deadlines = site.settings.kept_classes().map(|(_, class)| class.client_timeout);
+    let deadlines = site.settings.active_classes().map(|(_, class)| class.client_timeout);
     let longest = deadlines.max().map_or(MOST_DEADLINE, |longest| longest.min(MOST_DEADLINE));
     stop_after.min(longest + KILL_AFTER_DEADLINE)
 }
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -214,7 +214,7 @@
         let arrived = self.now.saturating_sub(a.age);
         let due = a.due.unwrap_or(arrived + class.client_timeout).max(self.now);
         let stretch = a.hint.unwrap_or_default().as_secs_f64() * class.target_stretch.max(0.0);
-        let low = a.rank * (self.s.kept_classes().count() as f64) < 1.0;
+        let low = a.rank * (self.s.active_classes().count() as f64) < 1.0;
         let first_try = self.first_try(a, low, [arrived, due], class.client_timeout);
         if first_try == arrived {
             for (class, part) in self.mix.iter_mut().enumerate() {
--- a/src/decisions/schedule.rs
+++ b/src/decisions/schedule.rs
@@ -41,7 +41,7 @@
         if over {
             return (worth * self.s.over_share_worth, true);
         }
-        let mut worths = self.s.kept_classes().map(|(_, c)| c.worth);
+        let mut worths = self.s.active_classes().map(|(_, c)| c.worth);
         let first = worths.next();
         let tie = worths.all(|w| Some(w) == first);
         (worth, r.low && (self.quota.is_empty() || !tie))
@@ -157,12 +157,12 @@
     }
 
     pub(super) fn mean_length(&self) -> f64 {
-        let sum: f64 = self.s.kept_classes().map(|(at, _)| self.lengths[at].mean_s).sum();
-        (sum / self.s.kept_classes().count() as f64).max(f64::EPSILON)
+        let sum: f64 = self.s.active_classes().map(|(at, _)| self.lengths[at].mean_s).sum();
+        (sum / self.s.active_classes().count() as f64).max(f64::EPSILON)
     }
 
     pub(super) fn wait_goal(&self) -> f64 {
-        let least = self.s.kept_classes().map(|(_, c)| c.target_latency).min().unwrap_or_default();
+        let least = self.s.active_classes().map(|(_, c)| c.target_latency).min().unwrap_or_default();
         least.max(TICK).as_secs_f64() * WAIT_GOAL_SHARE
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -192,7 +192,7 @@
 
 impl Settings {
     /// The classes that the site has now, with their places.
-    pub fn kept_classes(&self) -> impl Iterator<Item = (usize, &Class)> {
+    pub fn active_classes(&self) -> impl Iterator<Item = (usize, &Class)> {
         self.classes.iter().enumerate().filter(|(_, c)| !c.dropped)
     }
 
