--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -719,7 +719,7 @@
                 let conn = self.new_number();
                 if self.nodes[n].up {
                     self.nodes[n].checks.push(conn);
-                    self.step(n, vec![Input::Check { conn, deep: pick > 128 }]);
+                    self.step(n, vec![Input::HealthCheck { conn, deep: pick > 128 }]);
                 }
             }
             21 if two => {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -249,7 +249,7 @@
         match input {
             Input::Request(request) => self.arrived(now, *request),
             // Deep or not, a check hears what the module set: it watches whether work gets done.
-            Input::Check { conn, .. } => {
+            Input::HealthCheck { conn, .. } => {
                 self.counters.checks += 1;
                 let good = self.takes_callers();
                 let verdict = if good { Verdict::Healthy } else { Verdict::Unhealthy };
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -98,7 +98,7 @@
     /// A request was read.
     Request(Box<Request>),
     /// A health check was read.
-    Check {
+    HealthCheck {
         /// Where the answer goes.
         conn: ConnId,
         /// The caller wants to know whether work gets done.
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -93,7 +93,7 @@
         };
         let after = place.request_read();
         hub.push(match message.parsed {
-            Parsed::Check { deep } => Input::Check { conn, deep },
+            Parsed::Check { deep } => Input::HealthCheck { conn, deep },
             Parsed::Request(mut request) => {
                 request.conn = conn;
                 request.start = hub.clock.past(request.start);
