--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -742,7 +742,7 @@
             _ => {
                 let input = match pick % 3 {
                     0 => Input::Standby(pick & 4 == 4),
-                    1 => Input::Unsent(End::Stalled),
+                    1 => Input::AnswerWriteFailed(End::Stalled),
                     _ => Input::Query { ticket: 1, query: Query::Status },
                 };
                 self.step(n, vec![input]);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -256,7 +256,7 @@
                 self.answer(conn, verdict);
             }
             Input::Rejected => self.counters.rejected += 1,
-            Input::Unsent(end) => self.counters.unsent(end),
+            Input::AnswerWriteFailed(end) => self.counters.unsent(end),
             Input::Violated => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
             Input::Agent { link, notice } => self.agent(now, link, notice),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -107,7 +107,7 @@
     /// A front answered something that is no request by itself.
     Rejected,
     /// An answer could not be written whole.
-    Unsent(End),
+    AnswerWriteFailed(End),
     /// The connections withheld what a rule forbids.
     Violated,
     /// A reply from below was passed over: it is a copy of an earlier one of the request, or another request's.
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -221,7 +221,7 @@
     match stream.write_all(bytes).and_then(|()| stream.flush()) {
         Ok(()) => Ending::Finished,
         Err(e) => {
-            hub.push(Input::Unsent(if is_timeout(&e) { End::Stalled } else { End::Broken }));
+            hub.push(Input::AnswerWriteFailed(if is_timeout(&e) { End::Stalled } else { End::Broken }));
             Ending::PeerGone
         }
     }
