--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -109,7 +109,7 @@
     /// An answer could not be written whole.
     AnswerWriteFailed(End),
     /// The connections withheld what a rule forbids.
-    Violated,
+    ViolationBlocked,
     /// A reply from below was passed over: it is a copy of an earlier one of the request, or another request's.
     StrayReply,
     /// The agent told something, or its link did.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -338,7 +338,7 @@
                 Given::Owed => {}
                 Given::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
-                    self.hub.push_at_once(Input::Violated);
+                    self.hub.push_at_once(Input::ViolationBlocked);
                 }
                 Given::Gone => {
                     if let Some(predecessor) = &self.predecessor {
