--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -264,7 +264,7 @@
                 self.went_out(handle, fence);
                 self.call_ended(now, handle, attempt, end, reply);
             }
-            Input::Ways(ways) => self.take_ways(ways),
+            Input::RouteStates(ways) => self.take_ways(ways),
             Input::Allows(routes) => self.take_allows(routes),
             Input::WentOut { handle, attempt, allowed } => self.goes_by(handle, attempt, allowed),
             Input::Drain { noticed } => {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -133,7 +133,7 @@
         fence: Option<Fence>,
     },
     /// How the calls of the named classes stand, where the fleet routes them; those of others are open.
-    Ways(Vec<(String, Way)>),
+    RouteStates(Vec<(String, Way)>),
     /// What all routes that are in force from now on allow: at most as many as a table has.
     Allows(Vec<routing::Allows>),
     /// A call goes out by a route that allows something else than was known here when it was ordered.
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -88,7 +88,7 @@
     let Some(router) = hub.routing.clone() else { return };
     let hub = hub.clone();
     let tell = move |hub: &Hub, told: &Vec<(String, Way)>| {
-        hub.push(Input::Ways(told.clone()));
+        hub.push(Input::RouteStates(told.clone()));
         // What is read after a check that found this matcher ready comes behind it in the inbox.
         hub.calls_shut.store(told.iter().any(|(_, way)| *way != Way::Open), Ordering::Release);
     };
@@ -279,6 +279,6 @@
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
-        assert!(matches!(inbox.try_recv(), Ok(Input::Ways(ways)) if ways == told));
+        assert!(matches!(inbox.try_recv(), Ok(Input::RouteStates(ways)) if ways == told));
     }
 }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -61,7 +61,7 @@
 
     fn ways(&mut self, at: u64, way: Way) -> Vec<Effect> {
         let classes = ["queue-status", "queue-prefs", "lobby-confirm"];
-        self.step(at, Input::Ways(classes.map(|class| (class.to_string(), way)).to_vec()))
+        self.step(at, Input::RouteStates(classes.map(|class| (class.to_string(), way)).to_vec()))
     }
 
     fn send(&mut self, at: u64, class: &str, change: impl Fn(&mut Request)) -> Handle {
