--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -265,7 +265,7 @@
                 self.call_ended(now, handle, attempt, end, reply);
             }
             Input::RouteStates(ways) => self.take_ways(ways),
-            Input::Allows(routes) => self.take_allows(routes),
+            Input::CallLimits(routes) => self.take_allows(routes),
             Input::WentOut { handle, attempt, allowed } => self.goes_by(handle, attempt, allowed),
             Input::Drain { noticed } => {
                 self.hand_over_before_leaving();
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -135,7 +135,7 @@
     /// How the calls of the named classes stand, where the fleet routes them; those of others are open.
     RouteStates(Vec<(String, Way)>),
     /// What all routes that are in force from now on allow: at most as many as a table has.
-    Allows(Vec<routing::Allows>),
+    CallLimits(Vec<routing::Allows>),
     /// A call goes out by a route that allows something else than was known here when it was ordered.
     WentOut {
         /// The request it is for.
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -95,7 +95,7 @@
     let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, routes)) = router.allowed(*known) {
             *known = Some(fence);
-            hub.push(Input::Allows(routes));
+            hub.push(Input::CallLimits(routes));
         }
     };
     let (mut told, mut known) = (ways(&*router, &hub.classes()), None);
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -298,7 +298,7 @@
 fn a_call_is_tried_as_its_own_route_allows(#[case] tenant: Option<&str>, #[case] calls: usize) {
     let mut bench = Bench::new(true);
     let routes = vec![allows("queue-status", None, TWICE), allows("queue-status", Some("t"), ONCE)];
-    bench.step(5, Input::Allows(routes));
+    bench.step(5, Input::CallLimits(routes));
     let first = bench.send(10, "queue-status", |r| r.tenant = tenant.map(Into::into));
     bench.needs_call(20, first);
     for at in [30, 400, 800] {
@@ -313,12 +313,12 @@
 #[test]
 fn a_request_keeps_what_the_version_allows_that_a_call_of_it_went_out_under() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let (first, later) = (bench.send(10, "queue-status", |_| ()), bench.send(11, "queue-status", |_| ()));
     bench.needs_call(20, first);
     // Its call is out when another version comes, and so its request is of the old one; the other one has
     // none yet.
-    bench.step(25, Input::Allows(vec![allows("queue-status", None, ONCE)]));
+    bench.step(25, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
     bench.step(
         30,
         Input::CallEnded { handle: first, attempt: 1, end: End::Failed, reply: None, fence: Some(FENCE) },
@@ -337,7 +337,7 @@
 #[test]
 fn a_call_that_goes_out_by_another_version_is_bound_by_that_one() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
     bench.needs_call(20, first);
     // Of another attempt, it says nothing.
@@ -350,10 +350,10 @@
 #[test]
 fn a_call_that_waits_goes_by_the_routes_that_are_in_force() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
     bench.needs_call(20, first);
     bench.call_ended(30, first, End::NotNow, None);
-    bench.step(40, Input::Allows(vec![allows("queue-status", None, ONCE)]));
+    bench.step(40, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 1));
 }
