--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -137,7 +137,7 @@
     /// What all routes that are in force from now on allow: at most as many as a table has.
     CallLimits(Vec<routing::Allows>),
     /// A call goes out by a route that allows something else than was known here when it was ordered.
-    WentOut {
+    CallRouteChanged {
         /// The request it is for.
         handle: Handle,
         /// Which of the request's calls.
