--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -266,7 +266,7 @@
             }
             Input::RouteStates(ways) => self.take_ways(ways),
             Input::CallLimits(routes) => self.take_allows(routes),
-            Input::CallRouteChanged { handle, attempt, allowed } => self.goes_by(handle, attempt, allowed),
+            Input::CallRouteChanged { handle, attempt, limits } => self.goes_by(handle, attempt, limits),
             Input::Drain { noticed } => {
                 self.hand_over_before_leaving();
                 self.drain(now, noticed);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -143,7 +143,7 @@
         /// Which of the request's calls.
         attempt: u32,
         /// What that one allows; nothing for the module's own bounds.
-        allowed: Option<routing::Allowed>,
+        limits: Option<routing::Allowed>,
     },
     /// The process is to leave.
     Drain {
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -332,7 +332,7 @@
                 // Ahead of its end, whoever tells of that: what comes next is decided by this version.
                 if ask.route.as_ref().is_some_and(|call| call.allowed != now.allowed) {
                     let (handle, attempt, allowed) = (ask.handle, ask.attempt, now.allowed);
-                    self.hub.push(Input::CallRouteChanged { handle, attempt, allowed });
+                    self.hub.push(Input::CallRouteChanged { handle, attempt, limits: allowed });
                 }
                 return Ok(Ready { conn, address, epoch, fence: leg.fence, before });
             }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -341,8 +341,8 @@
     let first = bench.send(10, "queue-status", |_| ());
     bench.needs_call(20, first);
     // Of another attempt, it says nothing.
-    bench.step(21, Input::CallRouteChanged { handle: first, attempt: 9, allowed: Some(TWICE) });
-    bench.step(22, Input::CallRouteChanged { handle: first, attempt: 1, allowed: Some(ONCE) });
+    bench.step(21, Input::CallRouteChanged { handle: first, attempt: 9, limits: Some(TWICE) });
+    bench.step(22, Input::CallRouteChanged { handle: first, attempt: 1, limits: Some(ONCE) });
     bench.call_ended(30, first, End::Failed, Some(FENCE));
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 1));
 }
