--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -267,9 +267,9 @@
             Input::RouteStates(ways) => self.take_ways(ways),
             Input::CallLimits(routes) => self.take_allows(routes),
             Input::CallRouteChanged { handle, attempt, limits } => self.goes_by(handle, attempt, limits),
-            Input::Drain { noticed } => {
+            Input::Drain { signalled_at } => {
                 self.hand_over_before_leaving();
-                self.drain(now, noticed);
+                self.drain(now, signalled_at);
             }
             Input::Succession(word) => self.succession(now, word),
             Input::Standby(on) => {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -148,7 +148,7 @@
     /// The process is to leave.
     Drain {
         /// When it was told so.
-        noticed: Duration,
+        signalled_at: Duration,
     },
     /// A word of the process that this one takes over from, or that takes over from it.
     Succession(Succession),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -63,7 +63,7 @@
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
-        self.0.push_at_once(Input::Drain { noticed: self.0.clock.now() });
+        self.0.push_at_once(Input::Drain { signalled_at: self.0.clock.now() });
     }
 
     /// Takes up other settings, and moves the links to new addresses. A link that was on stays on: the program
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -58,7 +58,7 @@
 
     /// The process is told to leave.
     pub fn drain(&mut self, at: u64) -> Vec<Effect> {
-        self.step(at, [Input::Drain { noticed: ms(at) }])
+        self.step(at, [Input::Drain { signalled_at: ms(at) }])
     }
 
     /// The configuration was read again, with another site.
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -164,7 +164,7 @@
     request.patience = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     assert_eq!(bench.launches(), 1);
-    bench.step(10, [Input::Drain { noticed: ms(noticed) }]);
+    bench.step(10, [Input::Drain { signalled_at: ms(noticed) }]);
     bench
 }
 
