--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -292,7 +292,7 @@
                 };
                 self.effects.push(Effect::Told { ticket, lines });
             }
-            Input::Report => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
+            Input::LogCounters => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
         }
         if !self.events.is_empty() {
             self.settle_events(now, actions);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -162,7 +162,7 @@
         stop_after: Duration,
     },
     /// The counters are to be printed.
-    Report,
+    LogCounters,
     /// Somebody at the console asks.
     Query {
         /// Comes back with the answer.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -94,7 +94,7 @@
 
     /// Has the counters printed.
     pub fn report(&self) {
-        self.0.push(Input::Report);
+        self.0.push(Input::LogCounters);
     }
 }
 
