--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -58,7 +58,7 @@
                 handle,
                 class: class.clone(),
                 start: now,
-                patience: None,
+                timeout: None,
                 caller: 1,
                 tenant: None,
                 cost: None,
--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -208,7 +208,7 @@
         ("X-Caller", request.caller.to_string()),
         ("X-Rank", request.rank.to_string()),
     ];
-    fields.extend(request.patience.map(|p| ("X-Timeout-Ms", p.as_millis().to_string())));
+    fields.extend(request.timeout.map(|p| ("X-Timeout-Ms", p.as_millis().to_string())));
     fields.extend((request.size_kb > 0.0).then(|| ("X-Memory-Kb", request.size_kb.to_string())));
     fields.extend(request.key.as_ref().map(|key| ("Idempotency-Key", key.to_string())));
     fields.extend(request.tenant.as_ref().map(|t| ("X-Tenant", t.to_string())));
@@ -266,7 +266,7 @@
         handle,
         class,
         start: Duration::from_millis(u.arbitrary()?),
-        patience: u.arbitrary::<Option<u16>>()?.map(|ms| Duration::from_millis(u64::from(ms) + 1)),
+        timeout: u.arbitrary::<Option<u16>>()?.map(|ms| Duration::from_millis(u64::from(ms) + 1)),
         caller: u.arbitrary()?,
         tenant: None,
         cost: None,
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -618,7 +618,7 @@
             handle,
             class: class.to_string(),
             start,
-            patience: Some(ms(patience)),
+            timeout: Some(ms(patience)),
             caller: u32::from(detail % 3),
             tenant: None,
             cost: None,
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -32,7 +32,7 @@
             return self.turn_back(request.conn, Verdict::Invalid("this request id is in use"));
         }
         let start = request.start.min(now);
-        let patience = request.patience.unwrap_or(self.site.settings.classes[class].give_up);
+        let patience = request.timeout.unwrap_or(self.site.settings.classes[class].give_up);
         let due = start + patience;
         let route = self.subject(&request, class, start);
         let key = request.key.filter(|_| keyed);
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -199,7 +199,7 @@
         let longest = self.site.settings.classes.iter().map(|c| c.give_up).max();
         // A caller may state any start: the other process reads times of 64 bits of microseconds.
         let request = Request { start: request.start.min(now), ..request };
-        let due = request.start + request.patience.or(longest).unwrap_or_default();
+        let due = request.start + request.timeout.or(longest).unwrap_or_default();
         self.deadlines.owe(request.conn, due.max(now), Owner::Successor);
         self.effects.push(Effect::Forward(Box::new(request)));
     }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -73,7 +73,7 @@
     /// When it came to the machine.
     pub start: Duration,
     /// How long its caller waits from then on.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The number of its caller.
     pub caller: u32,
     /// The name of its tenant, where the site has any.
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -151,7 +151,7 @@
             handle: handle(),
             class: class.to_string(),
             start: self.now,
-            patience: Some(PATIENCE),
+            timeout: Some(PATIENCE),
             caller: 1,
             tenant: None,
             cost: None,
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -160,7 +160,7 @@
             handle: self.handle.ok_or(Bad::request("X-Request-Id is missing"))?,
             class: class.to_string(),
             start: self.start.ok_or(Bad::request("X-Request-Start is missing"))?,
-            patience: self.patience,
+            timeout: self.patience,
             caller: self.caller.unwrap_or_default(),
             tenant: self.tenant,
             // No work at all is no hint.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -310,7 +310,7 @@
             }
             Self::Request(r) => {
                 let micros = |t: Option<Duration>| t.map_or("-".to_string(), |t| t.as_micros().to_string());
-                let (patience, cost) = (micros(r.patience), micros(r.cost));
+                let (patience, cost) = (micros(r.timeout), micros(r.cost));
                 // Only where there is one: a process of before objects were passed on takes what it can read.
                 let object = r
                     .object
@@ -421,7 +421,7 @@
                 handle: handle.parse().ok()?,
                 class: text(class)?,
                 start: time(start)?,
-                patience: if patience == "-" { None } else { Some(time(patience)?) },
+                timeout: if patience == "-" { None } else { Some(time(patience)?) },
                 caller: caller.parse().ok()?,
                 tenant: if tenant == "-" { None } else { Some(text(tenant)?.into()) },
                 cost: if cost == "-" { None } else { Some(time(cost)?) },
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -89,7 +89,7 @@
     ];
     let over_scgi = request(fed(Scgi, &scgi_request(&pairs, b"a\0b")));
     assert_eq!(format!("{over_http:?}"), format!("{over_scgi:?}"));
-    assert_eq!(over_http.patience, Some(Duration::from_millis(480)));
+    assert_eq!(over_http.timeout, Some(Duration::from_millis(480)));
     assert_eq!((&over_http.body[..], over_http.key.as_deref()), (&b"a\0b"[..], Some("5c0f")));
 }
 
@@ -401,7 +401,7 @@
         handle: "9b1f03aa5c7e2d41".parse().unwrap(),
         class: "queue status".to_string(),
         start: until,
-        patience: Some(Duration::from_millis(480)),
+        timeout: Some(Duration::from_millis(480)),
         caller: 4,
         tenant: Some("derwent coaches".into()),
         cost: Some(Duration::from_micros(12_500)),
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -117,7 +117,7 @@
             handle: handle(self.conns),
             class: class.to_string(),
             start: ms(at),
-            patience: Some(Duration::from_millis(1500)),
+            timeout: Some(Duration::from_millis(1500)),
             caller: 1,
             tenant: None,
             cost: None,
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -218,7 +218,7 @@
     let mut bench = Bench::new();
     for n in 0..500 {
         let Input::Request(mut request) = bench.request(n, "queue-status", None) else { unreachable!() };
-        (request.start, request.patience) = (Duration::ZERO, Some(ms(3_600_000)));
+        (request.start, request.timeout) = (Duration::ZERO, Some(ms(3_600_000)));
         bench.step(n, [Input::Request(request)]);
     }
     for n in 1..=500 {
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -49,7 +49,7 @@
         let Input::Request(mut request) = self.bench.request(self.now, class, key.as_deref()) else {
             unreachable!()
         };
-        request.patience = Some(Duration::from_millis(patience));
+        request.timeout = Some(Duration::from_millis(patience));
         self.bench.step(self.now, [Input::Request(request)]);
     }
 
@@ -147,7 +147,7 @@
     let mut bench = Bench::new();
     bench.step(0, [Input::Succession(Succession::Begin)]);
     let Input::Request(mut request) = bench.request(5, "queue-status", None) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     assert!(bench.done.iter().any(|effect| matches!(effect, Effect::Forward(_))), "it is passed on");
     bench.drain(10);
@@ -161,7 +161,7 @@
 fn told_to_leave(site: &str, stop_after: u64, noticed: u64) -> Bench {
     let mut bench = Bench::with(site, stop_after);
     let Input::Request(mut request) = bench.request(5, "queue-status", None) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     assert_eq!(bench.launches(), 1);
     bench.step(10, [Input::Drain { signalled_at: ms(noticed) }]);
@@ -214,7 +214,7 @@
     // Guards against a log that cannot answer which requests a stopping process held, and why.
     let mut bench = Bench::new();
     let Input::Request(mut request) = bench.request(5, "lobby-confirm", Some("k")) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     bench.lose_link(10);
     bench.greet(20);
@@ -256,7 +256,7 @@
         let Input::Request(mut request) = bench.request(at, "lobby-confirm", Some(&key)) else {
             unreachable!()
         };
-        request.patience = Some(Duration::from_millis(300));
+        request.timeout = Some(Duration::from_millis(300));
         bench.step(at, [Input::Request(request)]);
         bench.lose_link(at + 1);
         bench.greet(at + 2);
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -60,7 +60,7 @@
             handle,
             class,
             start: Duration::from_millis(start),
-            patience: patience.map(Duration::from_millis),
+            timeout: patience.map(Duration::from_millis),
             caller,
             tenant: tenant.map(Into::into),
             cost: cost.map(|us| Duration::from_secs_f64(f64::from(us) / 1000.0 / 1000.0)),
@@ -82,7 +82,7 @@
         ("X-Memory-Kb", r.size_kb.to_string()),
         ("X-Rank", r.rank.to_string()),
     ];
-    all.extend(r.patience.map(|p| ("X-Timeout-Ms", p.as_millis().to_string())));
+    all.extend(r.timeout.map(|p| ("X-Timeout-Ms", p.as_millis().to_string())));
     all.extend(r.tenant.as_ref().map(|t| ("X-Tenant", t.to_string())));
     all.extend(
         r.cost.map(|c| ("X-Cost-Ms", format!("{}.{:03}", c.as_micros() / 1000, c.as_micros() % 1000))),
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -72,7 +72,7 @@
             handle: handle(n),
             class: class.to_string(),
             start: ms(at),
-            patience: Some(Duration::from_millis(3_000)),
+            timeout: Some(Duration::from_millis(3_000)),
             caller: 1,
             tenant: None,
             cost: None,
