--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -108,10 +108,10 @@
     // Each command is one line that any reader of JSON takes.
     for notice in all {
         if let Notice::CallNeeded { handle, body, .. } = notice {
-            let (patience, cursor) = (Duration::ZERO, 1);
+            let (timeout, cursor) = (Duration::ZERO, 1);
             let class = String::from_utf8_lossy(&body).as_ref().into();
             let commands = [
-                Command::Launch { handle, class, arg: body.clone(), patience },
+                Command::Launch { handle, class, arg: body.clone(), timeout },
                 Command::Deliver { handle, cursor, arg: body },
                 Command::Freeze { handle },
                 Command::Thaw { handle },
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -93,9 +93,9 @@
         let handle = live.handle;
         let command = match live.phase {
             Phase::Held => {
-                let patience = live.due.saturating_sub(now);
+                let timeout = live.due.saturating_sub(now);
                 let class = self.site.class_names[live.class].as_str().into();
-                Command::Launch { handle, class, arg: live.body.clone(), patience }
+                Command::Launch { handle, class, arg: live.body.clone(), timeout }
             }
             Phase::Paused => Command::Thaw { handle },
             _ => return,
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -330,7 +330,7 @@
         /// Its body.
         arg: Bytes,
         /// How long its caller still waits.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Stop a run.
     Freeze {
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -264,12 +264,12 @@
 
     /// Carries out a command; an application knows only launches.
     pub fn send(&self, command: Command) {
-        let Command::Launch { handle, class, arg, patience } = command else { return };
+        let Command::Launch { handle, class, arg, timeout } = command else { return };
         let path = format!("/do/{class}");
         let (address, hub) = (self.address, self.hub.clone());
         spawn(move || {
             let began = Instant::now();
-            let (end, result) = exchange(address, &request(&path, handle, patience, &arg), patience);
+            let (end, result) = exchange(address, &request(&path, handle, timeout, &arg), timeout);
             let lasted = Some(began.elapsed());
             let notice = Notice::Outcome { handle, end, lasted, result };
             hub.push(Input::Agent { link: LinkId::NONE, notice });
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -180,8 +180,8 @@
     let handle = "9b1f03aa5c7e2d41".parse().unwrap();
     let mut out = String::new();
     let arg = Arc::from(*b"\xff\0");
-    let patience = Duration::ZERO;
-    agent::encode(LinkId(1), &Command::Launch { handle, class: "b".into(), arg, patience }, &mut out);
+    let timeout = Duration::ZERO;
+    agent::encode(LinkId(1), &Command::Launch { handle, class: "b".into(), arg, timeout }, &mut out);
     agent::encode(LinkId(1), &Command::Forgo { handle, cursor: 9 }, &mut out);
     let launch = r#"{"event":"launch","handle":"9b1f03aa5c7e2d41","entry":"b","arg":"/wA="}"#;
     assert_eq!(
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -26,7 +26,7 @@
         handle,
         class: "queue-status".into(),
         arg: Arc::from(*b"body"),
-        patience: Duration::from_millis(1500),
+        timeout: Duration::from_millis(1500),
     };
     assert!(says(&bench.done, &launch), "{:?}", bench.done);
     bench.complete(50, handle, b"\0made");
--- a/tests/program/unchanged.rs
+++ b/tests/program/unchanged.rs
@@ -176,7 +176,7 @@
             handle,
             class: "a\"b".into(),
             arg: bodies()[1].clone().into(),
-            patience: std::time::Duration::from_secs(1),
+            timeout: std::time::Duration::from_secs(1),
         },
         Command::Deliver { handle, cursor: 1, arg: bodies()[4].clone().into() },
         Command::Forgo { handle, cursor: 12_345 },
