--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -94,8 +94,8 @@
         let fresh = std::mem::replace(&mut live.call.was_tried, true) || once;
         self.counters.calls_made += 1;
         let route = live.route.as_ref().map(|r| Box::new(r.call(&self.site.class_names[live.class])));
-        let patience = give_up_after;
-        self.effects.push(Effect::Call { handle, attempt, once, fresh, earlier, patience, body, route });
+        let timeout = give_up_after;
+        self.effects.push(Effect::Call { handle, attempt, once, fresh, earlier, timeout, body, route });
         self.arm(now + give_up_after + CALL_OVERDUE, Timer::CallLate(id, attempt));
     }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -450,7 +450,7 @@
         /// The replies to earlier calls of the request: a copy of one is not the reply to this call.
         earlier: Arc<[ReplyDigest]>,
         /// How long it is waited for.
-        patience: Duration,
+        timeout: Duration,
         /// Its body.
         body: Bytes,
         /// What its route depends on, where the fleet routes calls.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -351,7 +351,7 @@
                 Runner::Application(application) => application.send(command),
                 Runner::None => {}
             },
-            Effect::Call { handle, attempt, fresh, earlier, patience, body, route, .. } => {
+            Effect::Call { handle, attempt, fresh, earlier, timeout: patience, body, route, .. } => {
                 match &self.below {
                     Below::Vault(vault) => vault.send(vault::Order::Ask {
                         handle,
