--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -220,8 +220,8 @@
                     node.wire.push_back((now, command));
                 }
             }
-            Effect::Call { handle, attempt, once, .. } => {
-                if let Some(asked) = self.asked.get_mut(&handle).filter(|_| once && !self.wild) {
+            Effect::Call { handle, attempt, at_most_once, .. } => {
+                if let Some(asked) = self.asked.get_mut(&handle).filter(|_| at_most_once && !self.wild) {
                     assert!(!asked.unproved_call, "a call of {handle} is made again without proof");
                 }
                 self.nodes[n].calls.retain(|(h, _)| *h != handle);
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -89,13 +89,22 @@
         live.call.began = Some(now);
         let (handle, attempt, body) = (live.handle, live.call.attempt, live.call.body.clone());
         let earlier = live.call.history.replies().into();
-        let once = self.site.settings.classes[live.class].repeat != Repeat::Idempotent;
+        let at_most_once = self.site.settings.classes[live.class].repeat != Repeat::Idempotent;
         // A connection with a past may bring a late copy of this request's last reply, or be forgotten.
-        let fresh = std::mem::replace(&mut live.call.was_tried, true) || once;
+        let fresh = std::mem::replace(&mut live.call.was_tried, true) || at_most_once;
         self.counters.calls_made += 1;
         let route = live.route.as_ref().map(|r| Box::new(r.call(&self.site.class_names[live.class])));
         let timeout = give_up_after;
-        self.effects.push(Effect::Call { handle, attempt, once, fresh, earlier, timeout, body, route });
+        self.effects.push(Effect::Call {
+            handle,
+            attempt,
+            at_most_once,
+            fresh,
+            earlier,
+            timeout,
+            body,
+            route,
+        });
         self.arm(now + give_up_after + CALL_OVERDUE, Timer::CallLate(id, attempt));
     }
 
@@ -122,9 +131,9 @@
             (Outcome::Done, None) => Outcome::Error,
             (outcome, _) => {
                 let is_its_own = live.call.history.ended(end) || self.tells_replies_apart;
-                let once = self.site.settings.classes[live.class].repeat != Repeat::Idempotent;
+                let at_most_once = self.site.settings.classes[live.class].repeat != Repeat::Idempotent;
                 // A copy of an earlier word does not prove that this attempt never ran.
-                match once && outcome.never_ran() && !is_its_own {
+                match at_most_once && outcome.never_ran() && !is_its_own {
                     true => Outcome::Error,
                     false => outcome,
                 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -444,7 +444,7 @@
         /// Which of the request's calls.
         attempt: u32,
         /// It must not be made again, unless it is proven not to have run.
-        once: bool,
+        at_most_once: bool,
         /// It needs a connection that carried nothing before.
         fresh: bool,
         /// The replies to earlier calls of the request: a copy of one is not the reply to this call.
