--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -788,7 +788,7 @@
                     0 => Succession::Settled { key, ran: pick > 128, result: body },
                     1 => Succession::Key(KeyState {
                         key,
-                        what: any,
+                        digest: any,
                         until: self.now + lasted,
                         open: pick > 128,
                         result: body,
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -182,16 +182,16 @@
         let state = |(key, e): (&Key, &Entry)| {
             let until = e.ran.iter().map(|r| r.until).chain(e.tries.iter().map(|t| t.until)).max()?;
             let result = e.ran.as_ref().and_then(|r| r.result.clone());
-            Some(KeyState { key: key.clone(), what: e.what, until, open: !e.tries.is_empty(), result })
+            Some(KeyState { key: key.clone(), digest: e.what, until, open: !e.tries.is_empty(), result })
         };
         self.entries.iter().filter_map(state).collect()
     }
 
     /// Takes a key over; `id` stands for the run in the other process, until it is known that there was none.
     pub fn inherit(&mut self, state: KeyState, id: RequestId) {
-        let KeyState { key, what, until, result, .. } = state;
+        let KeyState { key, digest, until, result, .. } = state;
         let ran = Some(Ran { id, until, result: None });
-        let before = self.entries.insert(key.clone(), Entry { what, ran, ..Entry::default() });
+        let before = self.entries.insert(key.clone(), Entry { what: digest, ran, ..Entry::default() });
         self.result_bytes -= before.map_or(0, |e| kept(e.ran.as_ref()));
         self.ended(&key, id, result);
     }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -178,7 +178,7 @@
     /// The key.
     pub key: Key,
     /// A digest of the request that it stands for.
-    pub what: u64,
+    pub digest: u64,
     /// Until then no other try of it may be run.
     pub until: Duration,
     /// Tries of it are still there, and one may have run or yet run.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -301,7 +301,7 @@
                 let line = |k: &KeyState| {
                     let (until, open, result) =
                         (k.until.as_micros(), u8::from(k.open), base64(k.result.as_deref()));
-                    format!("key {} {:x} {until} {open} {result}\n", key(&k.key), k.what)
+                    format!("key {} {:x} {until} {open} {result}\n", key(&k.key), k.digest)
                 };
                 keys.iter().map(line).chain([format!("complete {}\n", u8::from(*standby))]).collect()
             }
@@ -378,7 +378,7 @@
         ["complete", standby] => Succession::Complete { standby: flag(standby)? },
         ["key", key, what, until, open, result] => Succession::Key(KeyState {
             key: text(key)?.into(),
-            what: u64::from_str_radix(what, 16).ok()?,
+            digest: u64::from_str_radix(what, 16).ok()?,
             until: time(until)?,
             open: flag(open)?,
             result: bytes(result)?,
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -386,7 +386,7 @@
     let key: hopwalk::core::Key = "a key, spaces\nand all".into();
     let result: Option<hopwalk::core::Bytes> = Some((*b"\0\xff").into());
     let until = Duration::from_micros(1_764_576_000_123_456);
-    let state = KeyState { key: key.clone(), what: u64::MAX, until, open: true, result: result.clone() };
+    let state = KeyState { key: key.clone(), digest: u64::MAX, until, open: true, result: result.clone() };
     let heard = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -139,7 +139,7 @@
         result in prop::option::of(bytes(4096)),
     ) {
         let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
-        let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
+        let state = KeyState { key: key.clone(), digest, until: Duration::from_micros(until), open, result: result.clone() };
         let told = parse(&line(Word::Keys(vec![state.clone()], open)));
         prop_assert_eq!(told, Some(Heard::Word(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
