--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -75,7 +75,7 @@
             // Some keys are missing here, and it runs them: it decides, and this process does not.
             Succession::PredecessorLost if !self.partner.complete => self.effects.push(Effect::GiveUp),
             Succession::PredecessorLost => self.end_waits(now),
-            Succession::Beside => self.halve_calls(true),
+            Succession::PredecessorRunning => self.halve_calls(true),
             Succession::PredecessorGone => {
                 self.halve_calls(false);
                 self.end_waits(now);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -191,7 +191,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Succession {
     /// Another process of this server ran before this one, and goes on until it has handed over and ended.
-    Beside,
+    PredecessorRunning,
     /// The new process is to decide from now on.
     Begin,
     /// It has answered what was passed on to it.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -225,7 +225,7 @@
         let (partner, hub) = (partner.clone(), hub.clone());
         let listen = move || {
             // Before any word on its end: the other way round, this process would be beside it for good.
-            hub.push(Input::Succession(Succession::Beside));
+            hub.push(Input::Succession(Succession::PredecessorRunning));
             let other = process_of(&reads);
             partner.listen(reads, &hub);
             ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorGone);
@@ -472,7 +472,7 @@
             other => panic!("{other:?}"),
         };
         let expected = [
-            Succession::Beside,
+            Succession::PredecessorRunning,
             Succession::Complete { standby: false },
             // This test is the other process, and lives on.
             Succession::PredecessorLost,
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -54,7 +54,7 @@
     let whole = calls_out(&mut fresh(), 10);
     let (mut old, mut new) = (fresh(), fresh());
     old.step(2, [Input::Succession(Succession::Begin)]);
-    new.step(2, [Input::Succession(Succession::Beside)]);
+    new.step(2, [Input::Succession(Succession::PredecessorRunning)]);
     new.step(3, [Input::Succession(Succession::Complete { standby: false })]);
     let half = calls_out(&mut new, 10);
     assert!(half > 0 && 2 * half <= whole, "{half} of {whole}");
@@ -169,7 +169,7 @@
 fn nothing_with_a_key_is_run_before_the_keys_of_the_process_before_are_there() {
     // Guards against a second run: a request that was meant for another process that took over comes before the keys.
     let mut bench = Bench::new();
-    bench.step(5, [Input::Succession(Succession::Beside)]);
+    bench.step(5, [Input::Succession(Succession::PredecessorRunning)]);
     let of = bench.send(10, "lobby-confirm", Some("k"));
     assert_eq!(launches_of(&bench.done, of), 0, "another try of it may have run");
 }
