--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -81,7 +81,7 @@
                 self.end_waits(now);
                 self.effects.push(Effect::Alone);
             }
-            Succession::Begin => {
+            Succession::HandoverRequested => {
                 self.partner.is_awaited = true;
                 match self.lacks_keys(now) && self.drain.is_none() {
                     true => self.effects.push(Effect::Log(LACKS_KEYS.into())),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -193,7 +193,7 @@
     /// Another process of this server ran before this one, and goes on until it has handed over and ended.
     PredecessorRunning,
     /// The new process is to decide from now on.
-    Begin,
+    HandoverRequested,
     /// It has answered what was passed on to it.
     Answered {
         /// Where the answer goes.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -374,7 +374,7 @@
     };
     let words: Vec<&str> = line.split(' ').collect();
     let word = match words[..] {
-        ["begin"] => Succession::Begin,
+        ["begin"] => Succession::HandoverRequested,
         ["complete", standby] => Succession::Complete { standby: flag(standby)? },
         ["key", key, what, until, open, result] => Succession::Key(KeyState {
             key: text(key)?.into(),
@@ -519,7 +519,7 @@
         let successor = offer(&path, &hub).unwrap();
         assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
         let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(matches!(told(), Input::Succession(Succession::Begin)));
+        assert!(matches!(told(), Input::Succession(Succession::HandoverRequested)));
         assert!(matches!(told(), Input::Succession(Succession::SuccessorGone)));
 
         // The reducer, which is this test, has taken neither yet when the next one connects.
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -145,7 +145,7 @@
 fn a_second_notice_moves_no_answer_later() {
     // Guards against a process that was told to leave twice, and counts its stop from the second time.
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Begin)]);
+    bench.step(0, [Input::Succession(Succession::HandoverRequested)]);
     let Input::Request(mut request) = bench.request(5, "queue-status", None) else { unreachable!() };
     request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -12,7 +12,7 @@
     let held = old.send(0, "lobby-confirm", Some("held"));
     let begun = old.launches();
     assert!((1..14).contains(&begun), "{begun} begun");
-    let effects = old.step(1, [Input::Succession(Succession::Begin)]);
+    let effects = old.step(1, [Input::Succession(Succession::HandoverRequested)]);
     let keys = effects.into_iter().find_map(|e| match e {
         Effect::HandOver { keys, standby: false } => Some(keys),
         _ => None,
@@ -53,7 +53,7 @@
     };
     let whole = calls_out(&mut fresh(), 10);
     let (mut old, mut new) = (fresh(), fresh());
-    old.step(2, [Input::Succession(Succession::Begin)]);
+    old.step(2, [Input::Succession(Succession::HandoverRequested)]);
     new.step(2, [Input::Succession(Succession::PredecessorRunning)]);
     new.step(3, [Input::Succession(Succession::Complete { standby: false })]);
     let half = calls_out(&mut new, 10);
@@ -136,7 +136,7 @@
 #[test]
 fn a_process_whose_successor_is_lost_refuses_until_it_is_gone() {
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Begin)]);
+    bench.step(0, [Input::Succession(Succession::HandoverRequested)]);
     let refused = |effects: &[Effect]| {
         let is = |e: &Effect| matches!(e, Effect::Answer { answer, .. } if matches!(answer.verdict, Verdict::Refused { .. }));
         effects.iter().any(is)
