--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -195,7 +195,7 @@
             Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
             Heard::Word(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
             Heard::Word(Succession::Settled { key, ran, result }) => Word::Settled(key, ran, result),
-            Heard::Word(Succession::Answered { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
+            Heard::Word(Succession::ForwardedAnswer { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
             Heard::Word(_) => Word::Begin,
         };
         let lines = word.lines();
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -797,7 +797,7 @@
                     3 => Succession::PredecessorGone,
                     4 => Succession::SuccessorGone,
                     // An answer to a connection that nothing was passed on from.
-                    _ => Succession::Answered {
+                    _ => Succession::ForwardedAnswer {
                         conn: u64::from(pick),
                         answer: Answer { verdict: Verdict::Failed, signal: None, close: true },
                     },
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -88,7 +88,7 @@
                     false => self.hand_over(),
                 }
             }
-            Succession::Answered { conn, answer } => {
+            Succession::ForwardedAnswer { conn, answer } => {
                 if self.deadlines.is_passed_on(conn) {
                     self.give(conn, Answer { close: true, ..answer });
                 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -195,7 +195,7 @@
     /// The new process is to decide from now on.
     HandoverRequested,
     /// It has answered what was passed on to it.
-    Answered {
+    ForwardedAnswer {
         /// Where the answer goes.
         conn: ConnId,
         /// What it is.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -398,7 +398,10 @@
                 _ => return None,
             };
             let signal = if signal == "-" { None } else { Some(signal.parse().ok()?) };
-            Succession::Answered { conn: conn.parse().ok()?, answer: Answer { verdict, signal, close: true } }
+            Succession::ForwardedAnswer {
+                conn: conn.parse().ok()?,
+                answer: Answer { verdict, signal, close: true },
+            }
         }
         // A process of before tenants and costs were read passes on requests without the last two; one of before
         // objects were passed on, only whether there is one.
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -427,7 +427,7 @@
     let refused = Verdict::Refused { retry_after: Duration::from_millis(50), no_retry: true };
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
-        let told = Succession::Answered { conn: 7, answer: answer.clone() };
+        let told = Succession::ForwardedAnswer { conn: 7, answer: answer.clone() };
         assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Word(told)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -103,7 +103,7 @@
         asks.push(old.conns);
     }
     let told = Answer { verdict: served(b"x"), signal: Some(0.5), close: false };
-    old.step(2001, [Input::Succession(Succession::Answered { conn: asks[0], answer: told })]);
+    old.step(2001, [Input::Succession(Succession::ForwardedAnswer { conn: asks[0], answer: told })]);
     assert_eq!(old.answers(asks[1]), [&Verdict::Failed], "overdue there");
     old.step(2002, [Input::Succession(Succession::SuccessorGone)]);
     assert_eq!(old.answers(asks[2]), [&Verdict::Failed]);
