--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -523,7 +523,7 @@
                     Told::Is(word) => Heard::Word(word),
                 };
                 match &heard {
-                    Heard::Word(Succession::Complete { .. }) => self.pipe.complete = true,
+                    Heard::Word(Succession::KeysComplete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
                     Heard::Word(Succession::PredecessorGone) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
@@ -793,7 +793,7 @@
                         open: pick > 128,
                         result: body,
                     }),
-                    2 => Succession::Complete { standby: false },
+                    2 => Succession::KeysComplete { standby: false },
                     3 => Succession::PredecessorGone,
                     4 => Succession::SuccessorGone,
                     // An answer to a connection that nothing was passed on from.
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -65,7 +65,7 @@
                 let until = self.plausible_end(now, state.until);
                 self.keys.inherit(KeyState { until, ..state }, id);
             }
-            Succession::Complete { standby } => {
+            Succession::KeysComplete { standby } => {
                 self.partner.complete = true;
                 // A drain ends when operators say so, not with a new version.
                 self.standby |= standby;
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -208,7 +208,7 @@
     /// A key that the old process handed over.
     Key(KeyState),
     /// All keys were handed over.
-    Complete {
+    KeysComplete {
         /// Operators want callers kept away.
         standby: bool,
     },
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -123,7 +123,7 @@
             match parse(&line) {
                 Some(Heard::Word(word)) => {
                     // What operators ordered of the process before holds here, and the fleet has to know it of this life.
-                    if let (Succession::Complete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
+                    if let (Succession::KeysComplete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
                         fleet.draining(true);
                     }
                     hub.push(Input::Succession(on_own_clock(word, hub)));
@@ -375,7 +375,7 @@
     let words: Vec<&str> = line.split(' ').collect();
     let word = match words[..] {
         ["begin"] => Succession::HandoverRequested,
-        ["complete", standby] => Succession::Complete { standby: flag(standby)? },
+        ["complete", standby] => Succession::KeysComplete { standby: flag(standby)? },
         ["key", key, what, until, open, result] => Succession::Key(KeyState {
             key: text(key)?.into(),
             digest: u64::from_str_radix(what, 16).ok()?,
@@ -476,7 +476,7 @@
         };
         let expected = [
             Succession::PredecessorRunning,
-            Succession::Complete { standby: false },
+            Succession::KeysComplete { standby: false },
             // This test is the other process, and lives on.
             Succession::PredecessorLost,
         ];
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -390,7 +390,7 @@
     let heard = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
-    let complete = Heard::Word(Succession::Complete { standby: true });
+    let complete = Heard::Word(Succession::KeysComplete { standby: true });
     assert_eq!(heard(Word::Keys(vec![state.clone()], true)), [Heard::Word(Succession::Key(state)), complete]);
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -18,7 +18,7 @@
         _ => None,
     });
     let keys = keys.expect("the keys");
-    let words = keys.into_iter().map(Succession::Key).chain([Succession::Complete { standby: false }]);
+    let words = keys.into_iter().map(Succession::Key).chain([Succession::KeysComplete { standby: false }]);
     let listens = new.step(2, words.map(Input::Succession));
     assert!(listens.contains(&Effect::Listen));
     (old, new, [run, held])
@@ -55,7 +55,7 @@
     let (mut old, mut new) = (fresh(), fresh());
     old.step(2, [Input::Succession(Succession::HandoverRequested)]);
     new.step(2, [Input::Succession(Succession::PredecessorRunning)]);
-    new.step(3, [Input::Succession(Succession::Complete { standby: false })]);
+    new.step(3, [Input::Succession(Succession::KeysComplete { standby: false })]);
     let half = calls_out(&mut new, 10);
     assert!(half > 0 && 2 * half <= whole, "{half} of {whole}");
     new.step(20, [Input::Succession(Succession::PredecessorGone)]);
@@ -161,7 +161,7 @@
     let mut bench = Bench::new();
     assert!(bench.step(0, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Complete { standby: false })]);
+    bench.step(0, [Input::Succession(Succession::KeysComplete { standby: false })]);
     assert!(!bench.step(1, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
 }
 
