--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -194,7 +194,7 @@
             Heard::Request(request) => Word::Request(request),
             Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
             Heard::Word(Succession::KeysComplete { standby }) => Word::Keys(Vec::new(), standby),
-            Heard::Word(Succession::Settled { key, ran, result }) => Word::Settled(key, ran, result),
+            Heard::Word(Succession::KeyResolved { key, ran, result }) => Word::Settled(key, ran, result),
             Heard::Word(Succession::ForwardedAnswer { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
             Heard::Word(_) => Word::Begin,
         };
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -785,7 +785,7 @@
             _ => {
                 let key: Key = Arc::from(format!("k{}", pick % 4));
                 let word = match any % 6 {
-                    0 => Succession::Settled { key, ran: pick > 128, result: body },
+                    0 => Succession::KeyResolved { key, ran: pick > 128, result: body },
                     1 => Succession::Key(KeyState {
                         key,
                         digest: any,
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -71,7 +71,7 @@
                 self.standby |= standby;
                 self.effects.push(Effect::Listen);
             }
-            Succession::Settled { key, ran, result } => self.settled(now, &key, ran, result),
+            Succession::KeyResolved { key, ran, result } => self.settled(now, &key, ran, result),
             // Some keys are missing here, and it runs them: it decides, and this process does not.
             Succession::PredecessorLost if !self.partner.complete => self.effects.push(Effect::GiveUp),
             Succession::PredecessorLost => self.end_waits(now),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -213,7 +213,7 @@
         standby: bool,
     },
     /// The last try of an open key is over.
-    Settled {
+    KeyResolved {
         /// The key.
         key: Key,
         /// It was run.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -384,7 +384,7 @@
             result: bytes(result)?,
         }),
         ["settled", key, ran, result] => {
-            Succession::Settled { key: text(key)?.into(), ran: flag(ran)?, result: bytes(result)? }
+            Succession::KeyResolved { key: text(key)?.into(), ran: flag(ran)?, result: bytes(result)? }
         }
         ["answer", conn, signal, ref verdict @ ..] => {
             let verdict = match *verdict {
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -393,7 +393,7 @@
     let complete = Heard::Word(Succession::KeysComplete { standby: true });
     assert_eq!(heard(Word::Keys(vec![state.clone()], true)), [Heard::Word(Succession::Key(state)), complete]);
     for result in [None, Some((*b"").into()), result] {
-        let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
+        let settled = Succession::KeyResolved { key: key.clone(), ran: true, result: result.clone() };
         assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Word(settled)]);
     }
     let request = Request {
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -28,7 +28,7 @@
     effects.iter().find_map(|e| match e {
         Effect::Settled { key, ran, result } if &**key == of => {
             let (key, ran, result) = (key.clone(), *ran, result.clone());
-            Some(Input::Succession(Succession::Settled { key, ran, result }))
+            Some(Input::Succession(Succession::KeyResolved { key, ran, result }))
         }
         _ => None,
     })
