--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -493,7 +493,7 @@
                 self.pipe.to[1 - n].truncate(heard);
             }
             (self.pipe.up, self.pipe.cut) = (false, false);
-            let gone = [Succession::PredecessorGone, Succession::SuccessorGone][n].clone();
+            let gone = [Succession::PredecessorGone, Succession::SuccessorExited][n].clone();
             self.pipe.to[1 - n].push_back(Told::Is(gone));
             self.pipe.to[n].clear();
         }
@@ -795,7 +795,7 @@
                     }),
                     2 => Succession::KeysComplete { standby: false },
                     3 => Succession::PredecessorGone,
-                    4 => Succession::SuccessorGone,
+                    4 => Succession::SuccessorExited,
                     // An answer to a connection that nothing was passed on from.
                     _ => Succession::ForwardedAnswer {
                         conn: u64::from(pick),
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -94,12 +94,12 @@
                 }
             }
             // Nothing was handed over to it.
-            Succession::SuccessorLost | Succession::SuccessorGone if !self.partner.yields => {
+            Succession::SuccessorLost | Succession::SuccessorExited if !self.partner.yields => {
                 self.partner.is_awaited = false;
             }
             // It runs keys that nobody here hears of: nothing may begin here until it is gone.
             Succession::SuccessorLost => self.give_up_partner(),
-            Succession::SuccessorGone => {
+            Succession::SuccessorExited => {
                 (self.partner.yields, self.partner.lost) = (false, false);
                 self.halve_calls(false);
                 self.fail_passed_on();
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -202,7 +202,7 @@
         answer: Answer,
     },
     /// The new process is gone.
-    SuccessorGone,
+    SuccessorExited,
     /// The link to the new process broke, and it lives on.
     SuccessorLost,
     /// A key that the old process handed over.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -269,7 +269,7 @@
                 Ok(reads) => {
                     let other = process_of(&reads);
                     partner.listen(reads, &hub);
-                    ended(other, &hub, Succession::SuccessorLost, Succession::SuccessorGone);
+                    ended(other, &hub, Succession::SuccessorLost, Succession::SuccessorExited);
                     // Until then the reducer may yet tell the one that is gone something, and no other is to hear it.
                     hub.wait_for_reducer();
                 }
@@ -523,7 +523,7 @@
         assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
         let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
         assert!(matches!(told(), Input::Succession(Succession::HandoverRequested)));
-        assert!(matches!(told(), Input::Succession(Succession::SuccessorGone)));
+        assert!(matches!(told(), Input::Succession(Succession::SuccessorExited)));
 
         // The reducer, which is this test, has taken neither yet when the next one connects.
         let next = UnixStream::connect(&path).unwrap();
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -60,7 +60,7 @@
     assert!(half > 0 && 2 * half <= whole, "{half} of {whole}");
     new.step(20, [Input::Succession(Succession::PredecessorGone)]);
     assert_eq!(calls_out(&mut new, 21), whole);
-    old.step(20, [Input::Succession(Succession::SuccessorGone)]);
+    old.step(20, [Input::Succession(Succession::SuccessorExited)]);
     // Past the window in which the new process may have run keys.
     assert_eq!(calls_out(&mut old, 30_000), whole, "the new process is gone, and the old one serves on");
 }
@@ -105,7 +105,7 @@
     let told = Answer { verdict: served(b"x"), signal: Some(0.5), close: false };
     old.step(2001, [Input::Succession(Succession::ForwardedAnswer { conn: asks[0], answer: told })]);
     assert_eq!(old.answers(asks[1]), [&Verdict::Failed], "overdue there");
-    old.step(2002, [Input::Succession(Succession::SuccessorGone)]);
+    old.step(2002, [Input::Succession(Succession::SuccessorExited)]);
     assert_eq!(old.answers(asks[2]), [&Verdict::Failed]);
     let runs = old.done.iter().filter_map(|e| match e {
         Effect::Agent { command: Command::Launch { handle, .. }, .. } => Some(*handle),
@@ -144,7 +144,7 @@
     bench.step(1, [Input::Succession(Succession::SuccessorLost)]);
     let request = bench.request(2, "queue-status", None);
     assert!(refused(&bench.step(2, [request])));
-    bench.step(3, [Input::Succession(Succession::SuccessorGone)]);
+    bench.step(3, [Input::Succession(Succession::SuccessorExited)]);
     let request = bench.request(4, "queue-status", None);
     let effects = bench.step(4, [request]);
     assert!(
