--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -505,7 +505,9 @@
             return;
         }
         (self.pipe.up, self.pipe.cut) = (false, true);
-        for (n, lost) in [Succession::SuccessorLost, Succession::PredecessorLost].into_iter().enumerate() {
+        for (n, lost) in
+            [Succession::SuccessorDisconnected, Succession::PredecessorLost].into_iter().enumerate()
+        {
             self.pipe.to[n].truncate(heard);
             self.pipe.to[n].push_back(Told::Is(lost));
         }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -94,11 +94,11 @@
                 }
             }
             // Nothing was handed over to it.
-            Succession::SuccessorLost | Succession::SuccessorExited if !self.partner.yields => {
+            Succession::SuccessorDisconnected | Succession::SuccessorExited if !self.partner.yields => {
                 self.partner.is_awaited = false;
             }
             // It runs keys that nobody here hears of: nothing may begin here until it is gone.
-            Succession::SuccessorLost => self.give_up_partner(),
+            Succession::SuccessorDisconnected => self.give_up_partner(),
             Succession::SuccessorExited => {
                 (self.partner.yields, self.partner.lost) = (false, false);
                 self.halve_calls(false);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -204,7 +204,7 @@
     /// The new process is gone.
     SuccessorExited,
     /// The link to the new process broke, and it lives on.
-    SuccessorLost,
+    SuccessorDisconnected,
     /// A key that the old process handed over.
     Key(KeyState),
     /// All keys were handed over.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -269,7 +269,7 @@
                 Ok(reads) => {
                     let other = process_of(&reads);
                     partner.listen(reads, &hub);
-                    ended(other, &hub, Succession::SuccessorLost, Succession::SuccessorExited);
+                    ended(other, &hub, Succession::SuccessorDisconnected, Succession::SuccessorExited);
                     // Until then the reducer may yet tell the one that is gone something, and no other is to hear it.
                     hub.wait_for_reducer();
                 }
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -141,7 +141,7 @@
         let is = |e: &Effect| matches!(e, Effect::Answer { answer, .. } if matches!(answer.verdict, Verdict::Refused { .. }));
         effects.iter().any(is)
     };
-    bench.step(1, [Input::Succession(Succession::SuccessorLost)]);
+    bench.step(1, [Input::Succession(Succession::SuccessorDisconnected)]);
     let request = bench.request(2, "queue-status", None);
     assert!(refused(&bench.step(2, [request])));
     bench.step(3, [Input::Succession(Succession::SuccessorExited)]);
