--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -493,7 +493,7 @@
                 self.pipe.to[1 - n].truncate(heard);
             }
             (self.pipe.up, self.pipe.cut) = (false, false);
-            let gone = [Succession::PredecessorGone, Succession::SuccessorExited][n].clone();
+            let gone = [Succession::PredecessorExited, Succession::SuccessorExited][n].clone();
             self.pipe.to[1 - n].push_back(Told::Is(gone));
             self.pipe.to[n].clear();
         }
@@ -527,7 +527,7 @@
                 match &heard {
                     Heard::Word(Succession::KeysComplete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
-                    Heard::Word(Succession::PredecessorGone) if !self.pipe.complete => {
+                    Heard::Word(Succession::PredecessorExited) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
                     }
                     _ => {}
@@ -796,7 +796,7 @@
                         result: body,
                     }),
                     2 => Succession::KeysComplete { standby: false },
-                    3 => Succession::PredecessorGone,
+                    3 => Succession::PredecessorExited,
                     4 => Succession::SuccessorExited,
                     // An answer to a connection that nothing was passed on from.
                     _ => Succession::ForwardedAnswer {
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -76,7 +76,7 @@
             Succession::PredecessorLost if !self.partner.complete => self.effects.push(Effect::GiveUp),
             Succession::PredecessorLost => self.end_waits(now),
             Succession::PredecessorRunning => self.halve_calls(true),
-            Succession::PredecessorGone => {
+            Succession::PredecessorExited => {
                 self.halve_calls(false);
                 self.end_waits(now);
                 self.effects.push(Effect::Alone);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -222,7 +222,7 @@
         result: Option<Bytes>,
     },
     /// The old process is gone.
-    PredecessorGone,
+    PredecessorExited,
     /// The link to the old process broke, and it lives on.
     PredecessorLost,
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -228,7 +228,7 @@
             hub.push(Input::Succession(Succession::PredecessorRunning));
             let other = process_of(&reads);
             partner.listen(reads, &hub);
-            ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorGone);
+            ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorExited);
         };
         thread::Builder::new().stack_size(STACK).spawn(listen)
     });
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -58,7 +58,7 @@
     new.step(3, [Input::Succession(Succession::KeysComplete { standby: false })]);
     let half = calls_out(&mut new, 10);
     assert!(half > 0 && 2 * half <= whole, "{half} of {whole}");
-    new.step(20, [Input::Succession(Succession::PredecessorGone)]);
+    new.step(20, [Input::Succession(Succession::PredecessorExited)]);
     assert_eq!(calls_out(&mut new, 21), whole);
     old.step(20, [Input::Succession(Succession::SuccessorExited)]);
     // Past the window in which the new process may have run keys.
@@ -127,7 +127,7 @@
     let (_, mut new, _) = two_cores();
     new.send(3, "lobby-confirm", Some("run"));
     let waits = new.conns;
-    new.step(4, [Input::Succession(Succession::PredecessorGone)]);
+    new.step(4, [Input::Succession(Succession::PredecessorExited)]);
     assert_eq!(new.answers(waits), [&Verdict::Failed]);
     new.send(5, "lobby-confirm", Some("run"));
     assert_eq!(new.launches(), 0);
