--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -506,7 +506,7 @@
         }
         (self.pipe.up, self.pipe.cut) = (false, true);
         for (n, lost) in
-            [Succession::SuccessorDisconnected, Succession::PredecessorLost].into_iter().enumerate()
+            [Succession::SuccessorDisconnected, Succession::PredecessorDisconnected].into_iter().enumerate()
         {
             self.pipe.to[n].truncate(heard);
             self.pipe.to[n].push_back(Told::Is(lost));
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -73,8 +73,10 @@
             }
             Succession::KeyResolved { key, ran, result } => self.settled(now, &key, ran, result),
             // Some keys are missing here, and it runs them: it decides, and this process does not.
-            Succession::PredecessorLost if !self.partner.complete => self.effects.push(Effect::GiveUp),
-            Succession::PredecessorLost => self.end_waits(now),
+            Succession::PredecessorDisconnected if !self.partner.complete => {
+                self.effects.push(Effect::GiveUp)
+            }
+            Succession::PredecessorDisconnected => self.end_waits(now),
             Succession::PredecessorRunning => self.halve_calls(true),
             Succession::PredecessorExited => {
                 self.halve_calls(false);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -224,7 +224,7 @@
     /// The old process is gone.
     PredecessorExited,
     /// The link to the old process broke, and it lives on.
-    PredecessorLost,
+    PredecessorDisconnected,
 }
 
 /// What the console may ask the reducer.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -228,7 +228,7 @@
             hub.push(Input::Succession(Succession::PredecessorRunning));
             let other = process_of(&reads);
             partner.listen(reads, &hub);
-            ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorExited);
+            ended(other, &hub, Succession::PredecessorDisconnected, Succession::PredecessorExited);
         };
         thread::Builder::new().stack_size(STACK).spawn(listen)
     });
@@ -478,7 +478,7 @@
             Succession::PredecessorRunning,
             Succession::KeysComplete { standby: false },
             // This test is the other process, and lives on.
-            Succession::PredecessorLost,
+            Succession::PredecessorDisconnected,
         ];
         assert_eq!([(); 3].map(told), expected);
     }
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -159,10 +159,14 @@
 #[test]
 fn a_process_that_lacks_keys_gives_up_while_the_one_that_has_them_lives() {
     let mut bench = Bench::new();
-    assert!(bench.step(0, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
+    assert!(bench
+        .step(0, [Input::Succession(Succession::PredecessorDisconnected)])
+        .contains(&Effect::GiveUp));
     let mut bench = Bench::new();
     bench.step(0, [Input::Succession(Succession::KeysComplete { standby: false })]);
-    assert!(!bench.step(1, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
+    assert!(!bench
+        .step(1, [Input::Succession(Succession::PredecessorDisconnected)])
+        .contains(&Effect::GiveUp));
 }
 
 #[test]
