--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -406,12 +406,12 @@
                 self.nodes[n].out.push_back(Out::Plain(Notice::Sampled { ticket, figures }));
             }
             Command::Sync => {
-                let asked_on = self.nodes[n].link_id;
-                self.nodes[n].out.push_back(Out::Plain(Notice::Synced { asked_on }));
+                let requested_on = self.nodes[n].link_id;
+                self.nodes[n].out.push_back(Out::Plain(Notice::Synced { requested_on }));
             }
             Command::Acknowledge(number) => {
-                let asked_on = self.nodes[n].link_id;
-                self.nodes[n].out.push_back(Out::Plain(Notice::Acknowledged { asked_on, number }));
+                let requested_on = self.nodes[n].link_id;
+                self.nodes[n].out.push_back(Out::Plain(Notice::Acknowledged { requested_on, number }));
             }
         }
     }
@@ -767,7 +767,7 @@
         let notice = match what % 10 {
             0 => Notice::Greeting { cold: any.is_multiple_of(2), lasted },
             1 => Notice::Closed(LinkEnd::Broken { end, written: any % 64 }),
-            2 => Notice::Synced { asked_on: LinkId(any % 8) },
+            2 => Notice::Synced { requested_on: LinkId(any % 8) },
             3 => Notice::Sampled {
                 ticket: any % 64,
                 figures: vec![f64::from(pick) / 16.0; (what >> 4) as usize],
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -33,8 +33,8 @@
                 self.link_greeted(now, link);
             }
             Notice::Closed(end) => self.link_closed(now, link, end),
-            Notice::Synced { asked_on } => self.synced(now, asked_on),
-            Notice::Acknowledged { asked_on, number } => self.acknowledged(asked_on, number),
+            Notice::Synced { requested_on } => self.synced(now, requested_on),
+            Notice::Acknowledged { requested_on, number } => self.acknowledged(requested_on, number),
             Notice::Settled { .. } => {}
             Notice::Sampled { ticket, figures } => {
                 let mut gauges = Gauges::default();
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -251,19 +251,19 @@
     /// Everything told before the [`Command::Sync`] of this link was read.
     Synced {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
     },
     /// Everything said before the [`Command::Acknowledge`] of this link and number was heard.
     Acknowledged {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
         /// The number of the question.
         number: u64,
     },
     /// Everything said on a link was heard, before it moves. For the link's keeper, not for the reducer.
     Settled {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
     },
     /// The gauges.
     Sampled {
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -70,14 +70,14 @@
 /// What the answer to a mark tells; nothing where it names no link.
 fn read_mark(ticket: &str) -> Option<Notice> {
     let link = |digits: &str| digits.parse().ok().map(LinkId);
-    if let Some(asked_on) = ticket.strip_prefix(SYNC_TICKET) {
-        return Some(Notice::Synced { asked_on: link(asked_on)? });
+    if let Some(requested_on) = ticket.strip_prefix(SYNC_TICKET) {
+        return Some(Notice::Synced { requested_on: link(requested_on)? });
     }
-    if let Some(asked_on) = ticket.strip_prefix(MOVE_TICKET) {
-        return Some(Notice::Settled { asked_on: link(asked_on)? });
+    if let Some(requested_on) = ticket.strip_prefix(MOVE_TICKET) {
+        return Some(Notice::Settled { requested_on: link(requested_on)? });
     }
-    let (asked_on, number) = ticket.strip_prefix(ACKNOWLEDGE_TICKET)?.split_once('-')?;
-    Some(Notice::Acknowledged { asked_on: link(asked_on)?, number: number.parse().ok()? })
+    let (requested_on, number) = ticket.strip_prefix(ACKNOWLEDGE_TICKET)?.split_once('-')?;
+    Some(Notice::Acknowledged { requested_on: link(requested_on)?, number: number.parse().ok()? })
 }
 
 /// Reads one notice: its number, and what it tells, if that matters here.
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -88,18 +88,18 @@
 
     /// The agent has heard all that was said before the last question.
     pub fn acknowledged(&mut self, at: u64) -> Vec<Effect> {
-        let (asked_on, number) = self.last_acknowledge().unwrap();
-        self.notice(at, Notice::Acknowledged { asked_on, number })
+        let (requested_on, number) = self.last_acknowledge().unwrap();
+        self.notice(at, Notice::Acknowledged { requested_on, number })
     }
 
     /// The agent has told all that it had to tell when it read the last question for that.
     pub fn synced(&mut self, at: u64) -> Vec<Effect> {
-        let asked_on = |effect: &Effect| match effect {
+        let requested_on = |effect: &Effect| match effect {
             Effect::Agent { link, command: Command::Sync, .. } => Some(*link),
             _ => None,
         };
-        let asked_on = self.done.iter().rev().find_map(asked_on).unwrap();
-        self.notice(at, Notice::Synced { asked_on })
+        let requested_on = self.done.iter().rev().find_map(requested_on).unwrap();
+        self.notice(at, Notice::Synced { requested_on })
     }
 
     /// Lets time go by, as the program does: woken for each timer.
--- a/tests/core/lost_link.rs
+++ b/tests/core/lost_link.rs
@@ -81,7 +81,7 @@
     bench.lose_link(20);
     bench.greet(30);
     for earlier in [LinkId::NONE, LinkId(1)] {
-        let again = bench.notice(32, Notice::Synced { asked_on: earlier });
+        let again = bench.notice(32, Notice::Synced { requested_on: earlier });
         assert_eq!(launches_of(&again, read), 0, "{again:?}");
     }
     assert_eq!(launches_of(&bench.synced(33), read), 1);
@@ -128,16 +128,16 @@
 fn an_acknowledgement_counts_for_what_was_said_before_it_on_its_link_alone() {
     let mut bench = Bench::new();
     bench.send(10, "queue-status", None);
-    let (asked_on, number) = bench.last_acknowledge().unwrap();
+    let (requested_on, number) = bench.last_acknowledge().unwrap();
     let later = bench.send(11, "queue-status", None);
-    assert_eq!(bench.last_acknowledge(), Some((asked_on, number)), "one question at a time");
-    bench.notice(12, Notice::Acknowledged { asked_on, number });
-    let second = Some((asked_on, number + 1));
+    assert_eq!(bench.last_acknowledge(), Some((requested_on, number)), "one question at a time");
+    bench.notice(12, Notice::Acknowledged { requested_on, number });
+    let second = Some((requested_on, number + 1));
     assert_eq!(bench.last_acknowledge(), second, "the second launch has a question of its own");
     let again = relinked(&mut bench, 20);
     assert_eq!((launches_of(&again, handle(1)), launches_of(&again, later)), (0, 1), "{again:?}");
     // The answer that the broken link owed.
-    bench.notice(32, Notice::Acknowledged { asked_on, number: number + 1 });
+    bench.notice(32, Notice::Acknowledged { requested_on, number: number + 1 });
     let again = relinked(&mut bench, 40);
     assert_eq!(launches_of(&again, later), 1, "{again:?}");
 }
@@ -346,7 +346,7 @@
     bench.greet(30);
     let read = bench.send(31, "queue-status", None);
     assert_eq!(bench.last_acknowledge(), Some((bench.link, number)), "questions are counted on each link");
-    bench.notice(32, Notice::Acknowledged { asked_on: first, number });
+    bench.notice(32, Notice::Acknowledged { requested_on: first, number });
     let again = relinked(&mut bench, 40);
     assert_eq!(launches_of(&again, read), 1, "{again:?}");
 }
