--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -35,7 +35,7 @@
             Notice::Closed(end) => self.link_closed(now, link, end),
             Notice::Synced { requested_on } => self.synced(now, requested_on),
             Notice::Acknowledged { requested_on, number } => self.acknowledged(requested_on, number),
-            Notice::Settled { .. } => {}
+            Notice::MoveAcknowledged { .. } => {}
             Notice::Sampled { ticket, figures } => {
                 let mut gauges = Gauges::default();
                 for (name, figure) in self.site.gauges.iter().zip(figures) {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -261,7 +261,7 @@
         number: u64,
     },
     /// Everything said on a link was heard, before it moves. For the link's keeper, not for the reducer.
-    Settled {
+    MoveAcknowledged {
         /// The link on which that was asked.
         requested_on: LinkId,
     },
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -28,7 +28,7 @@
     pub(super) fn read_notices(&self, reads: &mut Buffer, settled: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
-                Ok(Some(Notice::Settled { requested_on })) if requested_on == self.link => settled(),
+                Ok(Some(Notice::MoveAcknowledged { requested_on })) if requested_on == self.link => settled(),
                 Ok(Some(notice)) => self.hub.push(Input::Agent { link: self.link, notice }),
                 Ok(None) => {
                     if let Err(end) = reads.more() {
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -74,7 +74,7 @@
         return Some(Notice::Synced { requested_on: link(requested_on)? });
     }
     if let Some(requested_on) = ticket.strip_prefix(MOVE_TICKET) {
-        return Some(Notice::Settled { requested_on: link(requested_on)? });
+        return Some(Notice::MoveAcknowledged { requested_on: link(requested_on)? });
     }
     let (requested_on, number) = ticket.strip_prefix(ACKNOWLEDGE_TICKET)?.split_once('-')?;
     Some(Notice::Acknowledged { requested_on: link(requested_on)?, number: number.parse().ok()? })
