--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -133,7 +133,7 @@
 fn plausible(notice: &Notice) {
     let day = Duration::from_secs(86_400);
     match notice {
-        Notice::Greeting { lasted, .. } => assert!(*lasted <= 400 * day, "{notice:?}"),
+        Notice::Greeting { uptime, .. } => assert!(*uptime <= 400 * day, "{notice:?}"),
         Notice::Outcome { lasted: Some(lasted), .. } => assert!(*lasted <= day, "{notice:?}"),
         Notice::CallNeeded { cursor, .. } => assert!(*cursor > 0 && *cursor < 1 << 53, "{notice:?}"),
         Notice::Sampled { figures, .. } => assert!(figures.iter().all(|f| f.is_finite()), "{notice:?}"),
--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -46,7 +46,7 @@
     let Ok(mut core) = Core::new(config.site.clone(), config.seed, config.stop_after, at(0)) else { return };
     core.step(
         at(0),
-        [Input::Agent { link: LinkId(1), notice: Notice::Greeting { cold: true, lasted: Duration::ZERO } }],
+        [Input::Agent { link: LinkId(1), notice: Notice::Greeting { cold: true, uptime: Duration::ZERO } }],
     );
     let mut open = 0i64;
     let ask = |core: &mut Core, names: &[String], from: u64, now: Duration| {
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -322,7 +322,7 @@
             return;
         }
         (node.link, node.link_id) = (true, LinkId(node.link_id.0 + 1));
-        let greeting = Notice::Greeting { cold: self.kind & 128 != 0, lasted: ms(60_000) };
+        let greeting = Notice::Greeting { cold: self.kind & 128 != 0, uptime: ms(60_000) };
         node.out = [Out::Plain(greeting)].into();
         node.out.extend((node.cursor..node.notices.len()).map(Out::Numbered));
     }
@@ -765,7 +765,7 @@
         let body: Option<Bytes> = (!any.is_multiple_of(3)).then(|| [any as u8].into());
         let lasted = ms(any % 86_400_000);
         let notice = match what % 10 {
-            0 => Notice::Greeting { cold: any.is_multiple_of(2), lasted },
+            0 => Notice::Greeting { cold: any.is_multiple_of(2), uptime: lasted },
             1 => Notice::Closed(LinkEnd::Broken { end, written: any % 64 }),
             2 => Notice::Synced { requested_on: LinkId(any % 8) },
             3 => Notice::Sampled {
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -16,14 +16,14 @@
 impl Core {
     pub(super) fn agent(&mut self, now: Duration, link: LinkId, notice: Notice) {
         match notice {
-            Notice::Greeting { cold, lasted } => {
+            Notice::Greeting { cold, uptime } => {
                 self.effects.push(Effect::Ready);
                 // The module's life begins with the agent's: it is told then how warm the machine is.
                 if !std::mem::replace(&mut self.greeted, true) && self.live.is_empty() && self.drain.is_none()
                 {
                     let mut settings = self.module_settings();
                     settings.cold = cold;
-                    if let Ok(brain) = Brain::new(settings, self.seed, now.saturating_sub(lasted)) {
+                    if let Ok(brain) = Brain::new(settings, self.seed, now.saturating_sub(uptime)) {
                         self.brain = brain;
                         self.tell_ways();
                         self.waiting_ticks.clear();
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -244,7 +244,7 @@
         /// It started cold.
         cold: bool,
         /// It has been up for this long.
-        lasted: Duration,
+        uptime: Duration,
     },
     /// The link is over: nothing more comes over it.
     Closed(LinkEnd),
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -108,7 +108,7 @@
     let notice = match event {
         "greeting" => {
             let cold = text("fate") == Some("chilly");
-            Some(Notice::Greeting { cold, lasted: lasted.unwrap_or_default() })
+            Some(Notice::Greeting { cold, uptime: lasted.unwrap_or_default() })
         }
         "outcome" => {
             let end = match text("fate") {
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -159,7 +159,7 @@
 
 /// The agent is up.
 pub fn greeting() -> Notice {
-    Notice::Greeting { cold: false, lasted: Duration::from_secs(60) }
+    Notice::Greeting { cold: false, uptime: Duration::from_secs(60) }
 }
 
 /// A link broke, and of the commands for it those up to this number were written.
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -38,7 +38,7 @@
         if routes {
             bench.ways(0, Way::Open);
         }
-        bench.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
+        bench.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
         bench
     }
 
@@ -261,7 +261,7 @@
     let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
     let mut early = Bench { core, done: Vec::new(), next: 1 };
     early.ways(0, Way::Shut);
-    early.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
+    early.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
     early.send(20, "queue-status", |_| ());
     assert!(matches!(early.answers(1)[..], [Verdict::Refused { .. }]));
 }
