--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -147,7 +147,7 @@
             if let Delivery::Sent { link: sent_on, number } = pending.delivery {
                 if sent_on == link {
                     match end {
-                        LinkEnd::Settled { read } if number <= read => {
+                        LinkEnd::Clean { read } if number <= read => {
                             live.pending = None;
                             continue;
                         }
@@ -160,7 +160,7 @@
                             }
                         }
                         // It was dropped: it is said again from here, if it is still wanted then.
-                        LinkEnd::Settled { .. } | LinkEnd::Broken { .. } => {
+                        LinkEnd::Clean { .. } | LinkEnd::Broken { .. } => {
                             live.said.forget(&pending.command);
                             // Of a launch that repeats one, the earlier one may have been heard.
                             pending.delivery = match pending.is_launch() && live.said.has_launched() {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -312,7 +312,7 @@
         written: u64,
     },
     /// It was closed in good order. The agent has read the commands up to the number `read`; later ones were not written.
-    Settled {
+    Clean {
         /// The number of the last command that was read.
         read: u64,
     },
--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -250,7 +250,7 @@
                 }
                 Ok(Order::Broken(ended)) if ended.link == link.id => {
                     match is_settled {
-                        true => self.tell_end(&link, LinkEnd::Settled { read: link.written }),
+                        true => self.tell_end(&link, LinkEnd::Clean { read: link.written }),
                         false => self.tell_broken(&link, &ended),
                     }
                     return;
--- a/tests/core/lost_link.rs
+++ b/tests/core/lost_link.rs
@@ -357,7 +357,7 @@
     let keyed = bench.send(10, "lobby-confirm", Some("k"));
     let read = bench.commands_said();
     let late = bench.send(11, "queue-status", None);
-    bench.notice(20, Notice::Closed(LinkEnd::Settled { read }));
+    bench.notice(20, Notice::Closed(LinkEnd::Clean { read }));
     let said = [bench.greet(30), bench.synced(31)].concat();
     assert_eq!((launches_of(&said, keyed), launches_of(&said, late)), (0, 1), "{said:?}");
     assert_eq!((count(&bench, "runs_orphaned"), count(&bench, "links_lost")), (0, 0));
