--- a/src/core/delivery/pending.rs
+++ b/src/core/delivery/pending.rs
@@ -27,7 +27,7 @@
 impl Pending {
     /// The command's name and how far it got, for the log.
     pub(in crate::core) fn describe(&self) -> String {
-        let name = self.command.about().map_or("none", |(name, _)| name);
+        let name = self.command.name_and_handle().map_or("none", |(name, _)| name);
         match self.delivery {
             Delivery::Unsent => format!("{name} not written"),
             Delivery::Sent { link, .. } => format!("{name} written on link {link}"),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -371,7 +371,7 @@
 
 impl Command {
     /// The run that it is about, and its name on the wire.
-    pub fn about(&self) -> Option<(&'static str, Handle)> {
+    pub fn name_and_handle(&self) -> Option<(&'static str, Handle)> {
         match self {
             Self::Launch { handle, .. } => Some(("launch", *handle)),
             Self::Freeze { handle } => Some(("freeze", *handle)),
--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -55,7 +55,7 @@
         }
         encode(self.id, &outgoing.command, out);
         self.queued = outgoing.number;
-        self.last = outgoing.command.about().or(self.last);
+        self.last = outgoing.command.name_and_handle().or(self.last);
     }
 
     /// Writes all that was put on it; false where that failed.
