--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -227,7 +227,7 @@
                 self.nodes[n].calls.retain(|(h, _)| *h != handle);
                 self.nodes[n].calls.push((handle, attempt));
             }
-            Effect::Uncall { handle, attempt } => {
+            Effect::CancelCall { handle, attempt } => {
                 if let Some(at) = self.nodes[n].calls.iter().position(|call| *call == (handle, attempt)) {
                     self.nodes[n].calls.remove(at);
                     self.asked.get_mut(&handle).into_iter().for_each(|a| a.unproved_call = true);
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -161,7 +161,7 @@
         if live.call.began.take().is_some() {
             live.call.history.gave_up();
             let (handle, attempt) = (live.handle, live.call.attempt);
-            self.effects.push(Effect::Uncall { handle, attempt });
+            self.effects.push(Effect::CancelCall { handle, attempt });
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -351,7 +351,7 @@
             Timer::CallLate(id, attempt) => {
                 let is_out = |live: &&Live| live.call.is_out(attempt);
                 if let Some(handle) = self.live.get(&id).filter(is_out).map(|live| live.handle) {
-                    self.effects.push(Effect::Uncall { handle, attempt });
+                    self.effects.push(Effect::CancelCall { handle, attempt });
                     self.call_ended(now, handle, attempt, End::Overdue, None);
                 }
             }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -457,7 +457,7 @@
         route: Option<Box<routing::Call>>,
     },
     /// Give up the call of a request.
-    Uncall {
+    CancelCall {
         /// The request.
         handle: Handle,
         /// Which of the request's calls.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -365,7 +365,7 @@
                     Below::Scgi(service) => scgi::call(*service, &self.hub, handle, attempt, patience, body),
                 }
             }
-            Effect::Uncall { handle, attempt } => {
+            Effect::CancelCall { handle, attempt } => {
                 // An SCGI call has no word for this: it ends with its own time.
                 if let Below::Vault(vault) = &self.below {
                     vault.send(vault::Order::Unask { handle, attempt });
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -168,7 +168,7 @@
     bench.notice(40, need(second, 7));
     let attempt = asks(&bench.done);
     bench.pass(1_560);
-    assert!(bench.done.contains(&Effect::Uncall { handle: second, attempt }));
+    assert!(bench.done.contains(&Effect::CancelCall { handle: second, attempt }));
     assert_eq!(bench.answers(2), [&Verdict::Failed]);
 
     let third = bench.send(2_000, "queue-prefs", None);
