--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -261,7 +261,7 @@
             | Effect::List(_)
             | Effect::Relink
             | Effect::Log(_)
-            | Effect::Count { .. }
+            | Effect::CountAnswer { .. }
             | Effect::Told { .. } => {}
         }
     }
--- a/src/core/routed.rs
+++ b/src/core/routed.rs
@@ -72,7 +72,7 @@
             Verdict::Refused { .. } => Kind::TurnedAway,
             _ => Kind::Failed,
         };
-        Effect::Count { route: Box::new(self.call(class)), kind }
+        Effect::CountAnswer { route: Box::new(self.call(class)), kind }
     }
 }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -464,7 +464,7 @@
         attempt: u32,
     },
     /// A request got its one answer, where the fleet routes calls: experiments count it.
-    Count {
+    CountAnswer {
         /// What the request's route depends on.
         route: Box<routing::Call>,
         /// How it was answered.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -371,7 +371,7 @@
                     vault.send(vault::Order::Unask { handle, attempt });
                 }
             }
-            Effect::Count { route, kind } => {
+            Effect::CountAnswer { route, kind } => {
                 if let Some(routing) = &self.hub.routing {
                     routing.count(&route, kind);
                 }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -107,7 +107,7 @@
 
     fn counted(&self) -> Vec<Kind> {
         let counts = self.done.iter().filter_map(|e| match e {
-            Effect::Count { kind, .. } => Some(*kind),
+            Effect::CountAnswer { kind, .. } => Some(*kind),
             _ => None,
         });
         counts.collect()
