--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -258,7 +258,7 @@
             }
             Effect::TrimIdle(_)
             | Effect::Draining
-            | Effect::List(_)
+            | Effect::ReportReadiness(_)
             | Effect::Relink
             | Effect::Log(_)
             | Effect::CountAnswer { .. }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -216,7 +216,7 @@
         self.ask_for_acknowledgement();
         let listed = self.takes_callers() && (self.drain.is_none() || self.partner.yields);
         if std::mem::replace(&mut self.listed, listed) != listed {
-            self.effects.push(Effect::List(listed));
+            self.effects.push(Effect::ReportReadiness(listed));
         }
         let effects = std::mem::take(&mut self.effects);
         self.counters.commands += effects.iter().filter(|e| matches!(e, Effect::Agent { .. })).count() as u64;
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -475,7 +475,7 @@
     /// The server leaves: members of its fleet are told, and what was counted is logged.
     Draining,
     /// Whether reports to the control plane say that callers may come.
-    List(bool),
+    ReportReadiness(bool),
     /// Move the links to the addresses that the configuration names now.
     Relink,
     /// The agent is up: requests can be served.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -387,7 +387,7 @@
                     fleet.draining(true);
                 }
             }
-            Effect::List(ready) => self.control.store(ready, Ordering::Relaxed),
+            Effect::ReportReadiness(ready) => self.control.store(ready, Ordering::Relaxed),
             Effect::Relink => {
                 let links = self.hub.links();
                 info!("the configuration was read again: {links:?}");
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -441,7 +441,10 @@
     // Guards against reports that said Ready whatever the health: the list follows them at some sites.
     let mut bench = Bench::new();
     let lists = |effects: &[Effect]| -> Vec<bool> {
-        effects.iter().filter_map(|e| if let Effect::List(on) = e { Some(*on) } else { None }).collect()
+        effects
+            .iter()
+            .filter_map(|e| if let Effect::ReportReadiness(on) = e { Some(*on) } else { None })
+            .collect()
     };
     for (at, on) in [(1, false), (2, true)] {
         let told = bench.step(at, [Input::Standby(!on)]);
