--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -225,7 +225,7 @@
         let is_awaited = self.partner.open.contains_key(key);
         if self.partner.yields && !is_awaited && !self.keys.is_open(key) {
             let (ran, result) = (self.keys.ran(key).is_some(), self.keys.result(key));
-            self.effects.push(Effect::Settled { key: key.clone(), ran, result });
+            self.effects.push(Effect::KeyResolved { key: key.clone(), ran, result });
         }
     }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -490,7 +490,7 @@
     /// Pass a request on to it.
     Forward(Box<Request>),
     /// Tell it what came of a key.
-    Settled {
+    KeyResolved {
         /// The key.
         key: Key,
         /// It was run.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -422,7 +422,7 @@
                 request.start = self.hub.clock.to_wall(request.start);
                 self.successor.send(handover::Word::Request(request));
             }
-            Effect::Settled { key, ran, result } => {
+            Effect::KeyResolved { key, ran, result } => {
                 self.successor.send(handover::Word::Settled(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -26,7 +26,7 @@
 
 fn settled(effects: &[Effect], of: &str) -> Option<Input> {
     effects.iter().find_map(|e| match e {
-        Effect::Settled { key, ran, result } if &**key == of => {
+        Effect::KeyResolved { key, ran, result } if &**key == of => {
             let (key, ran, result) = (key.clone(), *ran, result.clone());
             Some(Input::Succession(Succession::KeyResolved { key, ran, result }))
         }
