--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -241,7 +241,7 @@
                     self.say(n, &Word::Begin);
                 }
             }
-            Effect::Listen | Effect::Alone => {
+            Effect::Listen | Effect::PeerExited => {
                 let node = &mut self.nodes[n];
                 node.serving |= node.drained.is_none();
                 node.served |= node.serving;
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -81,7 +81,7 @@
             Succession::PredecessorExited => {
                 self.halve_calls(false);
                 self.end_waits(now);
-                self.effects.push(Effect::Alone);
+                self.effects.push(Effect::PeerExited);
             }
             Succession::HandoverRequested => {
                 self.partner.is_awaited = true;
@@ -107,7 +107,7 @@
                 self.fail_passed_on();
                 let windows = self.site.settings.classes.iter().map(|c| c.window);
                 self.partner.barred_until = now + windows.max().unwrap_or_default();
-                self.effects.push(Effect::Alone);
+                self.effects.push(Effect::PeerExited);
             }
         }
     }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -501,7 +501,7 @@
     /// The keys are there: take callers.
     Listen,
     /// There is no other process any more.
-    Alone,
+    PeerExited,
     /// This process cannot take over, and must not serve.
     GiveUp,
     /// Take no new connections, and let those that are open end: the other process serves on.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -426,7 +426,7 @@
                 self.successor.send(handover::Word::Settled(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
-            Effect::Alone => {
+            Effect::PeerExited => {
                 self.hub.share(false);
                 self.take_callers();
                 self.predecessor = None;
