--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -246,7 +246,7 @@
                 node.serving |= node.drained.is_none();
                 node.served |= node.serving;
             }
-            Effect::GiveUp => {
+            Effect::AbortTakeover => {
                 assert!(n == 1 && !self.nodes[n].serving, "gives up while it serves");
                 self.end(n, usize::MAX);
             }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -74,7 +74,7 @@
             Succession::KeyResolved { key, ran, result } => self.settled(now, &key, ran, result),
             // Some keys are missing here, and it runs them: it decides, and this process does not.
             Succession::PredecessorDisconnected if !self.partner.complete => {
-                self.effects.push(Effect::GiveUp)
+                self.effects.push(Effect::AbortTakeover)
             }
             Succession::PredecessorDisconnected => self.end_waits(now),
             Succession::PredecessorRunning => self.halve_calls(true),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -503,7 +503,7 @@
     /// There is no other process any more.
     PeerExited,
     /// This process cannot take over, and must not serve.
-    GiveUp,
+    AbortTakeover,
     /// Take no new connections, and let those that are open end: the other process serves on.
     Yield,
     /// Take no new connections.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -431,7 +431,7 @@
                 self.take_callers();
                 self.predecessor = None;
             }
-            Effect::GiveUp => {
+            Effect::AbortTakeover => {
                 self.fault = Some(NodeError::HandoverEnded);
             }
             Effect::Yield => {
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -161,12 +161,12 @@
     let mut bench = Bench::new();
     assert!(bench
         .step(0, [Input::Succession(Succession::PredecessorDisconnected)])
-        .contains(&Effect::GiveUp));
+        .contains(&Effect::AbortTakeover));
     let mut bench = Bench::new();
     bench.step(0, [Input::Succession(Succession::KeysComplete { standby: false })]);
     assert!(!bench
         .step(1, [Input::Succession(Succession::PredecessorDisconnected)])
-        .contains(&Effect::GiveUp));
+        .contains(&Effect::AbortTakeover));
 }
 
 #[test]
