--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -250,7 +250,7 @@
                 assert!(n == 1 && !self.nodes[n].serving, "gives up while it serves");
                 self.end(n, usize::MAX);
             }
-            Effect::StopListening | Effect::Yield => self.nodes[n].serving = false,
+            Effect::StopListening | Effect::YieldToSuccessor => self.nodes[n].serving = false,
             Effect::Leave => {
                 let waiting = &self.nodes[n].conns;
                 assert!(waiting.is_empty(), "left without an answer: {waiting:?}");
--- a/src/core/leaving.rs
+++ b/src/core/leaving.rs
@@ -59,7 +59,7 @@
             // No notice to leave the fleet: another process serves on. What is here ends, the rest is passed on.
             self.grace_over = true;
             self.arm(noticed + until_close, Timer::DrainGrace);
-            self.effects.push(Effect::Yield);
+            self.effects.push(Effect::YieldToSuccessor);
         } else {
             let grace = from_reading(self.site.settings.drain_grace);
             self.arm(noticed + grace.min(until_close), Timer::DrainGrace);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -505,7 +505,7 @@
     /// This process cannot take over, and must not serve.
     AbortTakeover,
     /// Take no new connections, and let those that are open end: the other process serves on.
-    Yield,
+    YieldToSuccessor,
     /// Take no new connections.
     StopListening,
     /// All is answered: end once the connections are closed.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -434,7 +434,7 @@
             Effect::AbortTakeover => {
                 self.fault = Some(NodeError::HandoverEnded);
             }
-            Effect::Yield => {
+            Effect::YieldToSuccessor => {
                 self.hub.yields.store(true, Ordering::Relaxed);
                 self.stop_fronts(true);
                 let counters = format!("{}", self.core.counters());
