--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -251,7 +251,7 @@
                 self.end(n, usize::MAX);
             }
             Effect::StopListening | Effect::YieldToSuccessor => self.nodes[n].serving = false,
-            Effect::Leave => {
+            Effect::Exit => {
                 let waiting = &self.nodes[n].conns;
                 assert!(waiting.is_empty(), "left without an answer: {waiting:?}");
                 self.end(n, usize::MAX);
--- a/src/core/leaving.rs
+++ b/src/core/leaving.rs
@@ -111,7 +111,7 @@
     /// Leaves once the grace is over and all that was read is answered.
     pub(super) fn leave_when_done(&mut self) {
         if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.left, true) {
-            self.effects.push(Effect::Leave);
+            self.effects.push(Effect::Exit);
         }
     }
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -509,7 +509,7 @@
     /// Take no new connections.
     StopListening,
     /// All is answered: end once the connections are closed.
-    Leave,
+    Exit,
     /// A line for on-call.
     Log(String),
     /// The answer to a query.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -293,7 +293,7 @@
             self.hub.waiting.fetch_sub(batch.len(), Ordering::Relaxed);
             self.hub.clock.look();
             for effect in self.core.step(self.hub.clock.now(), batch) {
-                leaving |= effect == Effect::Leave;
+                leaving |= effect == Effect::Exit;
                 self.perform(effect);
             }
             if let Some(fault) = self.fault {
@@ -447,7 +447,7 @@
                     info!("leaves to the process that took over: counters so far: {counters}");
                 });
             }
-            Effect::Leave => info!("all is answered"),
+            Effect::Exit => info!("all is answered"),
             Effect::Log(text) => info!("{text}"),
             Effect::Told { ticket, lines } => {
                 if let Some(asker) = self.hub.queries().remove(&ticket) {
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -192,13 +192,13 @@
     bench.send(1_500, "queue-status", None);
     assert_eq!(bench.launches(), 2, "within the grace requests run");
     bench.pass(2_101);
-    assert!(bench.done.contains(&Effect::StopListening) && !bench.done.contains(&Effect::Leave));
+    assert!(bench.done.contains(&Effect::StopListening) && !bench.done.contains(&Effect::Exit));
     bench.send(2_150, "queue-status", None);
     assert!(matches!(bench.answers(3)[..], [Verdict::Refused { .. }]));
     bench.complete(2_200, early, b"x");
     bench.complete(2_210, handle(2), b"y");
     assert_eq!(bench.launches(), 2);
-    assert!(bench.done.contains(&Effect::Leave));
+    assert!(bench.done.contains(&Effect::Exit));
 }
 
 #[test]
@@ -324,7 +324,7 @@
         }
         bench.drain(at);
         bench.pass(at + 3_200);
-        assert!(bench.done.contains(&Effect::Leave), "seed {seed}: it does not leave");
+        assert!(bench.done.contains(&Effect::Exit), "seed {seed}: it does not leave");
         let mut runs = std::collections::HashMap::new();
         let mut launched = std::collections::HashSet::new();
         for effect in &bench.done {
