--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -262,7 +262,7 @@
             | Effect::Relink
             | Effect::Log(_)
             | Effect::CountAnswer { .. }
-            | Effect::Told { .. } => {}
+            | Effect::QueryResult { .. } => {}
         }
     }
 
@@ -854,7 +854,7 @@
             let effects =
                 self.nodes[n].core.step(self.now, [Input::Query { ticket: 9, query: Query::Status }]);
             let told = effects.iter().find_map(|e| match e {
-                Effect::Told { lines, .. } => Some(lines),
+                Effect::QueryResult { lines, .. } => Some(lines),
                 _ => None,
             });
             for (name, value) in told.expect("the status") {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -290,7 +290,7 @@
                         list.map(|(name, n)| (name, n.to_string())).collect()
                     }
                 };
-                self.effects.push(Effect::Told { ticket, lines });
+                self.effects.push(Effect::QueryResult { ticket, lines });
             }
             Input::LogCounters => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
         }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -513,7 +513,7 @@
     /// A line for on-call.
     Log(String),
     /// The answer to a query.
-    Told {
+    QueryResult {
         /// The query's.
         ticket: u64,
         /// Names and values.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -449,7 +449,7 @@
             }
             Effect::Exit => info!("all is answered"),
             Effect::Log(text) => info!("{text}"),
-            Effect::Told { ticket, lines } => {
+            Effect::QueryResult { ticket, lines } => {
                 if let Some(asker) = self.hub.queries().remove(&ticket) {
                     let _ = asker.send(lines);
                 }
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -226,7 +226,7 @@
     }
     bench.pass(4_000);
     let told = bench.step(4_000, [Input::Query { ticket: 1, query: Query::Status }]);
-    let [Effect::Told { lines, .. }] = &told[..] else { panic!("{told:?}") };
+    let [Effect::QueryResult { lines, .. }] = &told[..] else { panic!("{told:?}") };
     let timers = lines.iter().find(|(name, _)| name == "timers").unwrap().1.parse::<usize>().unwrap();
     assert!((1..10).contains(&timers), "{lines:?}");
 }
@@ -366,7 +366,7 @@
     let sent = bench.send(290_000, "new-39", None);
     bench.complete(290_001, sent, b"r");
     assert_eq!(bench.answers(bench.conns), [&served(b"r")]);
-    let Some(Effect::Told { lines, .. }) =
+    let Some(Effect::QueryResult { lines, .. }) =
         bench.step(290_002, [Input::Query { ticket: 1, query: Query::Status }]).pop()
     else {
         panic!("no answer")
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -268,7 +268,7 @@
     assert!(bench.launches() > 1_200, "{}", bench.launches());
     let told = bench.step(at + 401, [Input::Query { ticket: 1, query: Query::Status }]);
     let running = told.iter().find_map(|effect| match effect {
-        Effect::Told { lines, .. } => lines.iter().find(|(name, _)| name == "running"),
+        Effect::QueryResult { lines, .. } => lines.iter().find(|(name, _)| name == "running"),
         _ => None,
     });
     let running: usize = running.unwrap().1.parse().unwrap();
