--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -166,7 +166,7 @@
                 assert!(end.starts_with(b"\n") || end.starts_with(b"\r\n"), "a body that does not end");
                 rest = &end[end.iter().position(|b| *b == b'\n').unwrap() + 1..];
             }
-            (word, None) => assert_eq!(word, end.word()),
+            (word, None) => assert_eq!(word, end.as_str()),
             (word, Some(_)) => panic!("a body behind '{word}'"),
         }
     }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -113,7 +113,7 @@
         let mut list: Vec<_> = plain.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
         for (name, counts) in [("run", &self.runs), ("call", &self.calls), ("unsent", &self.unsent)] {
             let some = End::ALL.iter().filter(|end| counts[**end as usize] > 0);
-            list.extend(some.map(|end| (format!("{name}_{}", end.word()), counts[*end as usize])));
+            list.extend(some.map(|end| (format!("{name}_{}", end.as_str()), counts[*end as usize])));
         }
         list
     }
--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -131,7 +131,7 @@
         self.outbox.connection = Connection::Down;
         let (in_doubt, unsent) = self.settle_sent(now, link, end);
         if let LinkEnd::Broken { end, .. } = end {
-            let word = end.word();
+            let word = end.as_str();
             self.effects.push(Effect::Log(format!(
                 "link {link} to the agent lost ({word}): {in_doubt} commands in doubt, {unsent} not written"
             )));
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -78,7 +78,7 @@
     }
 
     /// Its word in the counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
             Self::Failed => "failed",
--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -193,7 +193,7 @@
         let last = link.last.map_or("none".to_string(), |(event, handle)| format!("{event} {handle}"));
         warn!(
             "the link to the agent ended: {}: {}; link {}, {} ms old, last command about a run: {last}, {} commands written, {} for other links dropped",
-            ended.end.word(),
+            ended.end.as_str(),
             ended.cause,
             link.id,
             link.since.elapsed().as_millis(),
