--- a/src/core/call_history.rs
+++ b/src/core/call_history.rs
@@ -67,7 +67,7 @@
     pub(super) fn ended(&mut self, end: End) -> bool {
         let is_repeated = self.told.contains(&end);
         self.owes_current |= is_repeated || end.leaves_reply_owed();
-        if end.is_told_below() && !is_repeated {
+        if end.is_service_status() && !is_repeated {
             self.told.push(end);
         }
         !is_repeated
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -68,7 +68,7 @@
     }
 
     /// A service below tells it by a word of its own, of which a copy may come.
-    pub fn is_told_below(self) -> bool {
+    pub fn is_service_status(self) -> bool {
         matches!(self, Self::NotNow | Self::Failed | Self::Pointless | Self::Stale)
     }
 
