--- a/src/core/call_history.rs
+++ b/src/core/call_history.rs
@@ -66,7 +66,7 @@
     /// An attempt ended in another way. Returns whether that end is known to be its own, and no copy of an earlier one.
     pub(super) fn ended(&mut self, end: End) -> bool {
         let is_repeated = self.told.contains(&end);
-        self.owes_current |= is_repeated || end.leaves_reply_owed();
+        self.owes_current |= is_repeated || end.may_leave_late_reply();
         if end.is_service_status() && !is_repeated {
             self.told.push(end);
         }
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -73,7 +73,7 @@
     }
 
     /// A call that ended so may still get a reply.
-    pub fn leaves_reply_owed(self) -> bool {
+    pub fn may_leave_late_reply(self) -> bool {
         matches!(self, Self::Overdue | Self::Broken | Self::Malformed | Self::Stalled)
     }
 
