--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -47,7 +47,7 @@
 
 impl Core {
     /// Each call below is answered on a connection of its own, with nothing else on it.
-    pub fn call_on_own_connections(&mut self) {
+    pub fn use_dedicated_call_connections(&mut self) {
         self.tells_replies_apart = true;
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -162,7 +162,7 @@
         let below = match config.appliance.scgi_below.filter(|_| config.vault.is_none()) {
             // Settings that have routes on as well are turned down: nothing of theirs reaches such a service.
             Some(address) if hub.routing.is_none() => {
-                core.call_on_own_connections();
+                core.use_dedicated_call_connections();
                 Below::Scgi(address)
             }
             _ => Below::Vault(vault::Link::start(&hub)),
--- a/tests/core/calls.rs
+++ b/tests/core/calls.rs
@@ -98,7 +98,7 @@
 #[test]
 fn where_each_call_is_answered_on_a_connection_of_its_own_all_calls_are_made() {
     let (mut bench, of) = at_first_call("queue-status", None);
-    bench.core.call_on_own_connections();
+    bench.core.use_dedicated_call_connections();
     end_call(&mut bench, 30, of, End::Broken, None);
     bench.pass(400);
     end_call(&mut bench, 410, of, End::Complete, Some(b"one"));
