--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -161,7 +161,7 @@
             0 | 1 => {
                 next += 1;
                 let start = now - Duration::from_millis(u64::from(pick));
-                let repeats = table.arrived(key, next, 7, start, WINDOW);
+                let repeats = table.add_try(key, next, 7, start, WINDOW);
                 if let Some(ran) = mine.ran.as_ref().filter(|r| start <= r.until - Duration::from_secs(1)) {
                     assert_eq!(repeats, Some(ran.id), "a try within the window repeats the run");
                 }
@@ -220,7 +220,7 @@
                 assert!(until >= ran.until, "handed over for too short a time");
             }
             let start = until.saturating_sub(Duration::from_secs(1));
-            heir.arrived(&key, 5, 7, start, WINDOW);
+            heir.add_try(&key, 5, 7, start, WINDOW);
             assert!(!heir.start(&key, 5), "run again by the process that took over");
         }
     }
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -60,7 +60,7 @@
         let tenant = self.tenant(request.tenant.as_deref());
         let id = self.new_id();
         let window = self.site.settings.classes[class].window;
-        let repeats = key.as_ref().and_then(|k| self.keys.arrived(k, id, what, start, window));
+        let repeats = key.as_ref().and_then(|k| self.keys.add_try(k, id, what, start, window));
         self.counters.repeats += u64::from(repeats.is_some());
         let conn = request.conn;
         self.handles.insert(request.handle, id);
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -96,7 +96,7 @@
     }
 
     /// Notes a try that reached the machine at `start`, and names the one that it repeats.
-    pub fn arrived(
+    pub fn add_try(
         &mut self,
         key: &Key,
         id: RequestId,
