--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -191,7 +191,7 @@
             }
             6 => {
                 let Some((id, _)) = one(&mine.tries, pick) else { continue };
-                table.left(key, id);
+                table.remove_try(key, id);
                 mine.tries.retain(|(n, _)| *n != id);
             }
             _ => {
@@ -226,7 +226,7 @@
     }
     // Nothing is left once all windows are over.
     for (key, mine) in names.iter().zip(&plain) {
-        mine.tries.iter().for_each(|(id, _)| table.left(key, *id));
+        mine.tries.iter().for_each(|(id, _)| table.remove_try(key, *id));
     }
     table.sweep(now + Duration::from_secs(60), LATENESS);
     assert_eq!((table.len(), table.result_bytes()), (0, 0));
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -161,7 +161,7 @@
     }
 
     /// A try is answered and over.
-    pub fn left(&mut self, key: &Key, id: RequestId) {
+    pub fn remove_try(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
         e.tries.retain(|t| t.id != id);
         if e.ran.is_none() {
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -190,7 +190,7 @@
         let Some(live) = self.live.remove(&id) else { return };
         self.handles.remove(&live.handle);
         if let Some(key) = &live.key {
-            self.keys.left(key, id);
+            self.keys.remove_try(key, id);
             let key = key.clone();
             self.settle_key(&key);
         }
