--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -169,7 +169,7 @@
             }
             2 | 3 => {
                 let Some((id, start)) = one(&mine.tries, pick) else { continue };
-                let started = table.start(key, id);
+                let started = table.start_run(key, id);
                 if started {
                     let clear = mine.ran.as_ref().is_none_or(|r| r.id != id && start > r.until);
                     assert!(clear, "a second run within the window of {:?}", mine.ran);
@@ -221,7 +221,7 @@
             }
             let start = until.saturating_sub(Duration::from_secs(1));
             heir.add_try(&key, 5, 7, start, WINDOW);
-            assert!(!heir.start(&key, 5), "run again by the process that took over");
+            assert!(!heir.start_run(&key, 5), "run again by the process that took over");
         }
     }
     // Nothing is left once all windows are over.
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a try is run now; false where another one has been, and this one came within its window.
-    pub fn start(&mut self, key: &Key, id: RequestId) -> bool {
+    pub fn start_run(&mut self, key: &Key, id: RequestId) -> bool {
         let Some(e) = self.entries.get_mut(key) else { return false };
         let Some(&Try { start, until, .. }) = e.tries.iter().find(|t| t.id == id) else { return false };
         if e.ran.as_ref().is_some_and(|r| r.id == id || start <= r.until) {
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -103,7 +103,7 @@
         if live.phase == Phase::Held {
             if let Some(key) = live.key.clone() {
                 // The rule is kept here too, whatever the module thinks: one run for a key and its window.
-                if !self.keys.start(&key, id) {
+                if !self.keys.start_run(&key, id) {
                     self.counters.second_runs_barred += 1;
                     self.events.push_back(Event::Finished {
                         id,
