--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -179,7 +179,7 @@
             4 => {
                 let Some(ran) = mine.ran.as_mut() else { continue };
                 let result = (pick % 2 == 0).then(|| vec![pick; usize::from(pick)]);
-                table.ended(key, ran.id, result.clone().map(Into::into));
+                table.end_run(key, ran.id, result.clone().map(Into::into));
                 ran.result = result;
             }
             5 => {
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -140,7 +140,7 @@
     }
 
     /// The run of a try is over, with this result.
-    pub fn ended(&mut self, key: &Key, id: RequestId, result: Option<Bytes>) {
+    pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Bytes>) {
         let Some(ran) = self.entries.get_mut(key).and_then(|e| e.ran.as_mut()).filter(|r| r.id == id) else {
             return;
         };
@@ -193,7 +193,7 @@
         let ran = Some(Ran { id, until, result: None });
         let before = self.entries.insert(key.clone(), Entry { what: digest, ran, ..Entry::default() });
         self.result_bytes -= before.map_or(0, |e| kept(e.ran.as_ref()));
-        self.ended(&key, id, result);
+        self.end_run(&key, id, result);
     }
 
     /// The try that ran.
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -168,7 +168,7 @@
         if let Some(key) = live.key.clone() {
             match outcome.never_ran() {
                 true => self.keys.never_ran(&key, id),
-                false => self.keys.ended(&key, id, served.clone()),
+                false => self.keys.end_run(&key, id, served.clone()),
             }
         }
         self.give_up_call(id);
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -233,7 +233,7 @@
         let Some(run) = self.partner.open.remove(key) else { return };
         let Some(waiters) = self.partner.waits.remove(&run) else { return };
         match ran {
-            true => self.keys.ended(key, run, result.clone()),
+            true => self.keys.end_run(key, run, result.clone()),
             false => self.keys.never_ran(key, run),
         }
         for id in waiters {
