--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -185,7 +185,7 @@
             5 => {
                 let Some((id, _)) = one(&mine.tries, pick) else { continue };
                 if mine.ran.as_ref().is_some_and(|r| r.id == id) {
-                    table.never_ran(key, id);
+                    table.cancel_run(key, id);
                     mine.ran = None;
                 }
             }
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -153,7 +153,7 @@
     }
 
     /// The run of a try is proven not to have begun.
-    pub fn never_ran(&mut self, key: &Key, id: RequestId) {
+    pub fn cancel_run(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
         if let Some(ran) = e.ran.take_if(|r| r.id == id) {
             self.result_bytes -= kept(Some(&ran));
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -167,7 +167,7 @@
         self.counters.ended(end);
         if let Some(key) = live.key.clone() {
             match outcome.never_ran() {
-                true => self.keys.never_ran(&key, id),
+                true => self.keys.cancel_run(&key, id),
                 false => self.keys.end_run(&key, id, served.clone()),
             }
         }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -234,7 +234,7 @@
         let Some(waiters) = self.partner.waits.remove(&run) else { return };
         match ran {
             true => self.keys.end_run(key, run, result.clone()),
-            false => self.keys.never_ran(key, run),
+            false => self.keys.cancel_run(key, run),
         }
         for id in waiters {
             if !ran {
