--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -206,7 +206,7 @@
         for (key, mine) in names.iter().zip(&plain) {
             assert_eq!(table.is_open(key), !mine.tries.is_empty(), "{key}");
             if let Some(ran) = mine.ran.as_ref().filter(|r| now <= r.until + LATENESS) {
-                assert_eq!(table.ran(key), Some(ran.id), "forgotten while a try from its window may come");
+                assert_eq!(table.run_of(key), Some(ran.id), "forgotten while a try from its window may come");
                 assert_eq!(table.result(key).as_deref(), ran.result.as_deref());
             }
         }
@@ -215,7 +215,7 @@
         for (n, state) in (1_000_000..).zip(table.all()) {
             let KeyState { key, until, .. } = state.clone();
             heir.inherit(state, n);
-            assert!(heir.ran(&key) == Some(n));
+            assert!(heir.run_of(&key) == Some(n));
             if let Some(ran) = plain[names.iter().position(|k| *k == key).expect("a key")].ran.as_ref() {
                 assert!(until >= ran.until, "handed over for too short a time");
             }
--- a/src/core/answer_deadlines.rs
+++ b/src/core/answer_deadlines.rs
@@ -153,7 +153,7 @@
     /// Nothing was ever said of the request to the agent, and no other try of its key was run.
     fn has_no_effect(&self, id: RequestId) -> bool {
         let Some(live) = self.live.get(&id) else { return false };
-        let is_run = live.key.as_ref().is_some_and(|key| self.keys.ran(key).is_some());
+        let is_run = live.key.as_ref().is_some_and(|key| self.keys.run_of(key).is_some());
         live.phase == Phase::Held && !is_run
     }
 
--- a/src/core/answers.rs
+++ b/src/core/answers.rs
@@ -51,7 +51,7 @@
         (live.phase, live.began) = (Phase::Joined, now);
         let (key, repeats) = (live.key.clone(), live.repeats);
         // A newer try may have run in place of the one that was named.
-        let ran = key.as_ref().and_then(|k| self.keys.ran(k));
+        let ran = key.as_ref().and_then(|k| self.keys.run_of(k));
         for target in [ran, repeats].into_iter().flatten().filter(|t| *t != id) {
             if let Some(other) = self.live.get_mut(&target) {
                 return other.waiters.push(id);
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -197,7 +197,7 @@
     }
 
     /// The try that ran.
-    pub fn ran(&self, key: &Key) -> Option<RequestId> {
+    pub fn run_of(&self, key: &Key) -> Option<RequestId> {
         self.entries.get(key)?.ran.as_ref().map(|r| r.id)
     }
 
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -210,7 +210,7 @@
     /// What counts is when a try came, however late it is read.
     pub(super) fn is_barred(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
-        let is_unknown = key.is_none_or(|k| self.keys.ran(k).is_none());
+        let is_unknown = key.is_none_or(|k| self.keys.run_of(k).is_none());
         keyed && is_unknown && (start <= self.partner.barred_until || self.partner.awaits_keys())
     }
 
@@ -224,7 +224,7 @@
     pub(super) fn settle_key(&mut self, key: &Key) {
         let is_awaited = self.partner.open.contains_key(key);
         if self.partner.yields && !is_awaited && !self.keys.is_open(key) {
-            let (ran, result) = (self.keys.ran(key).is_some(), self.keys.result(key));
+            let (ran, result) = (self.keys.run_of(key).is_some(), self.keys.result(key));
             self.effects.push(Effect::KeyResolved { key: key.clone(), ran, result });
         }
     }
