--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -212,7 +212,7 @@
         }
         // What is handed over bars the same runs in another process.
         let mut heir = Keys::default();
-        for (n, state) in (1_000_000..).zip(table.all()) {
+        for (n, state) in (1_000_000..).zip(table.export()) {
             let KeyState { key, until, .. } = state.clone();
             heir.inherit(state, n);
             assert!(heir.run_of(&key) == Some(n));
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -178,7 +178,7 @@
     }
 
     /// All keys of which another try may come, for the process that takes over.
-    pub fn all(&self) -> Vec<KeyState> {
+    pub fn export(&self) -> Vec<KeyState> {
         let state = |(key, e): (&Key, &Entry)| {
             let until = e.ran.iter().map(|r| r.until).chain(e.tries.iter().map(|t| t.until)).max()?;
             let result = e.ran.as_ref().and_then(|r| r.result.clone());
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -125,7 +125,8 @@
         self.halve_calls(true);
         let awaited = &self.partner.open;
         let is_open = |key: &KeyState| key.open || awaited.contains_key(&key.key);
-        let keys = self.keys.all().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
+        let keys =
+            self.keys.export().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
         self.effects.push(Effect::HandOver { keys, standby: self.standby });
     }
 
