--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -214,7 +214,7 @@
         let mut heir = Keys::default();
         for (n, state) in (1_000_000..).zip(table.export()) {
             let KeyState { key, until, .. } = state.clone();
-            heir.inherit(state, n);
+            heir.import(state, n);
             assert!(heir.run_of(&key) == Some(n));
             if let Some(ran) = plain[names.iter().position(|k| *k == key).expect("a key")].ran.as_ref() {
                 assert!(until >= ran.until, "handed over for too short a time");
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes a key over; `id` stands for the run in the other process, until it is known that there was none.
-    pub fn inherit(&mut self, state: KeyState, id: RequestId) {
+    pub fn import(&mut self, state: KeyState, id: RequestId) {
         let KeyState { key, digest, until, result, .. } = state;
         let ran = Some(Ran { id, until, result: None });
         let before = self.entries.insert(key.clone(), Entry { what: digest, ran, ..Entry::default() });
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -63,7 +63,7 @@
                     }
                 }
                 let until = self.plausible_end(now, state.until);
-                self.keys.inherit(KeyState { until, ..state }, id);
+                self.keys.import(KeyState { until, ..state }, id);
             }
             Succession::KeysComplete { standby } => {
                 self.partner.complete = true;
