--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -38,7 +38,7 @@
         let key = request.key.filter(|_| keyed);
         // One key stands for one request: the result of another one is nobody else's, and must not be served.
         let what = keys::digest(&request.class, &request.body);
-        if key.as_ref().is_some_and(|k| self.keys.is_taken(k, what)) {
+        if key.as_ref().is_some_and(|k| self.keys.conflicts(k, what)) {
             self.counters.key_conflicts += 1;
             return self.turn_back(request.conn, Verdict::Invalid("this key stands for another request"));
         }
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -76,7 +76,7 @@
     }
 
     /// The key stands for something else: no try of what `what` is the digest of.
-    pub fn is_taken(&self, key: &Key, what: u64) -> bool {
+    pub fn conflicts(&self, key: &Key, what: u64) -> bool {
         self.entries.get(key).is_some_and(|e| e.what != what)
     }
 
