--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     pub(super) fn arrived(&mut self, now: Duration, request: Request) {
-        self.counters.taken_in += 1;
+        self.counters.requests_read += 1;
         let class = self.site.class_names.iter().position(|name| *name == request.class);
         let is_gone = |at: &usize| self.served_until.get(at).is_some_and(|until| *until < now);
         let class = class.filter(|at| !is_gone(at));
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
     /// Requests read.
-    pub taken_in: u64,
+    pub requests_read: u64,
     /// Health checks read.
     pub checks: u64,
     /// Input that is no request, or none that can be taken.
@@ -82,7 +82,7 @@
     /// All counts by name, those by kind of end only where they are not zero.
     pub fn list(&self) -> Vec<(String, u64)> {
         let plain = [
-            ("taken_in", self.taken_in),
+            ("taken_in", self.requests_read),
             ("checks", self.checks),
             ("rejected", self.rejected),
             ("repeats", self.repeats),
