--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -116,7 +116,7 @@
     fn tenant(&mut self, name: Option<&str>) -> usize {
         let names = &self.site.tenant_names;
         let place = name.and_then(|name| names.iter().position(|known| known == name));
-        self.counters.strangers += u64::from(place.is_none() && !names.is_empty());
+        self.counters.unknown_tenants += u64::from(place.is_none() && !names.is_empty());
         place.unwrap_or(names.len())
     }
 
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -18,7 +18,7 @@
     /// Requests turned back because their key stands for another request.
     pub key_conflicts: u64,
     /// Requests of a tenant that the settings do not name, at a site that has tenants.
-    pub strangers: u64,
+    pub unknown_tenants: u64,
     /// Requests answered with a result.
     pub served: u64,
     /// Of these, with the result of another try.
@@ -87,7 +87,7 @@
             ("rejected", self.rejected),
             ("repeats", self.repeats),
             ("key_conflicts", self.key_conflicts),
-            ("strangers", self.strangers),
+            ("strangers", self.unknown_tenants),
             ("served", self.served),
             ("joined", self.joined),
             ("refused", self.refused),
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -411,7 +411,7 @@
     };
     assert!(began(poor).is_some() && began(other).is_some());
     assert_eq!(began(other) < began(poor), !strange, "who has a share goes first");
-    assert_eq!(bench.core.counters().strangers, u64::from(strange));
+    assert_eq!(bench.core.counters().unknown_tenants, u64::from(strange));
 }
 
 #[test]
