--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -108,10 +108,10 @@
     // Each command is one line that any reader of JSON takes.
     for notice in all {
         if let Notice::CallNeeded { handle, body, .. } = notice {
-            let (patience, cursor) = (Duration::ZERO, 1);
+            let (timeout, cursor) = (Duration::ZERO, 1);
             let class = String::from_utf8_lossy(&body).as_ref().into();
             let commands = [
-                Command::Launch { handle, class, arg: body.clone(), patience },
+                Command::Launch { handle, class, arg: body.clone(), timeout },
                 Command::Deliver { handle, cursor, arg: body },
                 Command::Freeze { handle },
                 Command::Thaw { handle },
@@ -133,7 +133,7 @@
 fn plausible(notice: &Notice) {
     let day = Duration::from_secs(86_400);
     match notice {
-        Notice::Greeting { lasted, .. } => assert!(*lasted <= 400 * day, "{notice:?}"),
+        Notice::Greeting { uptime, .. } => assert!(*uptime <= 400 * day, "{notice:?}"),
         Notice::Outcome { lasted: Some(lasted), .. } => assert!(*lasted <= day, "{notice:?}"),
         Notice::CallNeeded { cursor, .. } => assert!(*cursor > 0 && *cursor < 1 << 53, "{notice:?}"),
         Notice::Sampled { figures, .. } => assert!(figures.iter().all(|f| f.is_finite()), "{notice:?}"),
@@ -166,7 +166,7 @@
                 assert!(end.starts_with(b"\n") || end.starts_with(b"\r\n"), "a body that does not end");
                 rest = &end[end.iter().position(|b| *b == b'\n').unwrap() + 1..];
             }
-            (word, None) => assert_eq!(word, end.word()),
+            (word, None) => assert_eq!(word, end.as_str()),
             (word, Some(_)) => panic!("a body behind '{word}'"),
         }
     }
@@ -193,9 +193,9 @@
         let word = match heard.clone() {
             Heard::Request(request) => Word::Request(request),
             Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
-            Heard::Word(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
-            Heard::Word(Succession::Settled { key, ran, result }) => Word::Settled(key, ran, result),
-            Heard::Word(Succession::Answered { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
+            Heard::Word(Succession::KeysComplete { standby }) => Word::Keys(Vec::new(), standby),
+            Heard::Word(Succession::KeyResolved { key, ran, result }) => Word::Settled(key, ran, result),
+            Heard::Word(Succession::ForwardedAnswer { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
             Heard::Word(_) => Word::Begin,
         };
         let lines = word.lines();
--- a/fuzz/src/targets/tables.rs
+++ b/fuzz/src/targets/tables.rs
@@ -161,7 +161,7 @@
             0 | 1 => {
                 next += 1;
                 let start = now - Duration::from_millis(u64::from(pick));
-                let repeats = table.arrived(key, next, 7, start, WINDOW);
+                let repeats = table.add_try(key, next, 7, start, WINDOW);
                 if let Some(ran) = mine.ran.as_ref().filter(|r| start <= r.until - Duration::from_secs(1)) {
                     assert_eq!(repeats, Some(ran.id), "a try within the window repeats the run");
                 }
@@ -169,7 +169,7 @@
             }
             2 | 3 => {
                 let Some((id, start)) = one(&mine.tries, pick) else { continue };
-                let started = table.start(key, id);
+                let started = table.start_run(key, id);
                 if started {
                     let clear = mine.ran.as_ref().is_none_or(|r| r.id != id && start > r.until);
                     assert!(clear, "a second run within the window of {:?}", mine.ran);
@@ -179,19 +179,19 @@
             4 => {
                 let Some(ran) = mine.ran.as_mut() else { continue };
                 let result = (pick % 2 == 0).then(|| vec![pick; usize::from(pick)]);
-                table.ended(key, ran.id, result.clone().map(Into::into));
+                table.end_run(key, ran.id, result.clone().map(Into::into));
                 ran.result = result;
             }
             5 => {
                 let Some((id, _)) = one(&mine.tries, pick) else { continue };
                 if mine.ran.as_ref().is_some_and(|r| r.id == id) {
-                    table.never_ran(key, id);
+                    table.cancel_run(key, id);
                     mine.ran = None;
                 }
             }
             6 => {
                 let Some((id, _)) = one(&mine.tries, pick) else { continue };
-                table.left(key, id);
+                table.remove_try(key, id);
                 mine.tries.retain(|(n, _)| *n != id);
             }
             _ => {
@@ -206,27 +206,27 @@
         for (key, mine) in names.iter().zip(&plain) {
             assert_eq!(table.is_open(key), !mine.tries.is_empty(), "{key}");
             if let Some(ran) = mine.ran.as_ref().filter(|r| now <= r.until + LATENESS) {
-                assert_eq!(table.ran(key), Some(ran.id), "forgotten while a try from its window may come");
+                assert_eq!(table.run_of(key), Some(ran.id), "forgotten while a try from its window may come");
                 assert_eq!(table.result(key).as_deref(), ran.result.as_deref());
             }
         }
         // What is handed over bars the same runs in another process.
         let mut heir = Keys::default();
-        for (n, state) in (1_000_000..).zip(table.all()) {
+        for (n, state) in (1_000_000..).zip(table.export()) {
             let KeyState { key, until, .. } = state.clone();
-            heir.inherit(state, n);
-            assert!(heir.ran(&key) == Some(n));
+            heir.import(state, n);
+            assert!(heir.run_of(&key) == Some(n));
             if let Some(ran) = plain[names.iter().position(|k| *k == key).expect("a key")].ran.as_ref() {
                 assert!(until >= ran.until, "handed over for too short a time");
             }
             let start = until.saturating_sub(Duration::from_secs(1));
-            heir.arrived(&key, 5, 7, start, WINDOW);
-            assert!(!heir.start(&key, 5), "run again by the process that took over");
+            heir.add_try(&key, 5, 7, start, WINDOW);
+            assert!(!heir.start_run(&key, 5), "run again by the process that took over");
         }
     }
     // Nothing is left once all windows are over.
     for (key, mine) in names.iter().zip(&plain) {
-        mine.tries.iter().for_each(|(id, _)| table.left(key, *id));
+        mine.tries.iter().for_each(|(id, _)| table.remove_try(key, *id));
     }
     table.sweep(now + Duration::from_secs(60), LATENESS);
     assert_eq!((table.len(), table.result_bytes()), (0, 0));
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -220,14 +220,14 @@
                     node.wire.push_back((now, command));
                 }
             }
-            Effect::Call { handle, attempt, once, .. } => {
-                if let Some(asked) = self.asked.get_mut(&handle).filter(|_| once && !self.wild) {
+            Effect::Call { handle, attempt, at_most_once, .. } => {
+                if let Some(asked) = self.asked.get_mut(&handle).filter(|_| at_most_once && !self.wild) {
                     assert!(!asked.unproved_call, "a call of {handle} is made again without proof");
                 }
                 self.nodes[n].calls.retain(|(h, _)| *h != handle);
                 self.nodes[n].calls.push((handle, attempt));
             }
-            Effect::Uncall { handle, attempt } => {
+            Effect::CancelCall { handle, attempt } => {
                 if let Some(at) = self.nodes[n].calls.iter().position(|call| *call == (handle, attempt)) {
                     self.nodes[n].calls.remove(at);
                     self.asked.get_mut(&handle).into_iter().for_each(|a| a.unproved_call = true);
@@ -235,34 +235,34 @@
             }
             Effect::HandOver { keys, standby } => self.say(n, &Word::Keys(keys, standby)),
             Effect::Forward(request) => self.say(n, &Word::Request(request)),
-            Effect::Settled { key, ran, result } => self.say(n, &Word::Settled(key, ran, result)),
+            Effect::KeyResolved { key, ran, result } => self.say(n, &Word::Settled(key, ran, result)),
             Effect::Ready => {
                 if n == 1 && self.pipe.up && !std::mem::replace(&mut self.nodes[n].begun, true) {
                     self.say(n, &Word::Begin);
                 }
             }
-            Effect::Listen | Effect::Alone => {
+            Effect::Listen | Effect::PeerExited => {
                 let node = &mut self.nodes[n];
                 node.serving |= node.drained.is_none();
                 node.served |= node.serving;
             }
-            Effect::GiveUp => {
+            Effect::AbortTakeover => {
                 assert!(n == 1 && !self.nodes[n].serving, "gives up while it serves");
                 self.end(n, usize::MAX);
             }
-            Effect::StopListening | Effect::Yield => self.nodes[n].serving = false,
-            Effect::Leave => {
+            Effect::StopListening | Effect::YieldToSuccessor => self.nodes[n].serving = false,
+            Effect::Exit => {
                 let waiting = &self.nodes[n].conns;
                 assert!(waiting.is_empty(), "left without an answer: {waiting:?}");
                 self.end(n, usize::MAX);
             }
             Effect::TrimIdle(_)
             | Effect::Draining
-            | Effect::List(_)
+            | Effect::ReportReadiness(_)
             | Effect::Relink
             | Effect::Log(_)
-            | Effect::Count { .. }
-            | Effect::Told { .. } => {}
+            | Effect::CountAnswer { .. }
+            | Effect::QueryResult { .. } => {}
         }
     }
 
@@ -322,7 +322,7 @@
             return;
         }
         (node.link, node.link_id) = (true, LinkId(node.link_id.0 + 1));
-        let greeting = Notice::Greeting { cold: self.kind & 128 != 0, lasted: ms(60_000) };
+        let greeting = Notice::Greeting { cold: self.kind & 128 != 0, uptime: ms(60_000) };
         node.out = [Out::Plain(greeting)].into();
         node.out.extend((node.cursor..node.notices.len()).map(Out::Numbered));
     }
@@ -406,12 +406,12 @@
                 self.nodes[n].out.push_back(Out::Plain(Notice::Sampled { ticket, figures }));
             }
             Command::Sync => {
-                let asked_on = self.nodes[n].link_id;
-                self.nodes[n].out.push_back(Out::Plain(Notice::Synced { asked_on }));
+                let requested_on = self.nodes[n].link_id;
+                self.nodes[n].out.push_back(Out::Plain(Notice::Synced { requested_on }));
             }
             Command::Acknowledge(number) => {
-                let asked_on = self.nodes[n].link_id;
-                self.nodes[n].out.push_back(Out::Plain(Notice::Acknowledged { asked_on, number }));
+                let requested_on = self.nodes[n].link_id;
+                self.nodes[n].out.push_back(Out::Plain(Notice::Acknowledged { requested_on, number }));
             }
         }
     }
@@ -493,7 +493,7 @@
                 self.pipe.to[1 - n].truncate(heard);
             }
             (self.pipe.up, self.pipe.cut) = (false, false);
-            let gone = [Succession::PredecessorGone, Succession::SuccessorGone][n].clone();
+            let gone = [Succession::PredecessorExited, Succession::SuccessorExited][n].clone();
             self.pipe.to[1 - n].push_back(Told::Is(gone));
             self.pipe.to[n].clear();
         }
@@ -505,7 +505,9 @@
             return;
         }
         (self.pipe.up, self.pipe.cut) = (false, true);
-        for (n, lost) in [Succession::SuccessorLost, Succession::PredecessorLost].into_iter().enumerate() {
+        for (n, lost) in
+            [Succession::SuccessorDisconnected, Succession::PredecessorDisconnected].into_iter().enumerate()
+        {
             self.pipe.to[n].truncate(heard);
             self.pipe.to[n].push_back(Told::Is(lost));
         }
@@ -523,9 +525,9 @@
                     Told::Is(word) => Heard::Word(word),
                 };
                 match &heard {
-                    Heard::Word(Succession::Complete { .. }) => self.pipe.complete = true,
+                    Heard::Word(Succession::KeysComplete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
-                    Heard::Word(Succession::PredecessorGone) if !self.pipe.complete => {
+                    Heard::Word(Succession::PredecessorExited) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
                     }
                     _ => {}
@@ -618,7 +620,7 @@
             handle,
             class: class.to_string(),
             start,
-            patience: Some(ms(patience)),
+            timeout: Some(ms(patience)),
             caller: u32::from(detail % 3),
             tenant: None,
             cost: None,
@@ -711,7 +713,7 @@
                     let yields = two && n == 0 && self.nodes.len() > 1;
                     if !yields || self.nodes[1].serving {
                         self.nodes[n].drained = Some(self.now).filter(|_| !yields);
-                        self.step(n, vec![Input::Drain { noticed: self.now }]);
+                        self.step(n, vec![Input::Drain { signalled_at: self.now }]);
                     }
                 }
             }
@@ -719,7 +721,7 @@
                 let conn = self.new_number();
                 if self.nodes[n].up {
                     self.nodes[n].checks.push(conn);
-                    self.step(n, vec![Input::Check { conn, deep: pick > 128 }]);
+                    self.step(n, vec![Input::HealthCheck { conn, deep: pick > 128 }]);
                 }
             }
             21 if two => {
@@ -742,7 +744,7 @@
             _ => {
                 let input = match pick % 3 {
                     0 => Input::Standby(pick & 4 == 4),
-                    1 => Input::Unsent(End::Stalled),
+                    1 => Input::AnswerWriteFailed(End::Stalled),
                     _ => Input::Query { ticket: 1, query: Query::Status },
                 };
                 self.step(n, vec![input]);
@@ -763,9 +765,9 @@
         let body: Option<Bytes> = (!any.is_multiple_of(3)).then(|| [any as u8].into());
         let lasted = ms(any % 86_400_000);
         let notice = match what % 10 {
-            0 => Notice::Greeting { cold: any.is_multiple_of(2), lasted },
+            0 => Notice::Greeting { cold: any.is_multiple_of(2), uptime: lasted },
             1 => Notice::Closed(LinkEnd::Broken { end, written: any % 64 }),
-            2 => Notice::Synced { asked_on: LinkId(any % 8) },
+            2 => Notice::Synced { requested_on: LinkId(any % 8) },
             3 => Notice::Sampled {
                 ticket: any % 64,
                 figures: vec![f64::from(pick) / 16.0; (what >> 4) as usize],
@@ -785,19 +787,19 @@
             _ => {
                 let key: Key = Arc::from(format!("k{}", pick % 4));
                 let word = match any % 6 {
-                    0 => Succession::Settled { key, ran: pick > 128, result: body },
+                    0 => Succession::KeyResolved { key, ran: pick > 128, result: body },
                     1 => Succession::Key(KeyState {
                         key,
-                        what: any,
+                        digest: any,
                         until: self.now + lasted,
                         open: pick > 128,
                         result: body,
                     }),
-                    2 => Succession::Complete { standby: false },
-                    3 => Succession::PredecessorGone,
-                    4 => Succession::SuccessorGone,
+                    2 => Succession::KeysComplete { standby: false },
+                    3 => Succession::PredecessorExited,
+                    4 => Succession::SuccessorExited,
                     // An answer to a connection that nothing was passed on from.
-                    _ => Succession::Answered {
+                    _ => Succession::ForwardedAnswer {
                         conn: u64::from(pick),
                         answer: Answer { verdict: Verdict::Failed, signal: None, close: true },
                     },
@@ -852,7 +854,7 @@
             let effects =
                 self.nodes[n].core.step(self.now, [Input::Query { ticket: 9, query: Query::Status }]);
             let told = effects.iter().find_map(|e| match e {
-                Effect::Told { lines, .. } => Some(lines),
+                Effect::QueryResult { lines, .. } => Some(lines),
                 _ => None,
             });
             for (name, value) in told.expect("the status") {
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     pub(super) fn arrived(&mut self, now: Duration, request: Request) {
-        self.counters.taken_in += 1;
+        self.counters.requests_read += 1;
         let class = self.site.class_names.iter().position(|name| *name == request.class);
         let is_gone = |at: &usize| self.served_until.get(at).is_some_and(|until| *until < now);
         let class = class.filter(|at| !is_gone(at));
@@ -32,13 +32,13 @@
             return self.turn_back(request.conn, Verdict::Invalid("this request id is in use"));
         }
         let start = request.start.min(now);
-        let patience = request.patience.unwrap_or(self.site.settings.classes[class].client_timeout);
+        let patience = request.timeout.unwrap_or(self.site.settings.classes[class].client_timeout);
         let due = start + patience;
         let route = self.subject(&request, class, start);
         let key = request.key.filter(|_| keyed);
         // One key stands for one request: the result of another one is nobody else's, and must not be served.
         let what = keys::digest(&request.class, &request.body);
-        if key.as_ref().is_some_and(|k| self.keys.is_taken(k, what)) {
+        if key.as_ref().is_some_and(|k| self.keys.conflicts(k, what)) {
             self.counters.key_conflicts += 1;
             return self.turn_back(request.conn, Verdict::Invalid("this key stands for another request"));
         }
@@ -60,7 +60,7 @@
         let tenant = self.tenant(request.tenant.as_deref());
         let id = self.new_id();
         let window = self.site.settings.classes[class].window;
-        let repeats = key.as_ref().and_then(|k| self.keys.arrived(k, id, what, start, window));
+        let repeats = key.as_ref().and_then(|k| self.keys.add_try(k, id, what, start, window));
         self.counters.repeats += u64::from(repeats.is_some());
         let conn = request.conn;
         self.handles.insert(request.handle, id);
@@ -116,7 +116,7 @@
     fn tenant(&mut self, name: Option<&str>) -> usize {
         let names = &self.site.tenant_names;
         let place = name.and_then(|name| names.iter().position(|known| known == name));
-        self.counters.strangers += u64::from(place.is_none() && !names.is_empty());
+        self.counters.unknown_tenants += u64::from(place.is_none() && !names.is_empty());
         place.unwrap_or(names.len())
     }
 
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
     /// Requests read.
-    pub taken_in: u64,
+    pub requests_read: u64,
     /// Health checks read.
     pub checks: u64,
     /// Input that is no request, or none that can be taken.
@@ -18,7 +18,7 @@
     /// Requests turned back because their key stands for another request.
     pub key_conflicts: u64,
     /// Requests of a tenant that the settings do not name, at a site that has tenants.
-    pub strangers: u64,
+    pub unknown_tenants: u64,
     /// Requests answered with a result.
     pub served: u64,
     /// Of these, with the result of another try.
@@ -82,12 +82,12 @@
     /// All counts by name, those by kind of end only where they are not zero.
     pub fn list(&self) -> Vec<(String, u64)> {
         let plain = [
-            ("taken_in", self.taken_in),
+            ("taken_in", self.requests_read),
             ("checks", self.checks),
             ("rejected", self.rejected),
             ("repeats", self.repeats),
             ("key_conflicts", self.key_conflicts),
-            ("strangers", self.strangers),
+            ("strangers", self.unknown_tenants),
             ("served", self.served),
             ("joined", self.joined),
             ("refused", self.refused),
@@ -113,7 +113,7 @@
         let mut list: Vec<_> = plain.into_iter().map(|(name, n)| (name.to_string(), n)).collect();
         for (name, counts) in [("run", &self.runs), ("call", &self.calls), ("unsent", &self.unsent)] {
             let some = End::ALL.iter().filter(|end| counts[**end as usize] > 0);
-            list.extend(some.map(|end| (format!("{name}_{}", end.word()), counts[*end as usize])));
+            list.extend(some.map(|end| (format!("{name}_{}", end.as_str()), counts[*end as usize])));
         }
         list
     }
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -68,17 +68,17 @@
     }
 
     /// A service below tells it by a word of its own, of which a copy may come.
-    pub fn is_told_below(self) -> bool {
+    pub fn is_service_status(self) -> bool {
         matches!(self, Self::NotNow | Self::Failed | Self::Pointless | Self::Stale)
     }
 
     /// A call that ended so may still get a reply.
-    pub fn leaves_reply_owed(self) -> bool {
+    pub fn may_leave_late_reply(self) -> bool {
         matches!(self, Self::Overdue | Self::Broken | Self::Malformed | Self::Stalled)
     }
 
     /// Its word in the counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
             Self::Failed => "failed",
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -76,7 +76,7 @@
     }
 
     /// The key stands for something else: no try of what `what` is the digest of.
-    pub fn is_taken(&self, key: &Key, what: u64) -> bool {
+    pub fn conflicts(&self, key: &Key, what: u64) -> bool {
         self.entries.get(key).is_some_and(|e| e.what != what)
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Notes a try that reached the machine at `start`, and names the one that it repeats.
-    pub fn arrived(
+    pub fn add_try(
         &mut self,
         key: &Key,
         id: RequestId,
@@ -128,7 +128,7 @@
     }
 
     /// Notes that a try is run now; false where another one has been, and this one came within its window.
-    pub fn start(&mut self, key: &Key, id: RequestId) -> bool {
+    pub fn start_run(&mut self, key: &Key, id: RequestId) -> bool {
         let Some(e) = self.entries.get_mut(key) else { return false };
         let Some(&Try { start, until, .. }) = e.tries.iter().find(|t| t.id == id) else { return false };
         if e.ran.as_ref().is_some_and(|r| r.id == id || start <= r.until) {
@@ -140,7 +140,7 @@
     }
 
     /// The run of a try is over, with this result.
-    pub fn ended(&mut self, key: &Key, id: RequestId, result: Option<Bytes>) {
+    pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Bytes>) {
         let Some(ran) = self.entries.get_mut(key).and_then(|e| e.ran.as_mut()).filter(|r| r.id == id) else {
             return;
         };
@@ -153,7 +153,7 @@
     }
 
     /// The run of a try is proven not to have begun.
-    pub fn never_ran(&mut self, key: &Key, id: RequestId) {
+    pub fn cancel_run(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
         if let Some(ran) = e.ran.take_if(|r| r.id == id) {
             self.result_bytes -= kept(Some(&ran));
@@ -161,7 +161,7 @@
     }
 
     /// A try is answered and over.
-    pub fn left(&mut self, key: &Key, id: RequestId) {
+    pub fn remove_try(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
         e.tries.retain(|t| t.id != id);
         if e.ran.is_none() {
@@ -178,26 +178,26 @@
     }
 
     /// All keys of which another try may come, for the process that takes over.
-    pub fn all(&self) -> Vec<KeyState> {
+    pub fn export(&self) -> Vec<KeyState> {
         let state = |(key, e): (&Key, &Entry)| {
             let until = e.ran.iter().map(|r| r.until).chain(e.tries.iter().map(|t| t.until)).max()?;
             let result = e.ran.as_ref().and_then(|r| r.result.clone());
-            Some(KeyState { key: key.clone(), what: e.what, until, open: !e.tries.is_empty(), result })
+            Some(KeyState { key: key.clone(), digest: e.what, until, open: !e.tries.is_empty(), result })
         };
         self.entries.iter().filter_map(state).collect()
     }
 
     /// Takes a key over; `id` stands for the run in the other process, until it is known that there was none.
-    pub fn inherit(&mut self, state: KeyState, id: RequestId) {
-        let KeyState { key, what, until, result, .. } = state;
+    pub fn import(&mut self, state: KeyState, id: RequestId) {
+        let KeyState { key, digest, until, result, .. } = state;
         let ran = Some(Ran { id, until, result: None });
-        let before = self.entries.insert(key.clone(), Entry { what, ran, ..Entry::default() });
+        let before = self.entries.insert(key.clone(), Entry { what: digest, ran, ..Entry::default() });
         self.result_bytes -= before.map_or(0, |e| kept(e.ran.as_ref()));
-        self.ended(&key, id, result);
+        self.end_run(&key, id, result);
     }
 
     /// The try that ran.
-    pub fn ran(&self, key: &Key) -> Option<RequestId> {
+    pub fn run_of(&self, key: &Key) -> Option<RequestId> {
         self.entries.get(key)?.ran.as_ref().map(|r| r.id)
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -216,7 +216,7 @@
         self.ask_for_acknowledgement();
         let listed = self.takes_callers() && (self.drain.is_none() || self.partner.yields);
         if std::mem::replace(&mut self.listed, listed) != listed {
-            self.effects.push(Effect::List(listed));
+            self.effects.push(Effect::ReportReadiness(listed));
         }
         let effects = std::mem::take(&mut self.effects);
         self.counters.commands += effects.iter().filter(|e| matches!(e, Effect::Agent { .. })).count() as u64;
@@ -249,27 +249,27 @@
         match input {
             Input::Request(request) => self.arrived(now, *request),
             // Deep or not, a check hears what the module set: it watches whether work gets done.
-            Input::Check { conn, .. } => {
+            Input::HealthCheck { conn, .. } => {
                 self.counters.checks += 1;
                 let good = self.takes_callers();
                 let verdict = if good { Verdict::Healthy } else { Verdict::Unhealthy };
                 self.answer(conn, verdict);
             }
             Input::Rejected => self.counters.rejected += 1,
-            Input::Unsent(end) => self.counters.unsent(end),
-            Input::Violated => self.counters.violations += 1,
+            Input::AnswerWriteFailed(end) => self.counters.unsent(end),
+            Input::ViolationBlocked => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
             Input::Agent { link, notice } => self.agent(now, link, notice),
             Input::CallEnded { handle, attempt, end, reply, fence } => {
                 self.went_out(handle, fence);
                 self.call_ended(now, handle, attempt, end, reply);
             }
-            Input::Ways(ways) => self.take_ways(ways),
-            Input::Allows(routes) => self.take_allows(routes),
-            Input::WentOut { handle, attempt, allowed } => self.goes_by(handle, attempt, allowed),
-            Input::Drain { noticed } => {
+            Input::RouteStates(ways) => self.take_ways(ways),
+            Input::CallLimits(routes) => self.take_allows(routes),
+            Input::CallRouteChanged { handle, attempt, limits } => self.goes_by(handle, attempt, limits),
+            Input::Drain { signalled_at } => {
                 self.hand_over_before_leaving();
-                self.drain(now, noticed);
+                self.drain(now, signalled_at);
             }
             Input::Succession(word) => self.succession(now, word),
             Input::Standby(on) => {
@@ -290,9 +290,9 @@
                         list.map(|(name, n)| (name, n.to_string())).collect()
                     }
                 };
-                self.effects.push(Effect::Told { ticket, lines });
+                self.effects.push(Effect::QueryResult { ticket, lines });
             }
-            Input::Report => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
+            Input::LogCounters => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
         }
         if !self.events.is_empty() {
             self.settle_events(now, actions);
@@ -351,7 +351,7 @@
             Timer::CallLate(id, attempt) => {
                 let is_out = |live: &&Live| live.call.is_out(attempt);
                 if let Some(handle) = self.live.get(&id).filter(is_out).map(|live| live.handle) {
-                    self.effects.push(Effect::Uncall { handle, attempt });
+                    self.effects.push(Effect::CancelCall { handle, attempt });
                     self.call_ended(now, handle, attempt, End::Overdue, None);
                 }
             }
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -16,14 +16,14 @@
 impl Core {
     pub(super) fn agent(&mut self, now: Duration, link: LinkId, notice: Notice) {
         match notice {
-            Notice::Greeting { cold, lasted } => {
+            Notice::Greeting { cold, uptime } => {
                 self.effects.push(Effect::Ready);
                 // The module's life begins with the agent's: it is told then how warm the machine is.
                 if !std::mem::replace(&mut self.greeted, true) && self.live.is_empty() && self.drain.is_none()
                 {
                     let mut settings = self.module_settings();
                     settings.cold = cold;
-                    if let Ok(brain) = DecisionEngine::new(settings, self.seed, now.saturating_sub(lasted)) {
+                    if let Ok(brain) = DecisionEngine::new(settings, self.seed, now.saturating_sub(uptime)) {
                         self.brain = brain;
                         self.tell_ways();
                         self.waiting_ticks.clear();
@@ -33,9 +33,9 @@
                 self.link_greeted(now, link);
             }
             Notice::Closed(end) => self.link_closed(now, link, end),
-            Notice::Synced { asked_on } => self.synced(now, asked_on),
-            Notice::Acknowledged { asked_on, number } => self.acknowledged(asked_on, number),
-            Notice::Settled { .. } => {}
+            Notice::Synced { requested_on } => self.synced(now, requested_on),
+            Notice::Acknowledged { requested_on, number } => self.acknowledged(requested_on, number),
+            Notice::MoveAcknowledged { .. } => {}
             Notice::Sampled { ticket, figures } => {
                 let mut gauges = Gauges::default();
                 for (name, figure) in self.site.gauges.iter().zip(figures) {
@@ -93,9 +93,9 @@
         let handle = live.handle;
         let command = match live.phase {
             Phase::Held => {
-                let patience = live.due.saturating_sub(now);
+                let timeout = live.due.saturating_sub(now);
                 let class = self.site.class_names[live.class].as_str().into();
-                Command::Launch { handle, class, arg: live.body.clone(), patience }
+                Command::Launch { handle, class, arg: live.body.clone(), timeout }
             }
             Phase::Paused => Command::Thaw { handle },
             _ => return,
@@ -103,7 +103,7 @@
         if live.phase == Phase::Held {
             if let Some(key) = live.key.clone() {
                 // The rule is kept here too, whatever the module thinks: one run for a key and its window.
-                if !self.keys.start(&key, id) {
+                if !self.keys.start_run(&key, id) {
                     self.counters.second_runs_barred += 1;
                     self.events.push_back(Event::Finished {
                         id,
@@ -167,8 +167,8 @@
         self.counters.ended(end);
         if let Some(key) = live.key.clone() {
             match outcome.never_ran() {
-                true => self.keys.never_ran(&key, id),
-                false => self.keys.ended(&key, id, served.clone()),
+                true => self.keys.cancel_run(&key, id),
+                false => self.keys.end_run(&key, id, served.clone()),
             }
         }
         self.give_up_call(id);
@@ -190,7 +190,7 @@
         let Some(live) = self.live.remove(&id) else { return };
         self.handles.remove(&live.handle);
         if let Some(key) = &live.key {
-            self.keys.left(key, id);
+            self.keys.remove_try(key, id);
             let key = key.clone();
             self.settle_key(&key);
         }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -63,49 +63,51 @@
                     }
                 }
                 let until = self.plausible_end(now, state.until);
-                self.keys.inherit(KeyState { until, ..state }, id);
+                self.keys.import(KeyState { until, ..state }, id);
             }
-            Succession::Complete { standby } => {
+            Succession::KeysComplete { standby } => {
                 self.partner.complete = true;
                 // A drain ends when operators say so, not with a new version.
                 self.standby |= standby;
                 self.effects.push(Effect::Listen);
             }
-            Succession::Settled { key, ran, result } => self.settled(now, &key, ran, result),
+            Succession::KeyResolved { key, ran, result } => self.settled(now, &key, ran, result),
             // Some keys are missing here, and it runs them: it decides, and this process does not.
-            Succession::PredecessorLost if !self.partner.complete => self.effects.push(Effect::GiveUp),
-            Succession::PredecessorLost => self.end_waits(now),
-            Succession::Beside => self.halve_calls(true),
-            Succession::PredecessorGone => {
+            Succession::PredecessorDisconnected if !self.partner.complete => {
+                self.effects.push(Effect::AbortTakeover)
+            }
+            Succession::PredecessorDisconnected => self.end_waits(now),
+            Succession::PredecessorRunning => self.halve_calls(true),
+            Succession::PredecessorExited => {
                 self.halve_calls(false);
                 self.end_waits(now);
-                self.effects.push(Effect::Alone);
+                self.effects.push(Effect::PeerExited);
             }
-            Succession::Begin => {
+            Succession::HandoverRequested => {
                 self.partner.is_awaited = true;
                 match self.lacks_keys(now) && self.drain.is_none() {
                     true => self.effects.push(Effect::Log(LACKS_KEYS.into())),
                     false => self.hand_over(),
                 }
             }
-            Succession::Answered { conn, answer } => {
+            Succession::ForwardedAnswer { conn, answer } => {
                 if self.deadlines.is_passed_on(conn) {
                     self.give(conn, Answer { close: true, ..answer });
                 }
             }
             // Nothing was handed over to it.
-            Succession::SuccessorLost | Succession::SuccessorGone if !self.partner.yields => {
+            Succession::SuccessorDisconnected | Succession::SuccessorExited if !self.partner.yields => {
                 self.partner.is_awaited = false;
             }
             // It runs keys that nobody here hears of: nothing may begin here until it is gone.
-            Succession::SuccessorLost => self.give_up_partner(),
-            Succession::SuccessorGone => {
+            Succession::SuccessorDisconnected => self.give_up_partner(),
+            Succession::SuccessorExited => {
                 (self.partner.yields, self.partner.lost) = (false, false);
                 self.halve_calls(false);
                 self.fail_passed_on();
                 let windows = self.site.settings.classes.iter().map(|c| c.window);
                 self.partner.barred_until = now + windows.max().unwrap_or_default();
-                self.effects.push(Effect::Alone);
+                self.effects.push(Effect::PeerExited);
             }
         }
     }
@@ -123,7 +125,8 @@
         self.halve_calls(true);
         let awaited = &self.partner.open;
         let is_open = |key: &KeyState| key.open || awaited.contains_key(&key.key);
-        let keys = self.keys.all().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
+        let keys =
+            self.keys.export().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
         self.effects.push(Effect::HandOver { keys, standby: self.standby });
     }
 
@@ -199,7 +202,7 @@
         let longest = self.site.settings.classes.iter().map(|c| c.client_timeout).max();
         // A caller may state any start: the other process reads times of 64 bits of microseconds.
         let request = Request { start: request.start.min(now), ..request };
-        let due = request.start + request.patience.or(longest).unwrap_or_default();
+        let due = request.start + request.timeout.or(longest).unwrap_or_default();
         self.deadlines.owe(request.conn, due.max(now), Owner::Successor);
         self.effects.push(Effect::Forward(Box::new(request)));
     }
@@ -208,7 +211,7 @@
     /// What counts is when a try came, however late it is read.
     pub(super) fn is_barred(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
-        let is_unknown = key.is_none_or(|k| self.keys.ran(k).is_none());
+        let is_unknown = key.is_none_or(|k| self.keys.run_of(k).is_none());
         keyed && is_unknown && (start <= self.partner.barred_until || self.partner.awaits_keys())
     }
 
@@ -222,8 +225,8 @@
     pub(super) fn settle_key(&mut self, key: &Key) {
         let is_awaited = self.partner.open.contains_key(key);
         if self.partner.yields && !is_awaited && !self.keys.is_open(key) {
-            let (ran, result) = (self.keys.ran(key).is_some(), self.keys.result(key));
-            self.effects.push(Effect::Settled { key: key.clone(), ran, result });
+            let (ran, result) = (self.keys.run_of(key).is_some(), self.keys.result(key));
+            self.effects.push(Effect::KeyResolved { key: key.clone(), ran, result });
         }
     }
 
@@ -231,8 +234,8 @@
         let Some(run) = self.partner.open.remove(key) else { return };
         let Some(waiters) = self.partner.waits.remove(&run) else { return };
         match ran {
-            true => self.keys.ended(key, run, result.clone()),
-            false => self.keys.never_ran(key, run),
+            true => self.keys.end_run(key, run, result.clone()),
+            false => self.keys.cancel_run(key, run),
         }
         for id in waiters {
             if !ran {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -73,7 +73,7 @@
     /// When it came to the machine.
     pub start: Duration,
     /// How long its caller waits from then on.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The number of its caller.
     pub caller: u32,
     /// The name of its tenant, where the site has any.
@@ -98,7 +98,7 @@
     /// A request was read.
     Request(Box<Request>),
     /// A health check was read.
-    Check {
+    HealthCheck {
         /// Where the answer goes.
         conn: ConnId,
         /// The caller wants to know whether work gets done.
@@ -107,9 +107,9 @@
     /// A front answered something that is no request by itself.
     Rejected,
     /// An answer could not be written whole.
-    Unsent(End),
+    AnswerWriteFailed(End),
     /// The connections withheld what a rule forbids.
-    Violated,
+    ViolationBlocked,
     /// A reply from below was passed over: it is a copy of an earlier one of the request, or another request's.
     StrayReply,
     /// The agent told something, or its link did.
@@ -133,22 +133,22 @@
         fence: Option<Fence>,
     },
     /// How the calls of the named classes stand, where the fleet routes them; those of others are open.
-    Ways(Vec<(String, RouteState)>),
+    RouteStates(Vec<(String, RouteState)>),
     /// What all routes that are in force from now on allow: at most as many as a table has.
-    Allows(Vec<routing::Allows>),
+    CallLimits(Vec<routing::Allows>),
     /// A call goes out by a route that allows something else than was known here when it was ordered.
-    WentOut {
+    CallRouteChanged {
         /// The request it is for.
         handle: Handle,
         /// Which of the request's calls.
         attempt: u32,
         /// What that one allows; nothing for the module's own bounds.
-        allowed: Option<routing::Allowed>,
+        limits: Option<routing::Allowed>,
     },
     /// The process is to leave.
     Drain {
         /// When it was told so.
-        noticed: Duration,
+        signalled_at: Duration,
     },
     /// A word of the process that this one takes over from, or that takes over from it.
     Succession(Succession),
@@ -162,7 +162,7 @@
         stop_after: Duration,
     },
     /// The counters are to be printed.
-    Report,
+    LogCounters,
     /// Somebody at the console asks.
     Query {
         /// Comes back with the answer.
@@ -178,7 +178,7 @@
     /// The key.
     pub key: Key,
     /// A digest of the request that it stands for.
-    pub what: u64,
+    pub digest: u64,
     /// Until then no other try of it may be run.
     pub until: Duration,
     /// Tries of it are still there, and one may have run or yet run.
@@ -191,29 +191,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Succession {
     /// Another process of this server ran before this one, and goes on until it has handed over and ended.
-    Beside,
+    PredecessorRunning,
     /// The new process is to decide from now on.
-    Begin,
+    HandoverRequested,
     /// It has answered what was passed on to it.
-    Answered {
+    ForwardedAnswer {
         /// Where the answer goes.
         conn: ConnId,
         /// What it is.
         answer: Answer,
     },
     /// The new process is gone.
-    SuccessorGone,
+    SuccessorExited,
     /// The link to the new process broke, and it lives on.
-    SuccessorLost,
+    SuccessorDisconnected,
     /// A key that the old process handed over.
     Key(KeyState),
     /// All keys were handed over.
-    Complete {
+    KeysComplete {
         /// Operators want callers kept away.
         standby: bool,
     },
     /// The last try of an open key is over.
-    Settled {
+    KeyResolved {
         /// The key.
         key: Key,
         /// It was run.
@@ -222,9 +222,9 @@
         result: Option<Bytes>,
     },
     /// The old process is gone.
-    PredecessorGone,
+    PredecessorExited,
     /// The link to the old process broke, and it lives on.
-    PredecessorLost,
+    PredecessorDisconnected,
 }
 
 /// What the console may ask the reducer.
@@ -244,26 +244,26 @@
         /// It started cold.
         cold: bool,
         /// It has been up for this long.
-        lasted: Duration,
+        uptime: Duration,
     },
     /// The link is over: nothing more comes over it.
     Closed(LinkEnd),
     /// Everything told before the [`Command::Sync`] of this link was read.
     Synced {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
     },
     /// Everything said before the [`Command::Acknowledge`] of this link and number was heard.
     Acknowledged {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
         /// The number of the question.
         number: u64,
     },
     /// Everything said on a link was heard, before it moves. For the link's keeper, not for the reducer.
-    Settled {
+    MoveAcknowledged {
         /// The link on which that was asked.
-        asked_on: LinkId,
+        requested_on: LinkId,
     },
     /// The gauges.
     Sampled {
@@ -312,7 +312,7 @@
         written: u64,
     },
     /// It was closed in good order. The agent has read the commands up to the number `read`; later ones were not written.
-    Settled {
+    Clean {
         /// The number of the last command that was read.
         read: u64,
     },
@@ -330,7 +330,7 @@
         /// Its body.
         arg: Bytes,
         /// How long its caller still waits.
-        patience: Duration,
+        timeout: Duration,
     },
     /// Stop a run.
     Freeze {
@@ -371,7 +371,7 @@
 
 impl Command {
     /// The run that it is about, and its name on the wire.
-    pub fn about(&self) -> Option<(&'static str, Handle)> {
+    pub fn name_and_handle(&self) -> Option<(&'static str, Handle)> {
         match self {
             Self::Launch { handle, .. } => Some(("launch", *handle)),
             Self::Freeze { handle } => Some(("freeze", *handle)),
@@ -444,27 +444,27 @@
         /// Which of the request's calls.
         attempt: u32,
         /// It must not be made again, unless it is proven not to have run.
-        once: bool,
+        at_most_once: bool,
         /// It needs a connection that carried nothing before.
         fresh: bool,
         /// The replies to earlier calls of the request: a copy of one is not the reply to this call.
         earlier: Arc<[ReplyDigest]>,
         /// How long it is waited for.
-        patience: Duration,
+        timeout: Duration,
         /// Its body.
         body: Bytes,
         /// What its route depends on, where the fleet routes calls.
         route: Option<Box<routing::Call>>,
     },
     /// Give up the call of a request.
-    Uncall {
+    CancelCall {
         /// The request.
         handle: Handle,
         /// Which of the request's calls.
         attempt: u32,
     },
     /// A request got its one answer, where the fleet routes calls: experiments count it.
-    Count {
+    CountAnswer {
         /// What the request's route depends on.
         route: Box<routing::Call>,
         /// How it was answered.
@@ -475,7 +475,7 @@
     /// The server leaves: members of its fleet are told, and what was counted is logged.
     Draining,
     /// Whether reports to the control plane say that callers may come.
-    List(bool),
+    ReportReadiness(bool),
     /// Move the links to the addresses that the configuration names now.
     Relink,
     /// The agent is up: requests can be served.
@@ -490,7 +490,7 @@
     /// Pass a request on to it.
     Forward(Box<Request>),
     /// Tell it what came of a key.
-    Settled {
+    KeyResolved {
         /// The key.
         key: Key,
         /// It was run.
@@ -501,19 +501,19 @@
     /// The keys are there: take callers.
     Listen,
     /// There is no other process any more.
-    Alone,
+    PeerExited,
     /// This process cannot take over, and must not serve.
-    GiveUp,
+    AbortTakeover,
     /// Take no new connections, and let those that are open end: the other process serves on.
-    Yield,
+    YieldToSuccessor,
     /// Take no new connections.
     StopListening,
     /// All is answered: end once the connections are closed.
-    Leave,
+    Exit,
     /// A line for on-call.
     Log(String),
     /// The answer to a query.
-    Told {
+    QueryResult {
         /// The query's.
         ticket: u64,
         /// Names and values.
--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -55,7 +55,7 @@
         }
         encode(self.id, &outgoing.command, out);
         self.queued = outgoing.number;
-        self.last = outgoing.command.about().or(self.last);
+        self.last = outgoing.command.name_and_handle().or(self.last);
     }
 
     /// Writes all that was put on it; false where that failed.
@@ -193,7 +193,7 @@
         let last = link.last.map_or("none".to_string(), |(event, handle)| format!("{event} {handle}"));
         warn!(
             "the link to the agent ended: {}: {}; link {}, {} ms old, last command about a run: {last}, {} commands written, {} for other links dropped",
-            ended.end.word(),
+            ended.end.as_str(),
             ended.cause,
             link.id,
             link.since.elapsed().as_millis(),
@@ -250,7 +250,7 @@
                 }
                 Ok(Order::Broken(ended)) if ended.link == link.id => {
                     match is_settled {
-                        true => self.tell_end(&link, LinkEnd::Settled { read: link.written }),
+                        true => self.tell_end(&link, LinkEnd::Clean { read: link.written }),
                         false => self.tell_broken(&link, &ended),
                     }
                     return;
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -93,7 +93,7 @@
         };
         let after = place.request_read();
         hub.push(match message.parsed {
-            Parsed::Check { deep } => Input::Check { conn, deep },
+            Parsed::Check { deep } => Input::HealthCheck { conn, deep },
             Parsed::Request(mut request) => {
                 request.conn = conn;
                 request.start = hub.clock.past(request.start);
@@ -102,7 +102,7 @@
         });
         let Ok(answer) = place.answers.recv() else {
             warn!("violation: a connection ends without the answer that it is owed: {conn}");
-            hub.push(Input::Violated);
+            hub.push(Input::ViolationBlocked);
             return (Ending::Finished, CloseReason::Unanswered);
         };
         let invalid = matches!(answer.verdict, Verdict::Invalid(_) | Verdict::NoSuchClass);
@@ -221,7 +221,7 @@
     match stream.write_all(bytes).and_then(|()| stream.flush()) {
         Ok(()) => Ending::Finished,
         Err(e) => {
-            hub.push(Input::Unsent(if is_timeout(&e) { End::Stalled } else { End::Broken }));
+            hub.push(Input::AnswerWriteFailed(if is_timeout(&e) { End::Stalled } else { End::Broken }));
             Ending::PeerGone
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -123,7 +123,7 @@
             match parse(&line) {
                 Some(Heard::Word(word)) => {
                     // What operators ordered of the process before holds here, and the fleet has to know it of this life.
-                    if let (Succession::Complete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
+                    if let (Succession::KeysComplete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
                         fleet.draining(true);
                     }
                     hub.push(Input::Succession(on_own_clock(word, hub)));
@@ -225,10 +225,10 @@
         let (partner, hub) = (partner.clone(), hub.clone());
         let listen = move || {
             // Before any word on its end: the other way round, this process would be beside it for good.
-            hub.push(Input::Succession(Succession::Beside));
+            hub.push(Input::Succession(Succession::PredecessorRunning));
             let other = process_of(&reads);
             partner.listen(reads, &hub);
-            ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorGone);
+            ended(other, &hub, Succession::PredecessorDisconnected, Succession::PredecessorExited);
         };
         thread::Builder::new().stack_size(STACK).spawn(listen)
     });
@@ -269,7 +269,7 @@
                 Ok(reads) => {
                     let other = process_of(&reads);
                     partner.listen(reads, &hub);
-                    ended(other, &hub, Succession::SuccessorLost, Succession::SuccessorGone);
+                    ended(other, &hub, Succession::SuccessorDisconnected, Succession::SuccessorExited);
                     // Until then the reducer may yet tell the one that is gone something, and no other is to hear it.
                     hub.wait_for_reducer();
                 }
@@ -301,7 +301,7 @@
                 let line = |k: &KeyState| {
                     let (until, open, result) =
                         (k.until.as_micros(), u8::from(k.open), base64(k.result.as_deref()));
-                    format!("key {} {:x} {until} {open} {result}\n", key(&k.key), k.what)
+                    format!("key {} {:x} {until} {open} {result}\n", key(&k.key), k.digest)
                 };
                 keys.iter().map(line).chain([format!("complete {}\n", u8::from(*standby))]).collect()
             }
@@ -310,7 +310,7 @@
             }
             Self::Request(r) => {
                 let micros = |t: Option<Duration>| t.map_or("-".to_string(), |t| t.as_micros().to_string());
-                let (patience, cost) = (micros(r.patience), micros(r.cost));
+                let (patience, cost) = (micros(r.timeout), micros(r.cost));
                 // Only where there is one: a process of before objects were passed on takes what it can read.
                 let object = r
                     .object
@@ -374,17 +374,17 @@
     };
     let words: Vec<&str> = line.split(' ').collect();
     let word = match words[..] {
-        ["begin"] => Succession::Begin,
-        ["complete", standby] => Succession::Complete { standby: flag(standby)? },
+        ["begin"] => Succession::HandoverRequested,
+        ["complete", standby] => Succession::KeysComplete { standby: flag(standby)? },
         ["key", key, what, until, open, result] => Succession::Key(KeyState {
             key: text(key)?.into(),
-            what: u64::from_str_radix(what, 16).ok()?,
+            digest: u64::from_str_radix(what, 16).ok()?,
             until: time(until)?,
             open: flag(open)?,
             result: bytes(result)?,
         }),
         ["settled", key, ran, result] => {
-            Succession::Settled { key: text(key)?.into(), ran: flag(ran)?, result: bytes(result)? }
+            Succession::KeyResolved { key: text(key)?.into(), ran: flag(ran)?, result: bytes(result)? }
         }
         ["answer", conn, signal, ref verdict @ ..] => {
             let verdict = match *verdict {
@@ -398,7 +398,10 @@
                 _ => return None,
             };
             let signal = if signal == "-" { None } else { Some(signal.parse().ok()?) };
-            Succession::Answered { conn: conn.parse().ok()?, answer: Answer { verdict, signal, close: true } }
+            Succession::ForwardedAnswer {
+                conn: conn.parse().ok()?,
+                answer: Answer { verdict, signal, close: true },
+            }
         }
         // A process of before tenants and costs were read passes on requests without the last two; one of before
         // objects were passed on, only whether there is one.
@@ -421,7 +424,7 @@
                 handle: handle.parse().ok()?,
                 class: text(class)?,
                 start: time(start)?,
-                patience: if patience == "-" { None } else { Some(time(patience)?) },
+                timeout: if patience == "-" { None } else { Some(time(patience)?) },
                 caller: caller.parse().ok()?,
                 tenant: if tenant == "-" { None } else { Some(text(tenant)?.into()) },
                 cost: if cost == "-" { None } else { Some(time(cost)?) },
@@ -472,10 +475,10 @@
             other => panic!("{other:?}"),
         };
         let expected = [
-            Succession::Beside,
-            Succession::Complete { standby: false },
+            Succession::PredecessorRunning,
+            Succession::KeysComplete { standby: false },
             // This test is the other process, and lives on.
-            Succession::PredecessorLost,
+            Succession::PredecessorDisconnected,
         ];
         assert_eq!([(); 3].map(told), expected);
     }
@@ -519,8 +522,8 @@
         let successor = offer(&path, &hub).unwrap();
         assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
         let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(matches!(told(), Input::Succession(Succession::Begin)));
-        assert!(matches!(told(), Input::Succession(Succession::SuccessorGone)));
+        assert!(matches!(told(), Input::Succession(Succession::HandoverRequested)));
+        assert!(matches!(told(), Input::Succession(Succession::SuccessorExited)));
 
         // The reducer, which is this test, has taken neither yet when the next one connects.
         let next = UnixStream::connect(&path).unwrap();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -63,7 +63,7 @@
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
-        self.0.push_at_once(Input::Drain { noticed: self.0.clock.now() });
+        self.0.push_at_once(Input::Drain { signalled_at: self.0.clock.now() });
     }
 
     /// Takes up other settings, and moves the links to new addresses. A link that was on stays on: the program
@@ -94,7 +94,7 @@
 
     /// Has the counters printed.
     pub fn report(&self) {
-        self.0.push(Input::Report);
+        self.0.push(Input::LogCounters);
     }
 }
 
@@ -162,7 +162,7 @@
         let below = match config.appliance.scgi_below.filter(|_| config.vault.is_none()) {
             // Settings that have routes on as well are turned down: nothing of theirs reaches such a service.
             Some(address) if hub.routing.is_none() => {
-                core.call_on_own_connections();
+                core.use_dedicated_call_connections();
                 Below::Scgi(address)
             }
             _ => Below::Vault(vault::Link::start(&hub)),
@@ -293,7 +293,7 @@
             self.hub.waiting.fetch_sub(batch.len(), Ordering::Relaxed);
             self.hub.clock.look();
             for effect in self.core.step(self.hub.clock.now(), batch) {
-                leaving |= effect == Effect::Leave;
+                leaving |= effect == Effect::Exit;
                 self.perform(effect);
             }
             if let Some(fault) = self.fault {
@@ -338,7 +338,7 @@
                 Given::Owed => {}
                 Given::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
-                    self.hub.push_at_once(Input::Violated);
+                    self.hub.push_at_once(Input::ViolationBlocked);
                 }
                 Given::Gone => {
                     if let Some(predecessor) = &self.predecessor {
@@ -351,7 +351,7 @@
                 Runner::Application(application) => application.send(command),
                 Runner::None => {}
             },
-            Effect::Call { handle, attempt, fresh, earlier, patience, body, route, .. } => {
+            Effect::Call { handle, attempt, fresh, earlier, timeout: patience, body, route, .. } => {
                 match &self.below {
                     Below::Vault(vault) => vault.send(vault::Order::Ask {
                         handle,
@@ -365,13 +365,13 @@
                     Below::Scgi(service) => scgi::call(*service, &self.hub, handle, attempt, patience, body),
                 }
             }
-            Effect::Uncall { handle, attempt } => {
+            Effect::CancelCall { handle, attempt } => {
                 // An SCGI call has no word for this: it ends with its own time.
                 if let Below::Vault(vault) = &self.below {
                     vault.send(vault::Order::Unask { handle, attempt });
                 }
             }
-            Effect::Count { route, kind } => {
+            Effect::CountAnswer { route, kind } => {
                 if let Some(routing) = &self.hub.routing {
                     routing.count(&route, kind);
                 }
@@ -387,7 +387,7 @@
                     fleet.draining(true);
                 }
             }
-            Effect::List(ready) => self.control.store(ready, Ordering::Relaxed),
+            Effect::ReportReadiness(ready) => self.control.store(ready, Ordering::Relaxed),
             Effect::Relink => {
                 let links = self.hub.links();
                 info!("the configuration was read again: {links:?}");
@@ -422,19 +422,19 @@
                 request.start = self.hub.clock.to_wall(request.start);
                 self.successor.send(handover::Word::Request(request));
             }
-            Effect::Settled { key, ran, result } => {
+            Effect::KeyResolved { key, ran, result } => {
                 self.successor.send(handover::Word::Settled(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
-            Effect::Alone => {
+            Effect::PeerExited => {
                 self.hub.share(false);
                 self.take_callers();
                 self.predecessor = None;
             }
-            Effect::GiveUp => {
+            Effect::AbortTakeover => {
                 self.fault = Some(NodeError::HandoverEnded);
             }
-            Effect::Yield => {
+            Effect::YieldToSuccessor => {
                 self.hub.yields.store(true, Ordering::Relaxed);
                 self.stop_fronts(true);
                 let counters = format!("{}", self.core.counters());
@@ -447,9 +447,9 @@
                     info!("leaves to the process that took over: counters so far: {counters}");
                 });
             }
-            Effect::Leave => info!("all is answered"),
+            Effect::Exit => info!("all is answered"),
             Effect::Log(text) => info!("{text}"),
-            Effect::Told { ticket, lines } => {
+            Effect::QueryResult { ticket, lines } => {
                 if let Some(asker) = self.hub.queries().remove(&ticket) {
                     let _ = asker.send(lines);
                 }
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -88,14 +88,14 @@
     let Some(router) = hub.routing.clone() else { return };
     let hub = hub.clone();
     let tell = move |hub: &Hub, told: &Vec<(String, RouteState)>| {
-        hub.push(Input::Ways(told.clone()));
+        hub.push(Input::RouteStates(told.clone()));
         // What is read after a check that found this matcher ready comes behind it in the inbox.
         hub.calls_shut.store(told.iter().any(|(_, way)| *way != RouteState::Open), Ordering::Release);
     };
     let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, routes)) = router.allowed(*known) {
             *known = Some(fence);
-            hub.push(Input::Allows(routes));
+            hub.push(Input::CallLimits(routes));
         }
     };
     let (mut told, mut known) = (ways(&*router, &hub.classes()), None);
@@ -279,6 +279,6 @@
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), RouteState::Open), ("b".to_string(), RouteState::Open)];
-        assert!(matches!(inbox.try_recv(), Ok(Input::Ways(ways)) if ways == told));
+        assert!(matches!(inbox.try_recv(), Ok(Input::RouteStates(ways)) if ways == told));
     }
 }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -89,7 +89,7 @@
     ];
     let over_scgi = request(fed(Scgi, &scgi_request(&pairs, b"a\0b")));
     assert_eq!(format!("{over_http:?}"), format!("{over_scgi:?}"));
-    assert_eq!(over_http.patience, Some(Duration::from_millis(480)));
+    assert_eq!(over_http.timeout, Some(Duration::from_millis(480)));
     assert_eq!((&over_http.body[..], over_http.key.as_deref()), (&b"a\0b"[..], Some("5c0f")));
 }
 
@@ -180,8 +180,8 @@
     let handle = "9b1f03aa5c7e2d41".parse().unwrap();
     let mut out = String::new();
     let arg = Arc::from(*b"\xff\0");
-    let patience = Duration::ZERO;
-    agent::encode(LinkId(1), &Command::Launch { handle, class: "b".into(), arg, patience }, &mut out);
+    let timeout = Duration::ZERO;
+    agent::encode(LinkId(1), &Command::Launch { handle, class: "b".into(), arg, timeout }, &mut out);
     agent::encode(LinkId(1), &Command::Forgo { handle, cursor: 9 }, &mut out);
     let launch = r#"{"event":"launch","handle":"9b1f03aa5c7e2d41","entry":"b","arg":"/wA="}"#;
     assert_eq!(
@@ -386,14 +386,14 @@
     let key: hopwalk::core::Key = "a key, spaces\nand all".into();
     let result: Option<hopwalk::core::Bytes> = Some((*b"\0\xff").into());
     let until = Duration::from_micros(1_764_576_000_123_456);
-    let state = KeyState { key: key.clone(), what: u64::MAX, until, open: true, result: result.clone() };
+    let state = KeyState { key: key.clone(), digest: u64::MAX, until, open: true, result: result.clone() };
     let heard = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
-    let complete = Heard::Word(Succession::Complete { standby: true });
+    let complete = Heard::Word(Succession::KeysComplete { standby: true });
     assert_eq!(heard(Word::Keys(vec![state.clone()], true)), [Heard::Word(Succession::Key(state)), complete]);
     for result in [None, Some((*b"").into()), result] {
-        let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
+        let settled = Succession::KeyResolved { key: key.clone(), ran: true, result: result.clone() };
         assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Word(settled)]);
     }
     let request = Request {
@@ -401,7 +401,7 @@
         handle: "9b1f03aa5c7e2d41".parse().unwrap(),
         class: "queue status".to_string(),
         start: until,
-        patience: Some(Duration::from_millis(480)),
+        timeout: Some(Duration::from_millis(480)),
         caller: 4,
         tenant: Some("derwent coaches".into()),
         cost: Some(Duration::from_micros(12_500)),
@@ -427,7 +427,7 @@
     let refused = Verdict::Refused { retry_after: Duration::from_millis(50), no_retry: true };
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
-        let told = Succession::Answered { conn: 7, answer: answer.clone() };
+        let told = Succession::ForwardedAnswer { conn: 7, answer: answer.clone() };
         assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Word(told)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -58,7 +58,7 @@
 
     /// The process is told to leave.
     pub fn drain(&mut self, at: u64) -> Vec<Effect> {
-        self.step(at, [Input::Drain { noticed: ms(at) }])
+        self.step(at, [Input::Drain { signalled_at: ms(at) }])
     }
 
     /// The configuration was read again, with another site.
@@ -88,18 +88,18 @@
 
     /// The agent has heard all that was said before the last question.
     pub fn acknowledged(&mut self, at: u64) -> Vec<Effect> {
-        let (asked_on, number) = self.last_acknowledge().unwrap();
-        self.notice(at, Notice::Acknowledged { asked_on, number })
+        let (requested_on, number) = self.last_acknowledge().unwrap();
+        self.notice(at, Notice::Acknowledged { requested_on, number })
     }
 
     /// The agent has told all that it had to tell when it read the last question for that.
     pub fn synced(&mut self, at: u64) -> Vec<Effect> {
-        let asked_on = |effect: &Effect| match effect {
+        let requested_on = |effect: &Effect| match effect {
             Effect::Agent { link, command: Command::Sync, .. } => Some(*link),
             _ => None,
         };
-        let asked_on = self.done.iter().rev().find_map(asked_on).unwrap();
-        self.notice(at, Notice::Synced { asked_on })
+        let requested_on = self.done.iter().rev().find_map(requested_on).unwrap();
+        self.notice(at, Notice::Synced { requested_on })
     }
 
     /// Lets time go by, as the program does: woken for each timer.
@@ -117,7 +117,7 @@
             handle: handle(self.conns),
             class: class.to_string(),
             start: ms(at),
-            patience: Some(Duration::from_millis(1500)),
+            timeout: Some(Duration::from_millis(1500)),
             caller: 1,
             tenant: None,
             cost: None,
@@ -159,7 +159,7 @@
 
 /// The agent is up.
 pub fn greeting() -> Notice {
-    Notice::Greeting { cold: false, lasted: Duration::from_secs(60) }
+    Notice::Greeting { cold: false, uptime: Duration::from_secs(60) }
 }
 
 /// A link broke, and of the commands for it those up to this number were written.
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -26,7 +26,7 @@
         handle,
         class: "queue-status".into(),
         arg: Arc::from(*b"body"),
-        patience: Duration::from_millis(1500),
+        timeout: Duration::from_millis(1500),
     };
     assert!(says(&bench.done, &launch), "{:?}", bench.done);
     bench.complete(50, handle, b"\0made");
@@ -168,7 +168,7 @@
     bench.notice(40, need(second, 7));
     let attempt = asks(&bench.done);
     bench.pass(1_560);
-    assert!(bench.done.contains(&Effect::Uncall { handle: second, attempt }));
+    assert!(bench.done.contains(&Effect::CancelCall { handle: second, attempt }));
     assert_eq!(bench.answers(2), [&Verdict::Failed]);
 
     let third = bench.send(2_000, "queue-prefs", None);
@@ -192,13 +192,13 @@
     bench.send(1_500, "queue-status", None);
     assert_eq!(bench.launches(), 2, "within the grace requests run");
     bench.pass(2_101);
-    assert!(bench.done.contains(&Effect::StopListening) && !bench.done.contains(&Effect::Leave));
+    assert!(bench.done.contains(&Effect::StopListening) && !bench.done.contains(&Effect::Exit));
     bench.send(2_150, "queue-status", None);
     assert!(matches!(bench.answers(3)[..], [Verdict::Refused { .. }]));
     bench.complete(2_200, early, b"x");
     bench.complete(2_210, handle(2), b"y");
     assert_eq!(bench.launches(), 2);
-    assert!(bench.done.contains(&Effect::Leave));
+    assert!(bench.done.contains(&Effect::Exit));
 }
 
 #[test]
@@ -218,7 +218,7 @@
     let mut bench = Bench::new();
     for n in 0..500 {
         let Input::Request(mut request) = bench.request(n, "queue-status", None) else { unreachable!() };
-        (request.start, request.patience) = (Duration::ZERO, Some(ms(3_600_000)));
+        (request.start, request.timeout) = (Duration::ZERO, Some(ms(3_600_000)));
         bench.step(n, [Input::Request(request)]);
     }
     for n in 1..=500 {
@@ -226,7 +226,7 @@
     }
     bench.pass(4_000);
     let told = bench.step(4_000, [Input::Query { ticket: 1, query: Query::Status }]);
-    let [Effect::Told { lines, .. }] = &told[..] else { panic!("{told:?}") };
+    let [Effect::QueryResult { lines, .. }] = &told[..] else { panic!("{told:?}") };
     let timers = lines.iter().find(|(name, _)| name == "timers").unwrap().1.parse::<usize>().unwrap();
     assert!((1..10).contains(&timers), "{lines:?}");
 }
@@ -324,7 +324,7 @@
         }
         bench.drain(at);
         bench.pass(at + 3_200);
-        assert!(bench.done.contains(&Effect::Leave), "seed {seed}: it does not leave");
+        assert!(bench.done.contains(&Effect::Exit), "seed {seed}: it does not leave");
         let mut runs = std::collections::HashMap::new();
         let mut launched = std::collections::HashSet::new();
         for effect in &bench.done {
@@ -366,7 +366,7 @@
     let sent = bench.send(290_000, "new-39", None);
     bench.complete(290_001, sent, b"r");
     assert_eq!(bench.answers(bench.conns), [&served(b"r")]);
-    let Some(Effect::Told { lines, .. }) =
+    let Some(Effect::QueryResult { lines, .. }) =
         bench.step(290_002, [Input::Query { ticket: 1, query: Query::Status }]).pop()
     else {
         panic!("no answer")
@@ -411,7 +411,7 @@
     };
     assert!(began(poor).is_some() && began(other).is_some());
     assert_eq!(began(other) < began(poor), !strange, "who has a share goes first");
-    assert_eq!(bench.core.counters().strangers, u64::from(strange));
+    assert_eq!(bench.core.counters().unknown_tenants, u64::from(strange));
 }
 
 #[test]
@@ -441,7 +441,10 @@
     // Guards against reports that said Ready whatever the health: the list follows them at some sites.
     let mut bench = Bench::new();
     let lists = |effects: &[Effect]| -> Vec<bool> {
-        effects.iter().filter_map(|e| if let Effect::List(on) = e { Some(*on) } else { None }).collect()
+        effects
+            .iter()
+            .filter_map(|e| if let Effect::ReportReadiness(on) = e { Some(*on) } else { None })
+            .collect()
     };
     for (at, on) in [(1, false), (2, true)] {
         let told = bench.step(at, [Input::Standby(!on)]);
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -49,7 +49,7 @@
         let Input::Request(mut request) = self.bench.request(self.now, class, key.as_deref()) else {
             unreachable!()
         };
-        request.patience = Some(Duration::from_millis(patience));
+        request.timeout = Some(Duration::from_millis(patience));
         self.bench.step(self.now, [Input::Request(request)]);
     }
 
@@ -145,9 +145,9 @@
 fn a_second_notice_moves_no_answer_later() {
     // Guards against a process that was told to leave twice, and counts its stop from the second time.
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Begin)]);
+    bench.step(0, [Input::Succession(Succession::HandoverRequested)]);
     let Input::Request(mut request) = bench.request(5, "queue-status", None) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     assert!(bench.done.iter().any(|effect| matches!(effect, Effect::Forward(_))), "it is passed on");
     bench.drain(10);
@@ -161,10 +161,10 @@
 fn told_to_leave(site: &str, stop_after: u64, noticed: u64) -> Bench {
     let mut bench = Bench::with(site, stop_after);
     let Input::Request(mut request) = bench.request(5, "queue-status", None) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     assert_eq!(bench.launches(), 1);
-    bench.step(10, [Input::Drain { noticed: ms(noticed) }]);
+    bench.step(10, [Input::Drain { signalled_at: ms(noticed) }]);
     bench
 }
 
@@ -214,7 +214,7 @@
     // Guards against a log that cannot answer which requests a stopping process held, and why.
     let mut bench = Bench::new();
     let Input::Request(mut request) = bench.request(5, "lobby-confirm", Some("k")) else { unreachable!() };
-    request.patience = Some(Duration::from_secs(60));
+    request.timeout = Some(Duration::from_secs(60));
     bench.step(5, [Input::Request(request)]);
     bench.lose_link(10);
     bench.greet(20);
@@ -256,7 +256,7 @@
         let Input::Request(mut request) = bench.request(at, "lobby-confirm", Some(&key)) else {
             unreachable!()
         };
-        request.patience = Some(Duration::from_millis(300));
+        request.timeout = Some(Duration::from_millis(300));
         bench.step(at, [Input::Request(request)]);
         bench.lose_link(at + 1);
         bench.greet(at + 2);
@@ -268,7 +268,7 @@
     assert!(bench.launches() > 1_200, "{}", bench.launches());
     let told = bench.step(at + 401, [Input::Query { ticket: 1, query: Query::Status }]);
     let running = told.iter().find_map(|effect| match effect {
-        Effect::Told { lines, .. } => lines.iter().find(|(name, _)| name == "running"),
+        Effect::QueryResult { lines, .. } => lines.iter().find(|(name, _)| name == "running"),
         _ => None,
     });
     let running: usize = running.unwrap().1.parse().unwrap();
--- a/tests/core/succession.rs
+++ b/tests/core/succession.rs
@@ -12,13 +12,13 @@
     let held = old.send(0, "lobby-confirm", Some("held"));
     let begun = old.launches();
     assert!((1..14).contains(&begun), "{begun} begun");
-    let effects = old.step(1, [Input::Succession(Succession::Begin)]);
+    let effects = old.step(1, [Input::Succession(Succession::HandoverRequested)]);
     let keys = effects.into_iter().find_map(|e| match e {
         Effect::HandOver { keys, standby: false } => Some(keys),
         _ => None,
     });
     let keys = keys.expect("the keys");
-    let words = keys.into_iter().map(Succession::Key).chain([Succession::Complete { standby: false }]);
+    let words = keys.into_iter().map(Succession::Key).chain([Succession::KeysComplete { standby: false }]);
     let listens = new.step(2, words.map(Input::Succession));
     assert!(listens.contains(&Effect::Listen));
     (old, new, [run, held])
@@ -26,9 +26,9 @@
 
 fn settled(effects: &[Effect], of: &str) -> Option<Input> {
     effects.iter().find_map(|e| match e {
-        Effect::Settled { key, ran, result } if &**key == of => {
+        Effect::KeyResolved { key, ran, result } if &**key == of => {
             let (key, ran, result) = (key.clone(), *ran, result.clone());
-            Some(Input::Succession(Succession::Settled { key, ran, result }))
+            Some(Input::Succession(Succession::KeyResolved { key, ran, result }))
         }
         _ => None,
     })
@@ -53,14 +53,14 @@
     };
     let whole = calls_out(&mut fresh(), 10);
     let (mut old, mut new) = (fresh(), fresh());
-    old.step(2, [Input::Succession(Succession::Begin)]);
-    new.step(2, [Input::Succession(Succession::Beside)]);
-    new.step(3, [Input::Succession(Succession::Complete { standby: false })]);
+    old.step(2, [Input::Succession(Succession::HandoverRequested)]);
+    new.step(2, [Input::Succession(Succession::PredecessorRunning)]);
+    new.step(3, [Input::Succession(Succession::KeysComplete { standby: false })]);
     let half = calls_out(&mut new, 10);
     assert!(half > 0 && 2 * half <= whole, "{half} of {whole}");
-    new.step(20, [Input::Succession(Succession::PredecessorGone)]);
+    new.step(20, [Input::Succession(Succession::PredecessorExited)]);
     assert_eq!(calls_out(&mut new, 21), whole);
-    old.step(20, [Input::Succession(Succession::SuccessorGone)]);
+    old.step(20, [Input::Succession(Succession::SuccessorExited)]);
     // Past the window in which the new process may have run keys.
     assert_eq!(calls_out(&mut old, 30_000), whole, "the new process is gone, and the old one serves on");
 }
@@ -103,9 +103,9 @@
         asks.push(old.conns);
     }
     let told = Answer { verdict: served(b"x"), signal: Some(0.5), close: false };
-    old.step(2001, [Input::Succession(Succession::Answered { conn: asks[0], answer: told })]);
+    old.step(2001, [Input::Succession(Succession::ForwardedAnswer { conn: asks[0], answer: told })]);
     assert_eq!(old.answers(asks[1]), [&Verdict::Failed], "overdue there");
-    old.step(2002, [Input::Succession(Succession::SuccessorGone)]);
+    old.step(2002, [Input::Succession(Succession::SuccessorExited)]);
     assert_eq!(old.answers(asks[2]), [&Verdict::Failed]);
     let runs = old.done.iter().filter_map(|e| match e {
         Effect::Agent { command: Command::Launch { handle, .. }, .. } => Some(*handle),
@@ -127,7 +127,7 @@
     let (_, mut new, _) = two_cores();
     new.send(3, "lobby-confirm", Some("run"));
     let waits = new.conns;
-    new.step(4, [Input::Succession(Succession::PredecessorGone)]);
+    new.step(4, [Input::Succession(Succession::PredecessorExited)]);
     assert_eq!(new.answers(waits), [&Verdict::Failed]);
     new.send(5, "lobby-confirm", Some("run"));
     assert_eq!(new.launches(), 0);
@@ -136,15 +136,15 @@
 #[test]
 fn a_process_whose_successor_is_lost_refuses_until_it_is_gone() {
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Begin)]);
+    bench.step(0, [Input::Succession(Succession::HandoverRequested)]);
     let refused = |effects: &[Effect]| {
         let is = |e: &Effect| matches!(e, Effect::Answer { answer, .. } if matches!(answer.verdict, Verdict::Refused { .. }));
         effects.iter().any(is)
     };
-    bench.step(1, [Input::Succession(Succession::SuccessorLost)]);
+    bench.step(1, [Input::Succession(Succession::SuccessorDisconnected)]);
     let request = bench.request(2, "queue-status", None);
     assert!(refused(&bench.step(2, [request])));
-    bench.step(3, [Input::Succession(Succession::SuccessorGone)]);
+    bench.step(3, [Input::Succession(Succession::SuccessorExited)]);
     let request = bench.request(4, "queue-status", None);
     let effects = bench.step(4, [request]);
     assert!(
@@ -159,17 +159,21 @@
 #[test]
 fn a_process_that_lacks_keys_gives_up_while_the_one_that_has_them_lives() {
     let mut bench = Bench::new();
-    assert!(bench.step(0, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
+    assert!(bench
+        .step(0, [Input::Succession(Succession::PredecessorDisconnected)])
+        .contains(&Effect::AbortTakeover));
     let mut bench = Bench::new();
-    bench.step(0, [Input::Succession(Succession::Complete { standby: false })]);
-    assert!(!bench.step(1, [Input::Succession(Succession::PredecessorLost)]).contains(&Effect::GiveUp));
+    bench.step(0, [Input::Succession(Succession::KeysComplete { standby: false })]);
+    assert!(!bench
+        .step(1, [Input::Succession(Succession::PredecessorDisconnected)])
+        .contains(&Effect::AbortTakeover));
 }
 
 #[test]
 fn nothing_with_a_key_is_run_before_the_keys_of_the_process_before_are_there() {
     // Guards against a second run: a request that was meant for another process that took over comes before the keys.
     let mut bench = Bench::new();
-    bench.step(5, [Input::Succession(Succession::Beside)]);
+    bench.step(5, [Input::Succession(Succession::PredecessorRunning)]);
     let of = bench.send(10, "lobby-confirm", Some("k"));
     assert_eq!(launches_of(&bench.done, of), 0, "another try of it may have run");
 }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -38,7 +38,7 @@
         if routes {
             bench.ways(0, RouteState::Open);
         }
-        bench.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
+        bench.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
         bench
     }
 
@@ -61,7 +61,7 @@
 
     fn ways(&mut self, at: u64, way: RouteState) -> Vec<Effect> {
         let classes = ["queue-status", "queue-prefs", "lobby-confirm"];
-        self.step(at, Input::Ways(classes.map(|class| (class.to_string(), way)).to_vec()))
+        self.step(at, Input::RouteStates(classes.map(|class| (class.to_string(), way)).to_vec()))
     }
 
     fn send(&mut self, at: u64, class: &str, change: impl Fn(&mut Request)) -> Handle {
@@ -72,7 +72,7 @@
             handle: handle(n),
             class: class.to_string(),
             start: ms(at),
-            patience: Some(Duration::from_millis(3_000)),
+            timeout: Some(Duration::from_millis(3_000)),
             caller: 1,
             tenant: None,
             cost: None,
@@ -107,7 +107,7 @@
 
     fn counted(&self) -> Vec<Kind> {
         let counts = self.done.iter().filter_map(|e| match e {
-            Effect::Count { kind, .. } => Some(*kind),
+            Effect::CountAnswer { kind, .. } => Some(*kind),
             _ => None,
         });
         counts.collect()
@@ -261,7 +261,7 @@
     let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
     let mut early = Bench { core, done: Vec::new(), next: 1 };
     early.ways(0, RouteState::Closed);
-    early.notice(0, Notice::Greeting { cold: false, lasted: Duration::from_secs(60) });
+    early.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
     early.send(20, "queue-status", |_| ());
     assert!(matches!(early.answers(1)[..], [Verdict::Refused { .. }]));
 }
@@ -298,7 +298,7 @@
 fn a_call_is_tried_as_its_own_route_allows(#[case] tenant: Option<&str>, #[case] calls: usize) {
     let mut bench = Bench::new(true);
     let routes = vec![allows("queue-status", None, TWICE), allows("queue-status", Some("t"), ONCE)];
-    bench.step(5, Input::Allows(routes));
+    bench.step(5, Input::CallLimits(routes));
     let first = bench.send(10, "queue-status", |r| r.tenant = tenant.map(Into::into));
     bench.needs_call(20, first);
     for at in [30, 400, 800] {
@@ -313,12 +313,12 @@
 #[test]
 fn a_request_keeps_what_the_version_allows_that_a_call_of_it_went_out_under() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let (first, later) = (bench.send(10, "queue-status", |_| ()), bench.send(11, "queue-status", |_| ()));
     bench.needs_call(20, first);
     // Its call is out when another version comes, and so its request is of the old one; the other one has
     // none yet.
-    bench.step(25, Input::Allows(vec![allows("queue-status", None, ONCE)]));
+    bench.step(25, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
     bench.step(
         30,
         Input::CallEnded { handle: first, attempt: 1, end: End::Failed, reply: None, fence: Some(FENCE) },
@@ -337,12 +337,12 @@
 #[test]
 fn a_call_that_goes_out_by_another_version_is_bound_by_that_one() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
     bench.needs_call(20, first);
     // Of another attempt, it says nothing.
-    bench.step(21, Input::WentOut { handle: first, attempt: 9, allowed: Some(TWICE) });
-    bench.step(22, Input::WentOut { handle: first, attempt: 1, allowed: Some(ONCE) });
+    bench.step(21, Input::CallRouteChanged { handle: first, attempt: 9, limits: Some(TWICE) });
+    bench.step(22, Input::CallRouteChanged { handle: first, attempt: 1, limits: Some(ONCE) });
     bench.call_ended(30, first, End::Failed, Some(FENCE));
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 1));
 }
@@ -350,10 +350,10 @@
 #[test]
 fn a_call_that_waits_goes_by_the_routes_that_are_in_force() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::Allows(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
     bench.needs_call(20, first);
     bench.call_ended(30, first, End::NotNow, None);
-    bench.step(40, Input::Allows(vec![allows("queue-status", None, ONCE)]));
+    bench.step(40, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 1));
 }
