--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -11,7 +11,7 @@
 
 use super::reader::Reader;
 use super::wire::{encode, encode_move, encode_subscribe};
-use super::{Ended, Order, Outgoing};
+use super::{Ended, Order, OutgoingCommand};
 use crate::core::{Handle, Input, LinkEnd, LinkId, Notice};
 use crate::net::lines::Buffer;
 use crate::net::stream::Conn;
@@ -48,7 +48,7 @@
 
 impl Open {
     /// Puts a command into the bytes to be written, if it is meant for this link.
-    fn put(&mut self, outgoing: &Outgoing, out: &mut String) {
+    fn put(&mut self, outgoing: &OutgoingCommand, out: &mut String) {
         if outgoing.link != self.id {
             self.dropped += 1;
             return;
--- a/src/net/agent/mod.rs
+++ b/src/net/agent/mod.rs
@@ -22,7 +22,7 @@
 
 /// A command for one link.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingCommand {
     /// The link that it is meant for.
     pub link: LinkId,
     /// Its number among the commands for that link.
@@ -33,7 +33,7 @@
 
 /// What the keeper of the link is to do, or to know.
 enum Order {
-    Command(Outgoing),
+    Command(OutgoingCommand),
     /// The configuration names an address, perhaps a new one.
     Relink,
     /// For this link another address was sought: it took a connection, or is not named any more.
@@ -67,7 +67,7 @@
     }
 
     /// Queues a command; never waits.
-    pub fn send(&self, command: Outgoing) {
+    pub fn send(&self, command: OutgoingCommand) {
         let _ = self.orders.send(Order::Command(command));
     }
 
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -104,7 +104,7 @@
         self.now += TICK;
         for effect in self.core.step(self.now, [input]) {
             if let Effect::Agent { link, number, command } = &effect {
-                self.link.send(Outgoing { link: *link, number: *number, command: command.clone() });
+                self.link.send(OutgoingCommand { link: *link, number: *number, command: command.clone() });
             }
             self.effects.push(effect);
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -347,7 +347,7 @@
                 }
             },
             Effect::Agent { link, number, command } => match &self.runner {
-                Runner::Agent(agent) => agent.send(agent::Outgoing { link, number, command }),
+                Runner::Agent(agent) => agent.send(agent::OutgoingCommand { link, number, command }),
                 Runner::Application(application) => application.send(command),
                 Runner::None => {}
             },
