--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/link_manager.rs
@@ -71,7 +71,7 @@
     }
 }
 
-pub(super) struct Keeper {
+pub(super) struct LinkManager {
     hub: Arc<Hub>,
     again: Sender<Order>,
     orders: Receiver<Order>,
@@ -83,7 +83,7 @@
     newest: LinkId,
 }
 
-impl Keeper {
+impl LinkManager {
     /// For the orders that come on `orders`; `again` leads there as well.
     pub(super) fn new(hub: Arc<Hub>, again: Sender<Order>, orders: Receiver<Order>) -> Self {
         Self { hub, again, orders, cursor: Arc::default(), unreadable: Arc::default(), newest: LinkId::NONE }
--- a/src/net/agent/mod.rs
+++ b/src/net/agent/mod.rs
@@ -1,9 +1,9 @@
 //! The link to the render farm agent: JSON lines, numbered notices, and a new link whenever one breaks.
 //!
-//! Links have numbers. Each command names the link that it is meant for, and the keeper writes it on no other; each notice
+//! Links have numbers. Each command names the link that it is meant for, and the link manager writes it on no other; each notice
 //! is handed to the reducer with the number of the link that brought it.
 
-mod keeper;
+mod link_manager;
 mod reader;
 mod wire;
 
@@ -16,7 +16,7 @@
 use super::{spawn, Hub};
 use crate::core::{Command, End, LinkId};
 
-use keeper::Keeper;
+use link_manager::LinkManager;
 pub use reader::next_notice;
 pub use wire::{encode, parse};
 
@@ -31,7 +31,7 @@
     pub command: Command,
 }
 
-/// What the keeper of the link is to do, or to know.
+/// What the link manager of the link is to do, or to know.
 enum Order {
     Command(OutgoingCommand),
     /// The configuration names an address, perhaps a new one.
@@ -61,8 +61,8 @@
     /// Connects, and keeps at it.
     pub(super) fn start(hub: &Arc<Hub>) -> Self {
         let (orders, received) = channel();
-        let mut keeper = Keeper::new(hub.clone(), orders.clone(), received);
-        spawn(move || keeper.keep_linked());
+        let mut manager = LinkManager::new(hub.clone(), orders.clone(), received);
+        spawn(move || manager.keep_linked());
         Self { orders }
     }
 
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -99,7 +99,7 @@
         Agent::accept(&self.listener)
     }
 
-    /// The reducer takes an input, and what it says goes to the keeper of the link.
+    /// The reducer takes an input, and what it says goes to the link manager of the link.
     fn take(&mut self, input: Input) {
         self.now += TICK;
         for effect in self.core.step(self.now, [input]) {
