--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -47,7 +47,7 @@
     /// Whether a notice that cannot be read is passed over, as the link before brought the same.
     fn passes_over(&self, why: &NoticeError) -> bool {
         let behind = Some(self.cursor.load(Ordering::Acquire));
-        let again = self.unreadable().take() == behind && !matches!(why, NoticeError::Line);
+        let again = self.unreadable().take() == behind && !matches!(why, NoticeError::UnreadableLine);
         let what = if again { "passed over" } else { "the link is made anew" };
         warn!("a notice of the agent cannot be read: {}: {what}", told::in_a_line(why));
         if !again {
@@ -64,7 +64,7 @@
 /// The next notice that tells something new; none while it is not there whole. `cursor` is the number of the last
 /// notice read, over all links: what was told before, on this link or a former one, is not told twice.
 pub fn next_notice(lines: &mut Lines, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
-    while let Some(line) = lines.line().map_err(|_| NoticeError::Line)? {
+    while let Some(line) = lines.line().map_err(|_| NoticeError::UnreadableLine)? {
         let (number, notice) = parse(&line)?;
         let told = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
         if let Some(notice) = notice.filter(|_| !told) {
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -69,7 +69,7 @@
     /// A line that goes on for ever, or is no UTF-8.
     #[error("it is too long, or no text")]
     #[diagnostic(help("check that `agent` names the agent's port and no other service's"))]
-    Line,
+    UnreadableLine,
     /// No JSON.
     #[error("{0}")]
     #[diagnostic(help("the agent must write one JSON object a line: check its version and its address"))]
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -77,7 +77,7 @@
             "src/net/error.rs",
             "NoticeError",
             samples!(NoticeError {
-                Line,
+                UnreadableLine,
                 Json(JsonError::Deep),
                 NoObject,
                 Lacks { member: "handle" },
