--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -83,7 +83,7 @@
 /// Reads one notice: its number, and what it tells, if that matters here.
 pub fn parse(line: &str) -> Result<(Option<u64>, Option<Notice>), NoticeError> {
     let json = json::parse(line)?;
-    let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NoObject)?;
+    let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NotAnObject)?;
     let text = |key: &str| members.get(key).and_then(|v| v.get::<String>()).map(String::as_str);
     let number = |key: &str| members.get(key).and_then(|v| v.get::<f64>()).copied();
     let lacks = |member| NoticeError::Lacks { member };
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -77,7 +77,7 @@
     /// JSON, but something else.
     #[error("it is no object")]
     #[diagnostic(help("the agent must write objects: look at its log for what it sent"))]
-    NoObject,
+    NotAnObject,
     /// A member without which it says nothing.
     #[error("it has no {member}")]
     #[diagnostic(help(
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -79,7 +79,7 @@
             samples!(NoticeError {
                 UnreadableLine,
                 Json(JsonError::Deep),
-                NoObject,
+                NotAnObject,
                 Lacks { member: "handle" },
                 NoBase64 { member: "arg", said: base64::DecodeError::InvalidPadding },
                 Lasted { days: 1 },
