--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -86,7 +86,7 @@
     let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NotAnObject)?;
     let text = |key: &str| members.get(key).and_then(|v| v.get::<String>()).map(String::as_str);
     let number = |key: &str| members.get(key).and_then(|v| v.get::<f64>()).copied();
-    let lacks = |member| NoticeError::Lacks { member };
+    let lacks = |member| NoticeError::MissingMember { member };
     let handle = || text("handle").and_then(|h| h.parse().ok()).ok_or(lacks("handle"));
     let bytes = |member: &'static str| match text(member) {
         Some(arg) => {
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -83,7 +83,7 @@
     #[diagnostic(help(
         "the agent leaves out what its protocol asks for: run a version of it that goes with this one"
     ))]
-    Lacks {
+    MissingMember {
         /// Which member.
         member: &'static str,
     },
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -80,7 +80,7 @@
                 UnreadableLine,
                 Json(JsonError::Deep),
                 NotAnObject,
-                Lacks { member: "handle" },
+                MissingMember { member: "handle" },
                 NoBase64 { member: "arg", said: base64::DecodeError::InvalidPadding },
                 Lasted { days: 1 },
                 Cursor,
