--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -91,7 +91,7 @@
     let bytes = |member: &'static str| match text(member) {
         Some(arg) => {
             let read = BASE64.decode(arg).map(|b| Some(b.into()));
-            read.map_err(|said| NoticeError::NoBase64 { member, said })
+            read.map_err(|reason| NoticeError::InvalidBase64 { member, reason })
         }
         None => Ok(None),
     };
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -88,15 +88,15 @@
         member: &'static str,
     },
     /// Base64 that is none.
-    #[error("{member}: {said}")]
+    #[error("{member}: {reason}")]
     #[diagnostic(help(
         "the agent must encode bodies in base64 with padding: check what the application returns"
     ))]
-    NoBase64 {
+    InvalidBase64 {
         /// Which member.
         member: &'static str,
         /// What the reader says.
-        said: base64::DecodeError,
+        reason: base64::DecodeError,
     },
     /// A time that would overflow sums later.
     #[error("it lasted more than {days} days")]
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -81,7 +81,7 @@
                 Json(JsonError::Deep),
                 NotAnObject,
                 MissingMember { member: "handle" },
-                NoBase64 { member: "arg", said: base64::DecodeError::InvalidPadding },
+                InvalidBase64 { member: "arg", reason: base64::DecodeError::InvalidPadding },
                 Lasted { days: 1 },
                 Cursor,
                 Fate,
