--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -99,7 +99,7 @@
     let lasted = number("lasted").and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     let longest = if event == "greeting" { LONGEST_LIFE } else { LONGEST_RUN };
     if lasted.is_some_and(|lasted| lasted > longest) {
-        return Err(NoticeError::Lasted { days: longest.as_secs() / 86_400 });
+        return Err(NoticeError::DurationTooLong { days: longest.as_secs() / 86_400 });
     }
     // One number too high, and all that the agent tells from then on would pass as told before.
     let is_number = |n: &f64| n.fract() == 0.0 && (1.0..MOST_CURSOR).contains(n);
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -101,7 +101,7 @@
     /// A time that would overflow sums later.
     #[error("it lasted more than {days} days")]
     #[diagnostic(help("check the clock of the agent's machine: `lasted` is in milliseconds"))]
-    Lasted {
+    DurationTooLong {
         /// The bound.
         days: u64,
     },
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -82,7 +82,7 @@
                 NotAnObject,
                 MissingMember { member: "handle" },
                 InvalidBase64 { member: "arg", reason: base64::DecodeError::InvalidPadding },
-                Lasted { days: 1 },
+                DurationTooLong { days: 1 },
                 Cursor,
                 Fate,
             }),
