--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -103,7 +103,7 @@
     }
     // One number too high, and all that the agent tells from then on would pass as told before.
     let is_number = |n: &f64| n.fract() == 0.0 && (1.0..MOST_CURSOR).contains(n);
-    let cursor = number("cursor").map(|n| Some(n).filter(is_number).ok_or(NoticeError::Cursor));
+    let cursor = number("cursor").map(|n| Some(n).filter(is_number).ok_or(NoticeError::InvalidCursor));
     let cursor = cursor.transpose()?.map(|n| n as u64);
     let notice = match event {
         "greeting" => {
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -108,7 +108,7 @@
     /// A number that would make all later notices pass as told before.
     #[error("its cursor is no number")]
     #[diagnostic(help("the agent must number notices from 1 on in whole numbers: restart it"))]
-    Cursor,
+    InvalidCursor,
     /// An end of a run that is not known.
     #[error("it has an unknown fate")]
     #[diagnostic(help(
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -83,7 +83,7 @@
                 MissingMember { member: "handle" },
                 InvalidBase64 { member: "arg", reason: base64::DecodeError::InvalidPadding },
                 DurationTooLong { days: 1 },
-                Cursor,
+                InvalidCursor,
                 Fate,
             }),
         ),
