--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -116,7 +116,7 @@
                 Some("error") => End::Failed,
                 Some("cancelled") => End::Cancelled,
                 Some("unknown") => End::Unknown,
-                _ => return Err(NoticeError::Fate),
+                _ => return Err(NoticeError::UnknownFate),
             };
             let result = bytes("arg")?.or_else(|| (end == End::Complete).then(|| Vec::new().into()));
             Some(Notice::Outcome { handle: handle()?, end, lasted, result })
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -114,5 +114,5 @@
     #[diagnostic(help(
         "the agent may be newer than this program: complete, error, cancelled and unknown are taken"
     ))]
-    Fate,
+    UnknownFate,
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -84,7 +84,7 @@
                 InvalidBase64 { member: "arg", reason: base64::DecodeError::InvalidPadding },
                 DurationTooLong { days: 1 },
                 InvalidCursor,
-                Fate,
+                UnknownFate,
             }),
         ),
         (
