--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -30,7 +30,7 @@
     #[diagnostic(help(
         "look who has this address, or set another one; beside a server that runs, start with its TMPDIR"
     ))]
-    Front {
+    Frontend {
         /// The key that names the address.
         key: &'static str,
         /// The address.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -211,7 +211,7 @@
         let (hub, shared, config) = (&self.hub, self.predecessor.is_some(), &self.config);
         let mut fronts = Vec::new();
         let mut bound = |key, wire: &str, address: SocketAddr, bound: io::Result<Front>| {
-            let front = bound.map_err(|source| NodeError::Front { key, address, source })?;
+            let front = bound.map_err(|source| NodeError::Frontend { key, address, source })?;
             info!("{} takes {wire} on {}", config.name, front.address);
             fronts.push(front);
             Ok::<(), NodeError>(())
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -67,7 +67,7 @@
                 Fleet(LinkError::Thread { kind: KIND }),
                 Routes(DriverError::Thread { kind: KIND }),
                 Core(CoreError::NoCores),
-                Front { key: "listen", address: at(), source: io() },
+                Frontend { key: "listen", address: at(), source: io() },
                 Admin { address: at(), source: io() },
                 Tls(rustls::Error::EncryptError),
                 HandoverEnded,
