--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -60,7 +60,7 @@
     #[diagnostic(help(
         "its log says why, such as a drain or a lost link: start the new process again once it is ready"
     ))]
-    HandoverEnded,
+    HandoverAborted,
 }
 
 /// Why a line of the agent is no notice. The link is made anew.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -432,7 +432,7 @@
                 self.predecessor = None;
             }
             Effect::GiveUp => {
-                self.fault = Some(NodeError::HandoverEnded);
+                self.fault = Some(NodeError::HandoverAborted);
             }
             Effect::Yield => {
                 self.hub.yields.store(true, Ordering::Relaxed);
--- a/src/program_error.rs
+++ b/src/program_error.rs
@@ -96,7 +96,7 @@
             Log(bad),
             Signals(io()),
             Config(ConfigError::new("a.key", Problem::NotHex)),
-            Node(NodeError::HandoverEnded),
+            Node(NodeError::HandoverAborted),
             Acme(AcmeError::Expired),
             Console(ConsoleError::Input(io())),
             NoConsole,
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -70,7 +70,7 @@
                 Frontend { key: "listen", address: at(), source: io() },
                 Admin { address: at(), source: io() },
                 Tls(rustls::Error::EncryptError),
-                HandoverEnded,
+                HandoverAborted,
             }),
         ),
         (
