--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -12,7 +12,7 @@
 use hopwalk::net::handover::{self, Heard, Word};
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::scgi::parse_response;
-use hopwalk::net::vault::Replies;
+use hopwalk::net::vault::ReplyParser;
 use tinyjson::JsonValue;
 
 use crate::alloc::most_held;
@@ -144,7 +144,7 @@
 /// The vault's replies.
 pub fn replies(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
-        let mut replies = Replies::default();
+        let mut replies = ReplyParser::default();
         read(MOST, pieces, |lines| replies.next_reply(lines))
     });
     for (_, end, body) in &all {
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -24,7 +24,7 @@
 use crate::fleet::routes::{Fence, MOST_BOUND};
 use crate::fleet::routing::{Allowed, Call, Routed};
 
-pub use wire::{encode_ask, parse_reply, Replies};
+pub use wire::{encode_ask, parse_reply, ReplyParser};
 
 /// An attempt to connect is given up after this long.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
@@ -354,7 +354,7 @@
     /// Reads up to the reply of a call: replies under other ids are nobody's, copies of earlier ones are not its own.
     fn read_reply(&self, link: &mut Buffer, ask: &Ask) -> Result<Reply, End> {
         link.until(ask.until());
-        let mut replies = Replies::default();
+        let mut replies = ReplyParser::default();
         let mut followed_strays = false;
         loop {
             match replies.next_reply(&mut link.lines)? {
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -11,14 +11,14 @@
 
 /// Reads replies off lines, and keeps the head of one whose body is not there yet.
 #[derive(Debug, Default)]
-pub struct Replies {
+pub struct ReplyParser {
     /// Whose body is awaited, and its length.
     head: Option<(Handle, usize)>,
     /// That body, whose line is not ended yet.
     body: Option<Bytes>,
 }
 
-impl Replies {
+impl ReplyParser {
     /// The next reply: whose it is, how the call ended, and the body where it went well; none while it is not there
     /// whole.
     pub fn next_reply(&mut self, lines: &mut Lines) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -11,7 +11,7 @@
 use hopwalk::net::handover::{parse, Heard, Word};
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
-use hopwalk::net::vault::{encode_ask, Replies};
+use hopwalk::net::vault::{encode_ask, ReplyParser};
 use hopwalk::net::{agent, http::Http, scgi, scgi::Scgi};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -165,7 +165,7 @@
         let ask = encode_ask(handle, Duration::from_millis(1), &body, None);
         let head = format!("ask {handle} 1 {}", body.len());
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
-        let (mut lines, mut replies, mut read) = (Lines::new(MOST), Replies::default(), Vec::new());
+        let (mut lines, mut replies, mut read) = (Lines::new(MOST), ReplyParser::default(), Vec::new());
         for piece in reply.chunks(piece) {
             lines.room().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
