--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -70,13 +70,13 @@
 
 /// Whether an answer was given to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Given {
+pub(super) enum AnswerResult {
     /// It was owed, and its owner has it.
-    Owed,
+    Queued,
     /// The connection is owed none.
     NotOwed,
     /// There is no such connection.
-    Gone,
+    NoConnection,
 }
 
 /// Names and values for people.
@@ -209,15 +209,15 @@
     }
 
     /// Gives a connection the answer that it is owed.
-    pub(super) fn give_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> Given {
+    pub(super) fn give_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
         let owner = match self.connections().give_answer(conn) {
             Giving::Owed(handle) => handle.answer.clone(),
-            Giving::NotOwed => return Given::NotOwed,
-            Giving::Gone => return Given::Gone,
+            Giving::NotOwed => return AnswerResult::NotOwed,
+            Giving::Gone => return AnswerResult::NoConnection,
         };
         // Not under the lock: waking a coroutine may wait for the worker, which may wait for the lock.
         let _ = owner.send(answer.clone());
-        Given::Owed
+        AnswerResult::Queued
     }
 
     /// Has all connections closed that are owed nothing.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -43,7 +43,7 @@
 use crate::fleet;
 use crate::settings::{Config, Links};
 pub use error::NodeError;
-use hub::Given;
+use hub::AnswerResult;
 pub use hub::Hub;
 use listen::{listen, next, Front, Place};
 use routed::Router;
@@ -335,12 +335,12 @@
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { conn, answer } => match self.hub.give_answer(conn, &answer) {
-                Given::Owed => {}
-                Given::NotOwed => {
+                AnswerResult::Queued => {}
+                AnswerResult::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
                     self.hub.push_at_once(Input::Violated);
                 }
-                Given::Gone => {
+                AnswerResult::NoConnection => {
                     if let Some(predecessor) = &self.predecessor {
                         predecessor.answer(conn, &answer);
                     }
