--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -209,7 +209,7 @@
     }
 
     /// Gives a connection the answer that it is owed.
-    pub(super) fn give_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
+    pub(super) fn send_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
         let owner = match self.connections().give_answer(conn) {
             Giving::Owed(handle) => handle.answer.clone(),
             Giving::NotOwed => return AnswerResult::NotOwed,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -334,7 +334,7 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { conn, answer } => match self.hub.give_answer(conn, &answer) {
+            Effect::Answer { conn, answer } => match self.hub.send_answer(conn, &answer) {
                 AnswerResult::Queued => {}
                 AnswerResult::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
