--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -115,12 +115,12 @@
             calls_shut: AtomicBool::new(false),
             classes: Mutex::new(classes),
         };
-        hub.share(false);
+        hub.set_descriptor_share(false);
         hub
     }
 
     /// Sets how many descriptors there are: two processes of one server have them together.
-    pub(super) fn share(&self, with_another: bool) {
+    pub(super) fn set_descriptor_share(&self, with_another: bool) {
         let parts = if with_another { 2 } else { 1 };
         let reserved = RESERVED_SOCKETS.min(self.sockets / 2);
         let most = ((self.sockets - reserved) / parts).max(1);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -191,7 +191,7 @@
             driver,
             fault: None,
         };
-        node.hub.share(node.predecessor.is_some());
+        node.hub.set_descriptor_share(node.predecessor.is_some());
         if node.predecessor.is_none() {
             node.open_fronts()?;
         }
@@ -406,7 +406,7 @@
             Effect::Ready => self.able(),
             Effect::HandOver { keys, standby } => {
                 info!("hands over to a new process: {} keys", keys.len());
-                self.hub.share(true);
+                self.hub.set_descriptor_share(true);
                 let clock = &self.hub.clock;
                 let on_wall_clock = |key: KeyState| KeyState { until: clock.to_wall(key.until), ..key };
                 let keys = keys.into_iter().map(on_wall_clock).collect();
@@ -427,7 +427,7 @@
             }
             Effect::Listen => self.take_callers(),
             Effect::Alone => {
-                self.hub.share(false);
+                self.hub.set_descriptor_share(false);
                 self.take_callers();
                 self.predecessor = None;
             }
