--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -156,7 +156,7 @@
     }
 
     /// Asks the reducer; its answer comes under the ticket, which the asker takes out of the queries at the end.
-    pub(super) fn ask(&self, query: Query) -> (u64, Receiver<Lines>) {
+    pub(super) fn submit_query(&self, query: Query) -> (u64, Receiver<Lines>) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let ticket = self.next_query.fetch_add(1, Ordering::Relaxed);
         self.queries().insert(ticket, sender);
@@ -167,7 +167,7 @@
     /// Waits until the reducer has taken all that was brought before, and what follows from it is done; to be called from
     /// threads only.
     pub(super) fn wait_for_reducer(&self) {
-        let (ticket, answer) = self.ask(Query::Status);
+        let (ticket, answer) = self.submit_query(Query::Status);
         // No answer comes only while the process ends.
         let _ = answer.recv();
         self.queries().remove(&ticket);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -86,7 +86,7 @@
 
     /// Asks the reducer, and waits for its answer; to be called from threads only.
     pub fn query(&self, query: Query, patience: Duration) -> Option<Vec<(String, String)>> {
-        let (ticket, answer) = self.0.ask(query);
+        let (ticket, answer) = self.0.submit_query(query);
         let lines = answer.recv_timeout(patience).ok();
         self.0.queries().remove(&ticket);
         lines
