--- a/src/net/agent/link_manager.rs
+++ b/src/net/agent/link_manager.rs
@@ -205,7 +205,7 @@
 
     /// Tells the reducer how a link ended. It does not wait for room: nothing of the next link should come before.
     fn tell_end(&self, link: &Open, end: LinkEnd) {
-        self.hub.push_at_once(Input::Agent { link: link.id, notice: Notice::Closed(end) });
+        self.hub.push_nonblocking(Input::Agent { link: link.id, notice: Notice::Closed(end) });
     }
 
     /// Connects to the address that the configuration names now if that is another one, beside the link: commands
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -145,11 +145,11 @@
         while self.waiting.load(Ordering::Relaxed) >= INBOX_ROOM {
             crate::net::spawn::sleep(Duration::from_millis(1));
         }
-        self.push_at_once(input);
+        self.push_nonblocking(input);
     }
 
     /// The same for what must not wait, and is rare.
-    pub(super) fn push_at_once(&self, input: Input) {
+    pub(super) fn push_nonblocking(&self, input: Input) {
         self.waiting.fetch_add(1, Ordering::Relaxed);
         // The reducer's end is gone only while the process ends.
         let _ = self.inbox.send(input);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -63,7 +63,7 @@
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
-        self.0.push_at_once(Input::Drain { noticed: self.0.clock.now() });
+        self.0.push_nonblocking(Input::Drain { noticed: self.0.clock.now() });
     }
 
     /// Takes up other settings, and moves the links to new addresses. A link that was on stays on: the program
@@ -338,7 +338,7 @@
                 AnswerResult::Queued => {}
                 AnswerResult::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
-                    self.hub.push_at_once(Input::Violated);
+                    self.hub.push_nonblocking(Input::Violated);
                 }
                 AnswerResult::NoConnection => {
                     if let Some(predecessor) = &self.predecessor {
