--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -147,7 +147,7 @@
             return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
         }
         last_look = left.is_zero();
-        stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
+        stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_check_interval()));
         match read_some(stream, inlet.room()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
             Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -241,7 +241,7 @@
     }
 
     /// How often an idle connection looks whether it is to close.
-    pub(super) fn idle_look(&self) -> Duration {
+    pub(super) fn idle_check_interval(&self) -> Duration {
         if self.draining.load(Ordering::Relaxed) {
             IDLE_LOOK_DRAINING
         } else {
