--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -250,7 +250,7 @@
     }
 
     /// The server takes no new connections from now on.
-    pub(super) fn close(&self) {
+    pub(super) fn stop_accepting(&self) {
         let _ = self.closed.set(Instant::now());
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -400,7 +400,7 @@
             }
             Effect::StopListening => {
                 info!("takes no new connections; closed so far: {}", self.hub.closes);
-                self.hub.close();
+                self.hub.stop_accepting();
                 self.stop_fronts(false);
             }
             Effect::Ready => self.able(),
