--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -257,7 +257,11 @@
     };
     let mut told = None;
     let status = match asked {
-        Ok(Call::Ready) if hub.ready.load(Ordering::Acquire) && !hub.is_closed() && routed::ready(hub) => 200,
+        Ok(Call::Ready)
+            if hub.ready.load(Ordering::Acquire) && !hub.has_stopped_accepting() && routed::ready(hub) =>
+        {
+            200
+        }
         Ok(Call::Ready) => 503,
         Ok(Call::Fleet) => {
             told = hub.fleet.as_ref().and_then(fleet::Link::status).map(|status| status.to_json() + "\n");
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -72,7 +72,7 @@
     let (ending, reason) = serve_requests(&mut stream, wire, place);
     place.hub.closes.count(reason);
     place.begin_closing();
-    let patience = if place.hub.is_closed() { closing::LAST_PATIENCE } else { closing::PATIENCE };
+    let patience = if place.hub.has_stopped_accepting() { closing::LAST_PATIENCE } else { closing::PATIENCE };
     closing::close(&mut stream, ending, patience);
 }
 
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -228,7 +228,7 @@
     /// How long a connection may be idle; none is kept once the server takes no new ones.
     pub(super) fn idle_limit(&self) -> Duration {
         let told = Duration::from_micros(self.trim_us.load(Ordering::Relaxed));
-        match (self.is_closed(), self.yields.load(Ordering::Relaxed)) {
+        match (self.has_stopped_accepting(), self.yields.load(Ordering::Relaxed)) {
             (true, _) => Duration::ZERO,
             (false, true) => told.min(YIELD_IDLE),
             (false, false) => told,
@@ -255,7 +255,7 @@
     }
 
     /// The server takes no new connections.
-    pub(super) fn is_closed(&self) -> bool {
+    pub(super) fn has_stopped_accepting(&self) -> bool {
         self.closed.get().is_some()
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -260,7 +260,7 @@
 
     /// Takes callers; a process that served before has handed over, or is gone.
     fn take_callers(&mut self) {
-        if self.fronts.is_empty() && !self.hub.is_closed() {
+        if self.fronts.is_empty() && !self.hub.has_stopped_accepting() {
             self.fault = self.open_fronts().err();
             self.hub.ready.store(true, Ordering::Release);
         }
