--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -141,7 +141,7 @@
             partial: first_byte.map(|at| at.elapsed()),
             unasked: accepted.map(|at| at.elapsed()),
         };
-        let left = waited.left(hub.idle_limit(), hub.closed_for());
+        let left = waited.left(hub.idle_limit(), hub.stopped_accepting_for());
         // What came while the timer fired is read before the connection is closed as idle.
         if left.is_zero() && last_look && stream.conn().is_quiet() {
             return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -260,7 +260,7 @@
     }
 
     /// For how long the server has taken no new connections.
-    pub(super) fn closed_for(&self) -> Option<Duration> {
+    pub(super) fn stopped_accepting_for(&self) -> Option<Duration> {
         self.closed.get().map(Instant::elapsed)
     }
 }
