--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -35,7 +35,7 @@
 pub struct Hub {
     pub(super) clock: Clock,
     pub(super) inbox: Sender<Input>,
-    pub(super) waiting: AtomicUsize,
+    pub(super) queued_inputs: AtomicUsize,
     connections: Mutex<ConnectionTable<ConnectionHandle>>,
     pub(super) next_conn: AtomicU64,
     /// Why connections were closed.
@@ -94,7 +94,7 @@
         let hub = Self {
             clock: Clock::new(),
             inbox,
-            waiting: AtomicUsize::new(0),
+            queued_inputs: AtomicUsize::new(0),
             connections: Mutex::default(),
             next_conn: AtomicU64::new(1),
             closes: Closes::default(),
@@ -142,7 +142,7 @@
 
     /// Brings an input to the reducer; called from coroutines, it waits while the inbox is full.
     pub fn push(&self, input: Input) {
-        while self.waiting.load(Ordering::Relaxed) >= INBOX_ROOM {
+        while self.queued_inputs.load(Ordering::Relaxed) >= INBOX_ROOM {
             crate::net::spawn::sleep(Duration::from_millis(1));
         }
         self.push_nonblocking(input);
@@ -150,7 +150,7 @@
 
     /// The same for what must not wait, and is rare.
     pub(super) fn push_nonblocking(&self, input: Input) {
-        self.waiting.fetch_add(1, Ordering::Relaxed);
+        self.queued_inputs.fetch_add(1, Ordering::Relaxed);
         // The reducer's end is gone only while the process ends.
         let _ = self.inbox.send(input);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -290,7 +290,7 @@
             };
             let mut batch: Vec<Input> = first.into_iter().collect();
             batch.extend(self.inbox.try_iter().take(BATCH));
-            self.hub.waiting.fetch_sub(batch.len(), Ordering::Relaxed);
+            self.hub.queued_inputs.fetch_sub(batch.len(), Ordering::Relaxed);
             self.hub.clock.look();
             for effect in self.core.step(self.hub.clock.now(), batch) {
                 leaving |= effect == Effect::Leave;
