--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -45,7 +45,7 @@
     spare_connections: AtomicUsize,
     /// Calls below that may be out at once: each has a descriptor out of those kept back.
     pub(super) most_calls: AtomicUsize,
-    pub(super) trim_us: AtomicU64,
+    pub(super) idle_limit_us: AtomicU64,
     /// The server has begun to leave.
     draining: AtomicBool,
     /// When the server stopped taking new connections.
@@ -102,7 +102,7 @@
             most_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
             most_calls: AtomicUsize::new(1),
-            trim_us: AtomicU64::new(u64::MAX),
+            idle_limit_us: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
             closed: OnceLock::new(),
             yields: AtomicBool::new(false),
@@ -227,7 +227,7 @@
 
     /// How long a connection may be idle; none is kept once the server takes no new ones.
     pub(super) fn idle_limit(&self) -> Duration {
-        let told = Duration::from_micros(self.trim_us.load(Ordering::Relaxed));
+        let told = Duration::from_micros(self.idle_limit_us.load(Ordering::Relaxed));
         match (self.has_stopped_accepting(), self.yields.load(Ordering::Relaxed)) {
             (true, _) => Duration::ZERO,
             (false, true) => told.min(YIELD_IDLE),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -378,7 +378,7 @@
             }
             Effect::TrimIdle(after) => {
                 let us = u64::try_from(after.as_micros()).unwrap_or(u64::MAX);
-                self.hub.trim_us.store(us, Ordering::Relaxed);
+                self.hub.idle_limit_us.store(us, Ordering::Relaxed);
             }
             Effect::Draining => {
                 info!("leaving: counters so far: {}", self.core.counters());
