--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -51,7 +51,7 @@
     /// When the server stopped taking new connections.
     closed: OnceLock<Instant>,
     /// Another process takes the new connections; those that are here end as they fall idle.
-    pub(super) yields: AtomicBool,
+    pub(super) has_yielded: AtomicBool,
     /// The agent was up: requests can be served.
     pub(super) ready: AtomicBool,
     pub(super) queries: Mutex<HashMap<u64, Sender<Lines>>>,
@@ -105,7 +105,7 @@
             idle_limit_us: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
             closed: OnceLock::new(),
-            yields: AtomicBool::new(false),
+            has_yielded: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             queries: Mutex::default(),
             next_query: AtomicU64::new(1),
@@ -228,7 +228,7 @@
     /// How long a connection may be idle; none is kept once the server takes no new ones.
     pub(super) fn idle_limit(&self) -> Duration {
         let told = Duration::from_micros(self.idle_limit_us.load(Ordering::Relaxed));
-        match (self.has_stopped_accepting(), self.yields.load(Ordering::Relaxed)) {
+        match (self.has_stopped_accepting(), self.has_yielded.load(Ordering::Relaxed)) {
             (true, _) => Duration::ZERO,
             (false, true) => told.min(YIELD_IDLE),
             (false, false) => told,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -435,7 +435,7 @@
                 self.fault = Some(NodeError::HandoverAborted);
             }
             Effect::Yield => {
-                self.hub.yields.store(true, Ordering::Relaxed);
+                self.hub.has_yielded.store(true, Ordering::Relaxed);
                 self.stop_fronts(true);
                 let counters = format!("{}", self.core.counters());
                 let stopped = self.fronts.clone();
