--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -63,7 +63,7 @@
     /// The fleet's routes, where they are on.
     pub(super) routing: Option<Arc<dyn Router>>,
     /// The reducer was told last that calls of some class are not made.
-    pub(super) calls_shut: AtomicBool,
+    pub(super) calls_blocked: AtomicBool,
     /// The names of the site's classes, since the configuration was last read.
     pub(super) classes: Mutex<Vec<String>>,
 }
@@ -112,7 +112,7 @@
             links: Mutex::new(links),
             fleet,
             routing,
-            calls_shut: AtomicBool::new(false),
+            calls_blocked: AtomicBool::new(false),
             classes: Mutex::new(classes),
         };
         hub.set_descriptor_share(false);
--- a/src/net/routed.rs
+++ b/src/net/routed.rs
@@ -90,7 +90,7 @@
     let tell = move |hub: &Hub, told: &Vec<(String, Way)>| {
         hub.push(Input::Ways(told.clone()));
         // What is read after a check that found this matcher ready comes behind it in the inbox.
-        hub.calls_shut.store(told.iter().any(|(_, way)| *way != Way::Open), Ordering::Release);
+        hub.calls_blocked.store(told.iter().any(|(_, way)| *way != Way::Open), Ordering::Release);
     };
     let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, routes)) = router.allowed(*known) {
@@ -115,7 +115,7 @@
 
 /// Calls may be made, and the reducer knows it; always where routes are off.
 pub(super) fn ready(hub: &Hub) -> bool {
-    hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_shut.load(Ordering::Acquire))
+    hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_blocked.load(Ordering::Acquire))
 }
 
 /// Does something once calls may be made here, or after a bounded time; at once where routes are off.
