--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -44,7 +44,7 @@
     most_connections: AtomicUsize,
     spare_connections: AtomicUsize,
     /// Calls below that may be out at once: each has a descriptor out of those kept back.
-    pub(super) most_calls: AtomicUsize,
+    pub(super) max_calls: AtomicUsize,
     pub(super) idle_limit_us: AtomicU64,
     /// The server has begun to leave.
     draining: AtomicBool,
@@ -101,7 +101,7 @@
             sockets,
             most_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
-            most_calls: AtomicUsize::new(1),
+            max_calls: AtomicUsize::new(1),
             idle_limit_us: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
             closed: OnceLock::new(),
@@ -125,14 +125,14 @@
         let reserved = RESERVED_SOCKETS.min(self.sockets / 2);
         let most = ((self.sockets - reserved) / parts).max(1);
         self.most_connections.store(most, Ordering::Relaxed);
-        self.most_calls.store((reserved / 2 / parts).max(1), Ordering::Relaxed);
+        self.max_calls.store((reserved / 2 / parts).max(1), Ordering::Relaxed);
         self.spare_connections.store(reserved / SPARE_PART / parts, Ordering::Relaxed);
         self.connections().shrink(most, Instant::now(), ConnectionHandle::evict);
     }
 
     /// Calls below that may be out at once.
-    pub(super) fn most_calls(&self) -> usize {
-        self.most_calls.load(Ordering::Relaxed)
+    pub(super) fn max_calls(&self) -> usize {
+        self.max_calls.load(Ordering::Relaxed)
     }
 
     /// A number for a connection.
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -142,7 +142,7 @@
         match order {
             Order::Ask { handle, attempt, fresh, earlier, patience, body, route } => {
                 let mut pool = lock(&self.pool);
-                let room = pool.out.len() < self.hub.most_calls();
+                let room = pool.out.len() < self.hub.max_calls();
                 if room {
                     if let Some((_, Some(conn))) = pool.out.insert(handle, (attempt, None)) {
                         conn.shutdown(Shutdown::Both);
@@ -273,7 +273,7 @@
             pool.out.remove(&ask.handle);
         }
         // A connection that brought more than its own reply, or none that can be read, is not used again.
-        let room = pool.idle.len() < MOST_IDLE.0.min(self.hub.most_calls() / MOST_IDLE.1);
+        let room = pool.idle.len() < MOST_IDLE.0.min(self.hub.max_calls() / MOST_IDLE.1);
         let is_clean = ended.as_ref().is_ok_and(|reply| !reply.followed_strays) && link.lines.is_empty();
         if is_clean && pool.epoch == epoch && room {
             pool.idle.push((conn, address, Instant::now()));
