--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -24,7 +24,7 @@
 use super::http::{body_len, read_head, response};
 use super::inlet::{Framing, Headed, Inlet, Scan};
 use super::stream::Conn;
-use super::{at_start, metrics, next, routed, spawn, Hub};
+use super::{at_start, call_routing, metrics, next, spawn, Hub};
 use crate::core::Input;
 use crate::fleet;
 use crate::fleet::routes::table::MOST_BYTES;
@@ -258,7 +258,9 @@
     let mut told = None;
     let status = match asked {
         Ok(Call::Ready)
-            if hub.ready.load(Ordering::Acquire) && !hub.has_stopped_accepting() && routed::ready(hub) =>
+            if hub.ready.load(Ordering::Acquire)
+                && !hub.has_stopped_accepting()
+                && call_routing::ready(hub) =>
         {
             200
         }
@@ -342,7 +344,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::routed::double::{hub, Double};
+    use super::super::call_routing::double::{hub, Double};
     use super::*;
     use crate::fleet::door::{ask, send, DoorError};
     use crate::fleet::routes::record::RecordError;
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -8,11 +8,11 @@
 
 use may::sync::mpsc as co;
 
+use super::call_routing::Router;
 use super::clock::Clock;
 use super::closes::Closes;
 use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
 use super::listen::{ConnectionHandle, Place};
-use super::routed::Router;
 use super::stream::Conn;
 use crate::core::{Answer, ConnId, Input, Query};
 use crate::fleet;
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::routed::ways;
+use super::call_routing::ways;
 use super::Hub;
 use crate::core::Query;
 use crate::fleet;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,6 +6,7 @@
 pub mod admin;
 pub mod agent;
 pub mod at_start;
+pub mod call_routing;
 pub mod clock;
 mod closes;
 mod closing;
@@ -22,7 +23,6 @@
 mod listen;
 mod metrics;
 mod newcomers;
-pub mod routed;
 pub mod scgi;
 mod spawn;
 mod stream;
@@ -42,11 +42,11 @@
 use crate::core::{Core, Effect, Input, KeyState, Query};
 use crate::fleet;
 use crate::settings::{Config, Links};
+use call_routing::Router;
 pub use error::NodeError;
 use hub::AnswerResult;
 pub use hub::Hub;
 use listen::{listen, next, Front, Place};
-use routed::Router;
 use spawn::spawn_deep;
 pub use spawn::{sleep, spawn, start_runtime};
 
@@ -149,7 +149,7 @@
         let routing = driver.as_ref().map(|driver| Arc::new(driver.routing()) as Arc<dyn Router>);
         let classes = config.site.class_names.clone();
         let hub = Arc::new(Hub::new(sender, config.sockets, config.links(), classes, fleet, routing));
-        routed::start(&hub);
+        call_routing::start(&hub);
         let mut core = Core::new(config.site.clone(), config.seed, config.stop_after, hub.clock.now())?;
         let runner = match (config.agent, config.appliance.scgi_application) {
             (Some(_), _) => Runner::Agent(agent::Link::start(&hub)),
@@ -251,7 +251,7 @@
                 let predecessor = predecessor.clone();
                 // Asked once while it waits for its lease, however often the agent greets meanwhile.
                 if self.hub.routing.is_none() || !std::mem::replace(&mut self.begins, true) {
-                    routed::when_ready(&self.hub, move || predecessor.send(handover::Word::Begin));
+                    call_routing::when_ready(&self.hub, move || predecessor.send(handover::Word::Begin));
                 }
             }
             _ => self.hub.ready.store(true, Ordering::Release),
