--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -344,7 +344,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::call_routing::double::{hub, Double};
+    use super::super::call_routing::fake::{hub, Double};
     use super::*;
     use crate::fleet::door::{ask, send, DoorError};
     use crate::fleet::routes::record::RecordError;
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -9,7 +9,7 @@
 
 use super::*;
 use crate::core::{Bytes, Core, Effect, Handle, Input, Notice, Request};
-use crate::net::call_routing::double::hub;
+use crate::net::call_routing::fake::hub;
 use crate::settings::Site;
 
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -134,7 +134,7 @@
 
 /// A router whose answers are told beforehand, for tests.
 #[cfg(test)]
-pub(super) mod double {
+pub(super) mod fake {
     use std::collections::VecDeque;
     use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
     use std::sync::mpsc::{channel, Sender};
@@ -256,7 +256,7 @@
 mod tests {
     use std::sync::mpsc::channel;
 
-    use super::double::{hub, Double};
+    use super::fake::{hub, Double};
     use super::*;
 
     #[test]
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 
 use super::*;
-use crate::net::call_routing::double::{hub, Double};
+use crate::net::call_routing::fake::{hub, Double};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
