--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -145,7 +145,7 @@
 
     type Done = Result<String, OrderError>;
 
-    pub struct Double {
+    pub struct FakeRouter {
         /// What the looks at a call find, one after the other; the last one stays.
         routed: Mutex<VecDeque<Routed>>,
         looks: Mutex<Vec<Call>>,
@@ -157,7 +157,7 @@
         pub stale: AtomicUsize,
     }
 
-    impl Double {
+    impl FakeRouter {
         pub fn of(routed: impl IntoIterator<Item = Routed>) -> Self {
             Self {
                 routed: Mutex::new(routed.into_iter().collect()),
@@ -195,7 +195,7 @@
         }
     }
 
-    impl Router for Double {
+    impl Router for FakeRouter {
         fn route(&self, call: &Call) -> Routed {
             self.looks.lock().unwrap().push(call.clone());
             let mut routed = self.routed.lock().unwrap();
@@ -240,7 +240,7 @@
 
     /// A hub with this router and the configuration's vault, and what comes to the reducer.
     pub fn hub(
-        double: Option<Arc<Double>>,
+        double: Option<Arc<FakeRouter>>,
         vault: Option<std::net::SocketAddr>,
     ) -> (Arc<Hub>, Receiver<Input>) {
         // Coroutines are sound on one worker only, in tests too.
@@ -256,13 +256,13 @@
 mod tests {
     use std::sync::mpsc::channel;
 
-    use super::fake::{hub, Double};
+    use super::fake::{hub, FakeRouter};
     use super::*;
 
     #[test]
     fn a_process_that_takes_over_waits_for_its_lease() {
         // Guards against an upgrade that turns requests away until the new process has its first lease.
-        let double = Arc::new(Double::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::of([Routed::Barred]));
         double.set_ready(false);
         let (hub, _inbox) = hub(Some(double.clone()), None);
         let (sender, begun) = channel();
@@ -275,7 +275,7 @@
 
     #[test]
     fn the_reducer_hears_of_the_ways_before_anything_else() {
-        let (hub, inbox) = hub(Some(Arc::new(Double::of([Routed::Barred]))), None);
+        let (hub, inbox) = hub(Some(Arc::new(FakeRouter::of([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 
 use super::*;
-use crate::net::call_routing::fake::{hub, Double};
+use crate::net::call_routing::fake::{hub, FakeRouter};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -60,12 +60,12 @@
 struct Bench {
     link: Link,
     inbox: Receiver<Input>,
-    double: Arc<Double>,
+    double: Arc<FakeRouter>,
 }
 
 impl Bench {
     fn new(routed: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
-        let double = Arc::new(Double::of(routed));
+        let double = Arc::new(FakeRouter::of(routed));
         let (hub, inbox) = hub(Some(double.clone()), vault.map(|v| v.at));
         Self { link: Link::start(&hub), inbox, double }
     }
@@ -246,7 +246,7 @@
         side.ask().unwrap();
         side.reply(ID, "one");
     }
-    let double = Arc::new(Double::of(looks));
+    let double = Arc::new(FakeRouter::of(looks));
     let scripts = [&[first as fn(&mut Scripted)], then].concat();
     let (hub, inbox) = hub(Some(double), Some(scripted(scripts)));
     let link = Link::start(&hub);
@@ -314,7 +314,7 @@
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
     let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
-    let (hub, inbox) = hub(Some(Arc::new(Double::of([go(1, None), wait(100), go(1, None)]))), Some(at));
+    let (hub, inbox) = hub(Some(Arc::new(FakeRouter::of([go(1, None), wait(100), go(1, None)]))), Some(at));
     let link = Link::start(&hub);
     let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
