--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -367,7 +367,7 @@
 
     #[test]
     fn each_call_becomes_its_order_and_brings_the_document() {
-        let double = Arc::new(FakeRouter::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
@@ -392,7 +392,7 @@
 
     #[test]
     fn a_refusal_tells_why_and_what_to_do() {
-        let double = Arc::new(FakeRouter::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
         double.answer(Err(OrderError::Refused(error.clone().into())));
@@ -414,7 +414,7 @@
     #[test]
     fn an_order_that_nobody_answers_holds_up_no_other_call() {
         // Guards against a worker that waits in a system call: with as many as there are workers the door stands still.
-        let double = Arc::new(FakeRouter::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         double.silent();
         let (at, _hub) = door(Some(double.clone()));
         let since = Instant::now();
@@ -433,7 +433,7 @@
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
-        let double = Arc::new(FakeRouter::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
         double.set_ready(false);
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -158,7 +158,7 @@
     }
 
     impl FakeRouter {
-        pub fn of(routed: impl IntoIterator<Item = Routed>) -> Self {
+        pub fn with_answers(routed: impl IntoIterator<Item = Routed>) -> Self {
             Self {
                 routed: Mutex::new(routed.into_iter().collect()),
                 looks: Mutex::default(),
@@ -262,7 +262,7 @@
     #[test]
     fn a_process_that_takes_over_waits_for_its_lease() {
         // Guards against an upgrade that turns requests away until the new process has its first lease.
-        let double = Arc::new(FakeRouter::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         double.set_ready(false);
         let (hub, _inbox) = hub(Some(double.clone()), None);
         let (sender, begun) = channel();
@@ -275,7 +275,7 @@
 
     #[test]
     fn the_reducer_hears_of_the_ways_before_anything_else() {
-        let (hub, inbox) = hub(Some(Arc::new(FakeRouter::of([Routed::Barred]))), None);
+        let (hub, inbox) = hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -65,7 +65,7 @@
 
 impl Bench {
     fn new(routed: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
-        let double = Arc::new(FakeRouter::of(routed));
+        let double = Arc::new(FakeRouter::with_answers(routed));
         let (hub, inbox) = hub(Some(double.clone()), vault.map(|v| v.at));
         Self { link: Link::start(&hub), inbox, double }
     }
@@ -246,7 +246,7 @@
         side.ask().unwrap();
         side.reply(ID, "one");
     }
-    let double = Arc::new(FakeRouter::of(looks));
+    let double = Arc::new(FakeRouter::with_answers(looks));
     let scripts = [&[first as fn(&mut Scripted)], then].concat();
     let (hub, inbox) = hub(Some(double), Some(scripted(scripts)));
     let link = Link::start(&hub);
@@ -314,7 +314,8 @@
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
     let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
-    let (hub, inbox) = hub(Some(Arc::new(FakeRouter::of([go(1, None), wait(100), go(1, None)]))), Some(at));
+    let (hub, inbox) =
+        hub(Some(Arc::new(FakeRouter::with_answers([go(1, None), wait(100), go(1, None)]))), Some(at));
     let link = Link::start(&hub);
     let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
