--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -148,7 +148,7 @@
     pub struct FakeRouter {
         /// What the looks at a call find, one after the other; the last one stays.
         routed: Mutex<VecDeque<Routed>>,
-        looks: Mutex<Vec<Call>>,
+        routed_calls: Mutex<Vec<Call>>,
         orders: Mutex<Vec<(Order, String)>>,
         done: Mutex<Done>,
         /// Where orders wait that are never answered.
@@ -161,7 +161,7 @@
         pub fn with_answers(routed: impl IntoIterator<Item = Routed>) -> Self {
             Self {
                 routed: Mutex::new(routed.into_iter().collect()),
-                looks: Mutex::default(),
+                routed_calls: Mutex::default(),
                 orders: Mutex::default(),
                 done: Mutex::new(Ok("{}".into())),
                 silent: Mutex::default(),
@@ -170,8 +170,8 @@
             }
         }
 
-        pub fn looks(&self) -> Vec<Call> {
-            self.looks.lock().unwrap().clone()
+        pub fn routed_calls(&self) -> Vec<Call> {
+            self.routed_calls.lock().unwrap().clone()
         }
 
         pub fn orders(&self) -> MutexGuard<'_, Vec<(Order, String)>> {
@@ -197,7 +197,7 @@
 
     impl Router for FakeRouter {
         fn route(&self, call: &Call) -> Routed {
-            self.looks.lock().unwrap().push(call.clone());
+            self.routed_calls.lock().unwrap().push(call.clone());
             let mut routed = self.routed.lock().unwrap();
             if routed.len() > 1 {
                 return routed.pop_front().unwrap();
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -154,7 +154,7 @@
     for _ in 0..2 {
         assert_eq!(bench.ended().1, Some(fence(1)));
     }
-    let tried: Vec<_> = bench.double.looks().iter().map(|call| call.tried).collect();
+    let tried: Vec<_> = bench.double.routed_calls().iter().map(|call| call.tried).collect();
     assert_eq!((tried.first(), tried.last()), (Some(&None), Some(&Some(fence(1)))));
 }
 
@@ -197,7 +197,7 @@
         bench.ask(attempt, true, PATIENCE);
         assert_eq!(bench.ended(), (End::NotNow, None));
     }
-    assert!(bench.double.looks().iter().all(|call| call.tried.is_none()));
+    assert!(bench.double.routed_calls().iter().all(|call| call.tried.is_none()));
 }
 
 /// A service below whose connections, one after the other, follow a script each; returns its address.
