--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -415,7 +415,7 @@
     fn an_order_that_nobody_answers_holds_up_no_other_call() {
         // Guards against a worker that waits in a system call: with as many as there are workers the door stands still.
         let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
-        double.silent();
+        double.leave_unanswered();
         let (at, _hub) = door(Some(double.clone()));
         let since = Instant::now();
         let waits: Vec<_> = (0..10)
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -182,7 +182,7 @@
             *self.done.lock().unwrap() = done;
         }
 
-        pub fn silent(&self) {
+        pub fn leave_unanswered(&self) {
             *self.silent.lock().unwrap() = Some(Vec::new());
         }
 
