--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -427,7 +427,7 @@
         }
         assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
         assert!(since.elapsed() < ORDER_PATIENCE, "{:?}", since.elapsed());
-        double.hang_up();
+        double.drop_unanswered();
         assert!(waits.into_iter().all(|w| w.join().unwrap() == 503));
     }
 
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -186,7 +186,7 @@
             *self.silent.lock().unwrap() = Some(Vec::new());
         }
 
-        pub fn hang_up(&self) {
+        pub fn drop_unanswered(&self) {
             *self.silent.lock().unwrap() = None;
         }
 
