--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -395,10 +395,10 @@
         let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
-        double.answer(Err(OrderError::Refused(error.clone().into())));
+        double.set_answer(Err(OrderError::Refused(error.clone().into())));
         let (status, told, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", PATIENCE));
         assert_eq!((status, told, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.answer(Err(OrderError::NoLeader { patience: ORDER_PATIENCE }));
+        double.set_answer(Err(OrderError::NoLeader { patience: ORDER_PATIENCE }));
         let (status, told, help) = refused(ask(at, "GET", "/fleet/routes", PATIENCE));
         assert!(status == 503 && told.contains("leader") && !help.is_empty(), "{told}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -178,7 +178,7 @@
             self.orders.lock().unwrap()
         }
 
-        pub fn answer(&self, done: Done) {
+        pub fn set_answer(&self, done: Done) {
             *self.done.lock().unwrap() = done;
         }
 
