--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -344,7 +344,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::call_routing::fake::{hub, FakeRouter};
+    use super::super::call_routing::fake::{test_hub, FakeRouter};
     use super::*;
     use crate::fleet::door::{ask, send, DoorError};
     use crate::fleet::routes::record::RecordError;
@@ -353,7 +353,7 @@
     const PATIENCE: Duration = Duration::from_secs(10);
 
     fn door(double: Option<Arc<FakeRouter>>) -> (SocketAddr, Arc<Hub>) {
-        let hub = hub(double, None).0;
+        let hub = test_hub(double, None).0;
         hub.ready.store(true, Ordering::Release);
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -9,7 +9,7 @@
 
 use super::*;
 use crate::core::{Bytes, Core, Effect, Handle, Input, Notice, Request};
-use crate::net::call_routing::fake::hub;
+use crate::net::call_routing::fake::test_hub;
 use crate::settings::Site;
 
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -87,7 +87,7 @@
 impl Bench {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (hub, inbox) = hub(None, None);
+        let (hub, inbox) = test_hub(None, None);
         hub.links.lock().unwrap().agent = Some(listener.local_addr().unwrap());
         let now = hub.clock.now();
         let core = Core::new(Site::parse(SITE).unwrap(), 1, STOP_AFTER, now).unwrap();
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -239,7 +239,7 @@
     }
 
     /// A hub with this router and the configuration's vault, and what comes to the reducer.
-    pub fn hub(
+    pub fn test_hub(
         double: Option<Arc<FakeRouter>>,
         vault: Option<std::net::SocketAddr>,
     ) -> (Arc<Hub>, Receiver<Input>) {
@@ -256,7 +256,7 @@
 mod tests {
     use std::sync::mpsc::channel;
 
-    use super::fake::{hub, FakeRouter};
+    use super::fake::{test_hub, FakeRouter};
     use super::*;
 
     #[test]
@@ -264,7 +264,7 @@
         // Guards against an upgrade that turns requests away until the new process has its first lease.
         let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         double.set_ready(false);
-        let (hub, _inbox) = hub(Some(double.clone()), None);
+        let (hub, _inbox) = test_hub(Some(double.clone()), None);
         let (sender, begun) = channel();
         when_ready(&hub, move || sender.send(Instant::now()).unwrap());
         assert!(begun.recv_timeout(LOOK * 3).is_err());
@@ -275,7 +275,7 @@
 
     #[test]
     fn the_reducer_hears_of_the_ways_before_anything_else() {
-        let (hub, inbox) = hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
+        let (hub, inbox) = test_hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 
 use super::*;
-use crate::net::call_routing::fake::{hub, FakeRouter};
+use crate::net::call_routing::fake::{test_hub, FakeRouter};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -66,7 +66,7 @@
 impl Bench {
     fn new(routed: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
         let double = Arc::new(FakeRouter::with_answers(routed));
-        let (hub, inbox) = hub(Some(double.clone()), vault.map(|v| v.at));
+        let (hub, inbox) = test_hub(Some(double.clone()), vault.map(|v| v.at));
         Self { link: Link::start(&hub), inbox, double }
     }
 
@@ -248,7 +248,7 @@
     }
     let double = Arc::new(FakeRouter::with_answers(looks));
     let scripts = [&[first as fn(&mut Scripted)], then].concat();
-    let (hub, inbox) = hub(Some(double), Some(scripted(scripts)));
+    let (hub, inbox) = test_hub(Some(double), Some(scripted(scripts)));
     let link = Link::start(&hub);
     let mut last = None;
     for attempt in [1, 2] {
@@ -315,7 +315,7 @@
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
     let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
     let (hub, inbox) =
-        hub(Some(Arc::new(FakeRouter::with_answers([go(1, None), wait(100), go(1, None)]))), Some(at));
+        test_hub(Some(Arc::new(FakeRouter::with_answers([go(1, None), wait(100), go(1, None)]))), Some(at));
     let link = Link::start(&hub);
     let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
@@ -338,7 +338,7 @@
         side.ask().unwrap();
         side.reply(ID, "one");
     }
-    let (hub, inbox) = hub(None, Some(scripted(vec![then])));
+    let (hub, inbox) = test_hub(None, Some(scripted(vec![then])));
     let link = Link::start(&hub);
     let (handle, earlier) = (ID.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
     let (patience, body) = (Duration::from_millis(300), [b'x'].into());
