--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -21,7 +21,7 @@
 use super::connection_table::AfterAnswer;
 use super::hub::Hub;
 use super::stream::Conn;
-use super::{at_start, front, newcomers, spawn};
+use super::{at_start, front, handshake_filter, spawn};
 use crate::core::{Answer, ConnId};
 
 /// Bytes of answers that the system may hold for a caller that does not read: some whole answers, and no more
@@ -126,7 +126,7 @@
         }
         if let Some(listener) = self.listener.upgrade().filter(|_| has_successor) {
             // The process before may have had all new connections sent to another listener than this one.
-            if let Err(e) = newcomers::send_to_any(listener.inner()) {
+            if let Err(e) = handshake_filter::send_to_any(listener.inner()) {
                 debug!("new connections cannot be shared with the process that took over: {e}");
             }
         }
@@ -168,8 +168,8 @@
     state.has_begun.store(true, Ordering::Release);
     // Where this is not to be had, a handshake that ends between the last look and the close is reset.
     let kept_away = match state.has_successor.load(Ordering::Acquire) {
-        true => newcomers::send_to_successor(listener.inner()),
-        false => newcomers::shut_out(listener.inner()),
+        true => handshake_filter::send_to_successor(listener.inner()),
+        false => handshake_filter::shut_out(listener.inner()),
     };
     if let Err(e) = &kept_away {
         debug!("new connections cannot be kept away before the close: {e}");
