--- a/src/net/handshake_filter.rs
+++ b/src/net/handshake_filter.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// What the system says where it has no such filters.
-pub(super) fn shut_out(listener: &impl AsFd) -> io::Result<()> {
+pub(super) fn drop_new_handshakes(listener: &impl AsFd) -> io::Result<()> {
     SockRef::from(listener).attach_filter(&DROP_SYN)
 }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -169,7 +169,7 @@
     // Where this is not to be had, a handshake that ends between the last look and the close is reset.
     let kept_away = match state.has_successor.load(Ordering::Acquire) {
         true => handshake_filter::send_to_successor(listener.inner()),
-        false => handshake_filter::shut_out(listener.inner()),
+        false => handshake_filter::drop_new_handshakes(listener.inner()),
     };
     if let Err(e) = &kept_away {
         debug!("new connections cannot be kept away before the close: {e}");
