--- a/src/net/handshake_filter.rs
+++ b/src/net/handshake_filter.rs
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// What the system says where it has no such choice.
-pub(super) fn send_to_successor(listener: &impl AsFd) -> io::Result<()> {
+pub(super) fn direct_to_successor(listener: &impl AsFd) -> io::Result<()> {
     choose(listener, CHOOSE_SUCCESSOR)
 }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -168,7 +168,7 @@
     state.has_begun.store(true, Ordering::Release);
     // Where this is not to be had, a handshake that ends between the last look and the close is reset.
     let kept_away = match state.has_successor.load(Ordering::Acquire) {
-        true => handshake_filter::send_to_successor(listener.inner()),
+        true => handshake_filter::direct_to_successor(listener.inner()),
         false => handshake_filter::drop_new_handshakes(listener.inner()),
     };
     if let Err(e) = &kept_away {
