--- a/src/net/handshake_filter.rs
+++ b/src/net/handshake_filter.rs
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// What the system says where it has no such choice.
-pub(super) fn send_to_any(listener: &impl AsFd) -> io::Result<()> {
+pub(super) fn direct_to_any(listener: &impl AsFd) -> io::Result<()> {
     choose(listener, CHOOSE_BY_ADDRESS)
 }
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -126,7 +126,7 @@
         }
         if let Some(listener) = self.listener.upgrade().filter(|_| has_successor) {
             // The process before may have had all new connections sent to another listener than this one.
-            if let Err(e) = handshake_filter::send_to_any(listener.inner()) {
+            if let Err(e) = handshake_filter::direct_to_any(listener.inner()) {
                 debug!("new connections cannot be shared with the process that took over: {e}");
             }
         }
