--- a/src/acme/challenge.rs
+++ b/src/acme/challenge.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::net::at_start;
+use crate::net::socket_retry;
 
 /// Where challenges are looked for; the token follows.
 const PATH: &str = "/.well-known/acme-challenge/";
@@ -30,7 +30,7 @@
 
 impl Responder {
     pub(super) fn start(address: SocketAddr) -> io::Result<Self> {
-        let listener = at_start::open(|| TcpListener::bind(address))?;
+        let listener = socket_retry::open(|| TcpListener::bind(address))?;
         listener.set_nonblocking(true)?;
         let (answers, over) = (Answers::default(), Arc::new(AtomicBool::new(false)));
         let (of_thread, ends) = (answers.clone(), over.clone());
--- a/src/console.rs
+++ b/src/console.rs
@@ -14,9 +14,9 @@
 use tracing::{debug, info, warn};
 
 use crate::core::Query;
-use crate::net::at_start;
 use crate::net::front::read_some;
 use crate::net::lines::Lines;
+use crate::net::socket_retry;
 use crate::net::Handle;
 use crate::settings::Config;
 
@@ -109,7 +109,7 @@
         }
         std::fs::remove_file(path).map_err(at)?;
     }
-    let listener = at_start::open(|| UnixListener::bind(path)).map_err(at)?;
+    let listener = socket_retry::open(|| UnixListener::bind(path)).map_err(at)?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(at)?;
     info!("the console listens on {}", path.display());
     let settings = Arc::new(config.describe());
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -24,7 +24,7 @@
 use super::http::{body_len, read_head, response};
 use super::inlet::{Framing, Headed, Inlet, Scan};
 use super::stream::Conn;
-use super::{at_start, call_routing, metrics, next, spawn, Hub};
+use super::{call_routing, metrics, next, socket_retry, spawn, Hub};
 use crate::core::Input;
 use crate::fleet;
 use crate::fleet::routes::table::MOST_BYTES;
@@ -206,8 +206,8 @@
 
 /// Listens for as long as the process lives; where.
 pub(super) fn start(address: SocketAddr, hub: &Arc<Hub>) -> io::Result<SocketAddr> {
-    drop(at_start::open(|| std::net::TcpListener::bind(address))?);
-    let listener = at_start::open(|| TcpListener::bind(address))?;
+    drop(socket_retry::open(|| std::net::TcpListener::bind(address))?);
+    let listener = socket_retry::open(|| TcpListener::bind(address))?;
     let at = listener.local_addr()?;
     info!("takes operators' calls on {at}");
     let hub = hub.clone();
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -25,7 +25,7 @@
 
 use super::front::read_some;
 use super::lines::Lines;
-use super::{at_start, Hub};
+use super::{socket_retry, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
 
 /// Words that may wait for the other process.
@@ -217,7 +217,7 @@
 /// Connects to the process that serves already, if there is one.
 pub(super) fn find(path: &Path, hub: &Arc<Hub>) -> Option<Partner> {
     // Only where nobody listens is there no process: one that is there and not found would keep this one from starting.
-    let connected = at_start::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
+    let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
     let stream = connected.ok()?;
     let partner = Partner::default();
     let started = stream.try_clone().and_then(|reads| {
@@ -240,7 +240,7 @@
 /// A socket in place of the one that another process left.
 fn bind(path: &Path) -> io::Result<UnixListener> {
     let _ = std::fs::remove_file(path);
-    let listener = at_start::open(|| UnixListener::bind(path))?;
+    let listener = socket_retry::open(|| UnixListener::bind(path))?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
     Ok(listener)
 }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -21,7 +21,7 @@
 use super::connection_table::AfterAnswer;
 use super::hub::Hub;
 use super::stream::Conn;
-use super::{at_start, front, handshake_filter, spawn};
+use super::{front, handshake_filter, socket_retry, spawn};
 use crate::core::{Answer, ConnId};
 
 /// Bytes of answers that the system may hold for a caller that does not read: some whole answers, and no more
@@ -246,9 +246,9 @@
     // May's listener shares its port with any other that does the same: a second server started by mistake would
     // take half of the first one's callers. A plain listener fails where somebody listens.
     if !shared {
-        drop(at_start::open(|| std::net::TcpListener::bind(address))?);
+        drop(socket_retry::open(|| std::net::TcpListener::bind(address))?);
     }
-    let listener = Arc::new(at_start::open(|| TcpListener::bind(address))?);
+    let listener = Arc::new(socket_retry::open(|| TcpListener::bind(address))?);
     let (address, weak) = (listener.local_addr()?, Arc::downgrade(&listener));
     let front = Front { address, listener: weak, state: Arc::default() };
     let (hub, state) = (hub.clone(), front.state.clone());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,7 +5,6 @@
 
 pub mod admin;
 pub mod agent;
-pub mod at_start;
 pub mod call_routing;
 pub mod clock;
 mod closes;
@@ -24,6 +23,7 @@
 mod listen;
 mod metrics;
 pub mod scgi;
+pub mod socket_retry;
 mod spawn;
 mod stream;
 mod tls;
