--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -47,7 +47,7 @@
 use hub::AnswerResult;
 pub use hub::Hub;
 use listen::{listen, next, Front, Place};
-use spawn::spawn_deep;
+use spawn::spawn_with_large_stack;
 pub use spawn::{sleep, spawn, start_runtime};
 
 /// Inputs that the reducer takes at once.
@@ -226,7 +226,7 @@
             let tls = tls::config(self.certificate.clone())?;
             let secure = move |stream, place: Place| {
                 let tls = tls.clone();
-                spawn_deep(move || {
+                spawn_with_large_stack(move || {
                     if let Ok(stream) = tls::accept(stream, &tls) {
                         place.serve(stream, http::Http);
                     }
--- a/src/net/spawn.rs
+++ b/src/net/spawn.rs
@@ -60,7 +60,7 @@
 }
 
 /// Starts a coroutine with room for the handshakes of TLS.
-pub fn spawn_deep(work: impl FnOnce() + Send + 'static) {
+pub fn spawn_with_large_stack(work: impl FnOnce() + Send + 'static) {
     spawn_on(DEEP_STACK_WORDS, work);
 }
 
