--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -273,7 +273,7 @@
                 404
             }
         }
-        Ok(Call::Metrics) => match metrics::text(hub, READ_PATIENCE) {
+        Ok(Call::Metrics) => match metrics::render(hub, READ_PATIENCE) {
             Some(text) => {
                 told = Some(text);
                 200
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -20,7 +20,7 @@
 const LOOK: Duration = Duration::from_millis(2);
 
 /// All of it; none where the reducer does not answer within `patience`. Waits in a coroutine.
-pub(super) fn text(hub: &Hub, patience: Duration) -> Option<String> {
+pub(super) fn render(hub: &Hub, patience: Duration) -> Option<String> {
     let (ticket, answer) = hub.submit_query(Query::Counters);
     let since = Instant::now();
     let lines = loop {
