--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -146,7 +146,7 @@
     /// Starts with what the wall clock shows.
     pub fn new() -> Self {
         let clock = Self { start: Instant::now(), unix: read_wall(), wall: Mutex::default() };
-        clock.look();
+        clock.observe_wall_clock();
         clock
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Notes whether the wall clock was stepped; to be called now and then.
-    pub fn look(&self) {
+    pub fn observe_wall_clock(&self) {
         drop(self.observe());
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -291,7 +291,7 @@
             let mut batch: Vec<Input> = first.into_iter().collect();
             batch.extend(self.inbox.try_iter().take(BATCH));
             self.hub.queued_inputs.fetch_sub(batch.len(), Ordering::Relaxed);
-            self.hub.clock.look();
+            self.hub.clock.observe_wall_clock();
             for effect in self.core.step(self.hub.clock.now(), batch) {
                 leaving |= effect == Effect::Leave;
                 self.perform(effect);
