--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -80,7 +80,7 @@
     }
 
     /// When a moment that lies in the past by now was, which a caller stamped so.
-    pub fn past(&mut self, stamp: Duration, now: Duration) -> Duration {
+    pub fn resolve_past(&mut self, stamp: Duration, now: Duration) -> Duration {
         let Some(&newest) = self.callers.back() else { return stamp.min(now) };
         let mut end = now;
         for (place, epoch) in self.callers.iter().enumerate().rev() {
@@ -161,9 +161,9 @@
     }
 
     /// When a caller's stamp of the wall clock was made.
-    pub fn past(&self, stamp: Duration) -> Duration {
+    pub fn resolve_past(&self, stamp: Duration) -> Duration {
         let mut wall = self.observe();
-        wall.past(stamp, self.now())
+        wall.resolve_past(stamp, self.now())
     }
 
     /// When a moment in the future is that another process wrote down just now.
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -96,7 +96,7 @@
             Parsed::Check { deep } => Input::Check { conn, deep },
             Parsed::Request(mut request) => {
                 request.conn = conn;
-                request.start = hub.clock.past(request.start);
+                request.start = hub.clock.resolve_past(request.start);
                 Input::Request(request)
             }
         });
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -131,7 +131,7 @@
                 Some(Heard::Request(mut request)) => {
                     let conn = hub.new_conn();
                     let there = std::mem::replace(&mut request.conn, conn);
-                    request.start = hub.clock.past(request.start);
+                    request.start = hub.clock.resolve_past(request.start);
                     if let Some(link) = self.lock().as_mut() {
                         link.passed_on.insert(conn, there);
                     }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -33,7 +33,7 @@
 ) {
     let mut clock = stepped(by_ms, 2_000);
     let offset_ms = if made > 1_000 { by_ms } else { 0 };
-    let read = clock.past(shown(made, offset_ms), ms(2_000));
+    let read = clock.resolve_past(shown(made, offset_ms), ms(2_000));
     // A step back has times that the wall clock shows twice: the younger reading counts.
     let again = made < 1_000 && by_ms < 0 && made as i64 - by_ms <= 2_000;
     let expected = if again { ms(made.checked_add_signed(-by_ms).unwrap()) } else { ms(made) };
@@ -45,8 +45,8 @@
 fn a_stamp_of_before_the_start_keeps_its_age_and_one_of_the_future_is_of_now() {
     let mut clock = stepped(0, 2_000);
     let early = Duration::from_millis(START_MS - 30_000);
-    assert_eq!(clock.past(early, ms(2_000)), early);
-    assert_eq!(clock.past(shown(2_000, HOUR_MS), ms(2_000)), ms(2_000));
+    assert_eq!(clock.resolve_past(early, ms(2_000)), early);
+    assert_eq!(clock.resolve_past(shown(2_000, HOUR_MS), ms(2_000)), ms(2_000));
     assert_eq!(clock.steps(), 0);
 }
 
@@ -57,7 +57,7 @@
         clock.observe(ms(at * 1_000), shown(at * 1_000, at as i64 / 2));
     }
     assert_eq!(clock.steps(), 0);
-    assert_eq!(clock.past(shown(999_000, 499), ms(999_000)), ms(999_000));
+    assert_eq!(clock.resolve_past(shown(999_000, 499), ms(999_000)), ms(999_000));
 }
 
 #[rstest]
@@ -80,7 +80,7 @@
         clock.observe(ms(at * 1_000), shown(at * 1_000, at as i64 * 5_000));
     }
     assert!(clock.steps() < 20);
-    assert_eq!(clock.past(shown(98_500, 98 * 5_000), ms(99_000)), ms(98_500));
+    assert_eq!(clock.resolve_past(shown(98_500, 98 * 5_000), ms(99_000)), ms(98_500));
 }
 
 #[rstest]
@@ -90,17 +90,17 @@
     // Guards against an age of a whole step where only this machine's clock was set.
     let mut clock = stepped(by_ms, 1_500);
     for made in [1_450, 1_500] {
-        assert_eq!(clock.past(shown(made, 0), ms(1_500)), ms(made));
+        assert_eq!(clock.resolve_past(shown(made, 0), ms(1_500)), ms(made));
     }
     for at in (1_600..=20_000).step_by(100) {
         clock.observe(ms(at), shown(at, by_ms));
     }
-    assert_eq!(clock.past(shown(19_900, 0), ms(20_000)), ms(19_900), "long after the step as well");
+    assert_eq!(clock.resolve_past(shown(19_900, 0), ms(20_000)), ms(19_900), "long after the step as well");
     // This machine's own times go by its own clock.
     assert_eq!(clock.shown_at(ms(20_000)), shown(20_000, by_ms));
     // And the next step may be one that they take part in.
     for at in (20_100..=21_000).step_by(100) {
         clock.observe(ms(at), shown(at, by_ms + 5_000));
     }
-    assert_eq!(clock.past(shown(20_950, 5_000), ms(21_000)), ms(20_950));
+    assert_eq!(clock.resolve_past(shown(20_950, 5_000), ms(21_000)), ms(20_950));
 }
