--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -114,7 +114,7 @@
 
     /// When a moment may be at the latest that lies in the future, and which another process wrote as `stamp` a moment ago:
     /// the wall clock may have been stepped in between.
-    pub fn future(&self, stamp: Duration, now: Duration) -> Duration {
+    pub fn resolve_future(&self, stamp: Duration, now: Duration) -> Duration {
         let mut latest = None;
         let mut end = now;
         for epoch in self.epochs.iter().rev() {
@@ -167,8 +167,8 @@
     }
 
     /// When a moment in the future is that another process wrote down just now.
-    pub fn future(&self, stamp: Duration) -> Duration {
-        self.observe().future(stamp, self.now())
+    pub fn resolve_future(&self, stamp: Duration) -> Duration {
+        self.observe().resolve_future(stamp, self.now())
     }
 
     /// A time of this clock as the wall clock shows it, for another process.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -152,7 +152,9 @@
 /// What the other process says, with its times, which are the wall clock's, as this process counts them.
 fn on_own_clock(word: Succession, hub: &Hub) -> Succession {
     match word {
-        Succession::Key(key) => Succession::Key(KeyState { until: hub.clock.future(key.until), ..key }),
+        Succession::Key(key) => {
+            Succession::Key(KeyState { until: hub.clock.resolve_future(key.until), ..key })
+        }
         word => word,
     }
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -67,9 +67,13 @@
 ) {
     let clock = stepped(by_ms, 1_200);
     let written = shown(9_000, if written_after { by_ms } else { 0 });
-    assert!(clock.future(written, ms(1_200)) >= ms(9_000));
+    assert!(clock.resolve_future(written, ms(1_200)) >= ms(9_000));
     let later = stepped(by_ms, 10_000);
-    assert_eq!(later.future(shown(12_000, by_ms), ms(10_000)), ms(12_000), "a step long ago does not count");
+    assert_eq!(
+        later.resolve_future(shown(12_000, by_ms), ms(10_000)),
+        ms(12_000),
+        "a step long ago does not count"
+    );
     assert_eq!(later.shown_at(ms(12_000)), shown(12_000, by_ms));
 }
 
