--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -75,7 +75,7 @@
     }
 
     /// Steps that are known.
-    pub fn steps(&self) -> usize {
+    pub fn step_count(&self) -> usize {
         self.epochs.len().saturating_sub(1)
     }
 
@@ -177,8 +177,8 @@
     }
 
     /// Steps of the wall clock so far.
-    pub fn steps(&self) -> usize {
-        self.lock().steps()
+    pub fn step_count(&self) -> usize {
+        self.lock().step_count()
     }
 
     fn lock(&self) -> MutexGuard<'_, WallClock> {
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -38,7 +38,7 @@
     let again = made < 1_000 && by_ms < 0 && made as i64 - by_ms <= 2_000;
     let expected = if again { ms(made.checked_add_signed(-by_ms).unwrap()) } else { ms(made) };
     assert_eq!(read, expected);
-    assert_eq!(clock.steps(), 1);
+    assert_eq!(clock.step_count(), 1);
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let early = Duration::from_millis(START_MS - 30_000);
     assert_eq!(clock.resolve_past(early, ms(2_000)), early);
     assert_eq!(clock.resolve_past(shown(2_000, HOUR_MS), ms(2_000)), ms(2_000));
-    assert_eq!(clock.steps(), 0);
+    assert_eq!(clock.step_count(), 0);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     for at in 0..1_000 {
         clock.observe(ms(at * 1_000), shown(at * 1_000, at as i64 / 2));
     }
-    assert_eq!(clock.steps(), 0);
+    assert_eq!(clock.step_count(), 0);
     assert_eq!(clock.resolve_past(shown(999_000, 499), ms(999_000)), ms(999_000));
 }
 
@@ -83,7 +83,7 @@
     for at in 0..100 {
         clock.observe(ms(at * 1_000), shown(at * 1_000, at as i64 * 5_000));
     }
-    assert!(clock.steps() < 20);
+    assert!(clock.step_count() < 20);
     assert_eq!(clock.resolve_past(shown(98_500, 98 * 5_000), ms(99_000)), ms(98_500));
 }
 
