--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -128,7 +128,7 @@
     }
 
     /// What the wall clock shows, by its last reading, when this clock shows `at`.
-    pub fn shown_at(&self, at: Duration) -> Duration {
+    pub fn wall_time_at(&self, at: Duration) -> Duration {
         let offset = self.epochs.back().map_or(0, |epoch| epoch.offset_us);
         from_micros(micros(at).saturating_add(offset))
     }
@@ -173,7 +173,7 @@
 
     /// A time of this clock as the wall clock shows it, for another process.
     pub fn to_wall(&self, at: Duration) -> Duration {
-        self.observe().shown_at(at)
+        self.observe().wall_time_at(at)
     }
 
     /// Steps of the wall clock so far.
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -74,7 +74,7 @@
         ms(12_000),
         "a step long ago does not count"
     );
-    assert_eq!(later.shown_at(ms(12_000)), shown(12_000, by_ms));
+    assert_eq!(later.wall_time_at(ms(12_000)), shown(12_000, by_ms));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     }
     assert_eq!(clock.resolve_past(shown(19_900, 0), ms(20_000)), ms(19_900), "long after the step as well");
     // This machine's own times go by its own clock.
-    assert_eq!(clock.shown_at(ms(20_000)), shown(20_000, by_ms));
+    assert_eq!(clock.wall_time_at(ms(20_000)), shown(20_000, by_ms));
     // And the next step may be one that they take part in.
     for at in (20_100..=21_000).step_by(100) {
         clock.observe(ms(at), shown(at, by_ms + 5_000));
