--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -58,7 +58,7 @@
 
 /// The other process, as long as there is one.
 #[derive(Clone, Default)]
-pub(super) struct Partner(Arc<Mutex<Option<Link>>>);
+pub(super) struct PeerProcess(Arc<Mutex<Option<Link>>>);
 
 struct Link {
     words: SyncSender<Word>,
@@ -68,7 +68,7 @@
     passed_on: HashMap<ConnId, ConnId>,
 }
 
-impl Partner {
+impl PeerProcess {
     fn lock(&self) -> MutexGuard<'_, Option<Link>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -217,11 +217,11 @@
 }
 
 /// Connects to the process that serves already, if there is one.
-pub(super) fn find(path: &Path, hub: &Arc<Hub>) -> Option<Partner> {
+pub(super) fn find(path: &Path, hub: &Arc<Hub>) -> Option<PeerProcess> {
     // Only where nobody listens is there no process: one that is there and not found would keep this one from starting.
     let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
     let stream = connected.ok()?;
-    let partner = Partner::default();
+    let partner = PeerProcess::default();
     let started = stream.try_clone().and_then(|reads| {
         partner.open(stream)?;
         let (partner, hub) = (partner.clone(), hub.clone());
@@ -255,9 +255,9 @@
 }
 
 /// Waits for a process that takes over. A socket that another one left is replaced.
-pub(super) fn offer(path: &Path, hub: &Arc<Hub>) -> io::Result<Partner> {
+pub(super) fn offer(path: &Path, hub: &Arc<Hub>) -> io::Result<PeerProcess> {
     let mut listener = bind(path)?;
-    let (partner, hub, path) = (Partner::default(), hub.clone(), path.to_path_buf());
+    let (partner, hub, path) = (PeerProcess::default(), hub.clone(), path.to_path_buf());
     let successor = partner.clone();
     thread::Builder::new().stack_size(STACK).spawn(move || {
         // One after the other: a second process finds nobody until the first is gone.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -124,9 +124,9 @@
     config: Config,
     certificate: Shared,
     /// The process that ran before, until it has handed over and ended.
-    predecessor: Option<handover::Partner>,
+    predecessor: Option<handover::PeerProcess>,
     /// The one that takes over from this one.
-    successor: handover::Partner,
+    successor: handover::PeerProcess,
     /// The process that ran before is asked to hand over once the fleet's routes may be used here.
     begins: bool,
     /// This process's part in the fleet's routes, where they are on.
@@ -186,7 +186,7 @@
             config: config.clone(),
             certificate,
             predecessor,
-            successor: handover::Partner::default(),
+            successor: handover::PeerProcess::default(),
             begins: false,
             driver,
             fault: None,
