--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -192,11 +192,11 @@
     for (_, heard) in in_pieces(bytes, |pieces| read(MOST, pieces, parse)) {
         let word = match heard.clone() {
             Heard::Request(request) => Word::Request(request),
-            Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
-            Heard::Word(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
-            Heard::Word(Succession::Settled { key, ran, result }) => Word::Settled(key, ran, result),
-            Heard::Word(Succession::Answered { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
-            Heard::Word(_) => Word::Begin,
+            Heard::Succession(Succession::Key(key)) => Word::Keys(vec![key], false),
+            Heard::Succession(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
+            Heard::Succession(Succession::Settled { key, ran, result }) => Word::Settled(key, ran, result),
+            Heard::Succession(Succession::Answered { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
+            Heard::Succession(_) => Word::Begin,
         };
         let lines = word.lines();
         let again = handover::parse(lines[0].trim_end_matches('\n'));
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -520,18 +520,18 @@
                 let Some(told) = self.pipe.to[n].pop_front() else { continue };
                 let heard = match told {
                     Told::Line(line) => handover::parse(&line).expect("a word"),
-                    Told::Is(word) => Heard::Word(word),
+                    Told::Is(word) => Heard::Succession(word),
                 };
                 match &heard {
-                    Heard::Word(Succession::Complete { .. }) => self.pipe.complete = true,
+                    Heard::Succession(Succession::Complete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
-                    Heard::Word(Succession::PredecessorGone) if !self.pipe.complete => {
+                    Heard::Succession(Succession::PredecessorGone) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
                     }
                     _ => {}
                 }
                 let input = match heard {
-                    Heard::Word(word) => Input::Succession(word),
+                    Heard::Succession(word) => Input::Succession(word),
                     Heard::Request(mut request) => {
                         let conn = self.new_number();
                         let there = std::mem::replace(&mut request.conn, conn);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -121,7 +121,7 @@
                 Err(_) => break,
             };
             match parse(&line) {
-                Some(Heard::Word(word)) => {
+                Some(Heard::Succession(word)) => {
                     // What operators ordered of the process before holds here, and the fleet has to know it of this life.
                     if let (Succession::Complete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
                         fleet.draining(true);
@@ -354,7 +354,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
     /// Something for the reducer.
-    Word(Succession),
+    Succession(Succession),
     /// A request, with the connection in the other process.
     Request(Box<Request>),
 }
@@ -436,7 +436,7 @@
         }
         _ => return None,
     };
-    Some(Heard::Word(word))
+    Some(Heard::Succession(word))
 }
 
 #[cfg(test)]
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -390,11 +390,14 @@
     let heard = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
-    let complete = Heard::Word(Succession::Complete { standby: true });
-    assert_eq!(heard(Word::Keys(vec![state.clone()], true)), [Heard::Word(Succession::Key(state)), complete]);
+    let complete = Heard::Succession(Succession::Complete { standby: true });
+    assert_eq!(
+        heard(Word::Keys(vec![state.clone()], true)),
+        [Heard::Succession(Succession::Key(state)), complete]
+    );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
-        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Word(settled)]);
+        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Succession(settled)]);
     }
     let request = Request {
         conn: 7,
@@ -428,7 +431,7 @@
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
         let told = Succession::Answered { conn: 7, answer: answer.clone() };
-        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Word(told)]);
+        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Succession(told)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
         assert_eq!(parse(bad), None, "{bad}");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -141,9 +141,9 @@
         let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
         let told = parse(&line(Word::Keys(vec![state.clone()], open)));
-        prop_assert_eq!(told, Some(Heard::Word(Succession::Key(state))));
+        prop_assert_eq!(told, Some(Heard::Succession(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(Heard::Word(settled)));
+        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(Heard::Succession(settled)));
         prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(Heard::Request(Box::new(r))));
     }
 
