--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -10,7 +10,7 @@
 
 use arbitrary::Unstructured;
 use hopwalk::core::*;
-use hopwalk::net::handover::{self, Heard, Word};
+use hopwalk::net::handover::{self, ReceivedMessage, Word};
 use hopwalk::settings::Site;
 
 const SITE: &str = include_str!("../../../src/lab/site.json");
@@ -520,19 +520,19 @@
                 let Some(told) = self.pipe.to[n].pop_front() else { continue };
                 let heard = match told {
                     Told::Line(line) => handover::parse(&line).expect("a word"),
-                    Told::Is(word) => Heard::Succession(word),
+                    Told::Is(word) => ReceivedMessage::Succession(word),
                 };
                 match &heard {
-                    Heard::Succession(Succession::Complete { .. }) => self.pipe.complete = true,
+                    ReceivedMessage::Succession(Succession::Complete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
-                    Heard::Succession(Succession::PredecessorGone) if !self.pipe.complete => {
+                    ReceivedMessage::Succession(Succession::PredecessorGone) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
                     }
                     _ => {}
                 }
                 let input = match heard {
-                    Heard::Succession(word) => Input::Succession(word),
-                    Heard::Request(mut request) => {
+                    ReceivedMessage::Succession(word) => Input::Succession(word),
+                    ReceivedMessage::Request(mut request) => {
                         let conn = self.new_number();
                         let there = std::mem::replace(&mut request.conn, conn);
                         self.nodes[n].passed.insert(conn, there);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -121,14 +121,14 @@
                 Err(_) => break,
             };
             match parse(&line) {
-                Some(Heard::Succession(word)) => {
+                Some(ReceivedMessage::Succession(word)) => {
                     // What operators ordered of the process before holds here, and the fleet has to know it of this life.
                     if let (Succession::Complete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
                         fleet.draining(true);
                     }
                     hub.push(Input::Succession(on_own_clock(word, hub)));
                 }
-                Some(Heard::Request(mut request)) => {
+                Some(ReceivedMessage::Request(mut request)) => {
                     let conn = hub.new_conn();
                     let there = std::mem::replace(&mut request.conn, conn);
                     request.start = hub.clock.resolve_past(request.start);
@@ -352,7 +352,7 @@
 
 /// What a line says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ReceivedMessage {
     /// Something for the reducer.
     Succession(Succession),
     /// A request, with the connection in the other process.
@@ -360,7 +360,7 @@
 }
 
 /// Reads a line without its end; none if it makes no sense.
-pub fn parse(line: &str) -> Option<Heard> {
+pub fn parse(line: &str) -> Option<ReceivedMessage> {
     let bytes = |word: &str| -> Option<Option<Bytes>> {
         match word.strip_prefix('=') {
             Some(text) => Some(Some(BASE64.decode(text).ok()?.into())),
@@ -418,7 +418,7 @@
                 (false, "-") => None,
                 (false, _) => return None,
             };
-            return Some(Heard::Request(Box::new(Request {
+            return Some(ReceivedMessage::Request(Box::new(Request {
                 conn: conn.parse().ok()?,
                 handle: handle.parse().ok()?,
                 class: text(class)?,
@@ -436,7 +436,7 @@
         }
         _ => return None,
     };
-    Some(Heard::Succession(word))
+    Some(ReceivedMessage::Succession(word))
 }
 
 #[cfg(test)]
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -382,7 +382,7 @@
 #[test]
 fn what_a_process_hands_over_is_read_as_it_was_said() {
     use hopwalk::core::{KeyState, Request, Succession};
-    use hopwalk::net::handover::{parse, Heard, Word};
+    use hopwalk::net::handover::{parse, ReceivedMessage, Word};
     let key: hopwalk::core::Key = "a key, spaces\nand all".into();
     let result: Option<hopwalk::core::Bytes> = Some((*b"\0\xff").into());
     let until = Duration::from_micros(1_764_576_000_123_456);
@@ -390,14 +390,14 @@
     let heard = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
-    let complete = Heard::Succession(Succession::Complete { standby: true });
+    let complete = ReceivedMessage::Succession(Succession::Complete { standby: true });
     assert_eq!(
         heard(Word::Keys(vec![state.clone()], true)),
-        [Heard::Succession(Succession::Key(state)), complete]
+        [ReceivedMessage::Succession(Succession::Key(state)), complete]
     );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
-        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Succession(settled)]);
+        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [ReceivedMessage::Succession(settled)]);
     }
     let request = Request {
         conn: 7,
@@ -415,14 +415,17 @@
         body: (*b"\r\n").into(),
     };
     let line = Word::Request(Box::new(request.clone())).lines().concat();
-    assert_eq!(heard(Word::Request(Box::new(request.clone()))), [Heard::Request(Box::new(request.clone()))]);
+    assert_eq!(
+        heard(Word::Request(Box::new(request.clone()))),
+        [ReceivedMessage::Request(Box::new(request.clone()))]
+    );
     // Guards against an upgrade from a version that does not know the last word, or the last three: its requests
     // would be lost. It only told whether they name what they are about.
     let named = Request { object: Some("".into()), ..request.clone() };
     let bare = Request { tenant: None, cost: None, ..named.clone() };
     for (words, read) in [(1, named), (3, bare)] {
         let old = line.trim_end().rsplitn(words + 1, ' ').last().unwrap();
-        assert_eq!(parse(old), Some(Heard::Request(Box::new(read))), "{old}");
+        assert_eq!(parse(old), Some(ReceivedMessage::Request(Box::new(read))), "{old}");
     }
     // And against a word that a process from before objects were passed on cannot read, where there is none.
     let plain = Word::Request(Box::new(Request { object: None, ..request })).lines().concat();
@@ -431,7 +434,7 @@
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
         let told = Succession::Answered { conn: 7, answer: answer.clone() };
-        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Succession(told)]);
+        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [ReceivedMessage::Succession(told)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
         assert_eq!(parse(bad), None, "{bad}");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,7 +8,7 @@
 };
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::front::Wire;
-use hopwalk::net::handover::{parse, Heard, Word};
+use hopwalk::net::handover::{parse, ReceivedMessage, Word};
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::vault::{encode_ask, ReplyParser};
@@ -141,10 +141,10 @@
         let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
         let told = parse(&line(Word::Keys(vec![state.clone()], open)));
-        prop_assert_eq!(told, Some(Heard::Succession(Succession::Key(state))));
+        prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(Heard::Succession(settled)));
-        prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(Heard::Request(Box::new(r))));
+        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(ReceivedMessage::Succession(settled)));
+        prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(ReceivedMessage::Request(Box::new(r))));
     }
 
     #[test]
