--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -195,7 +195,7 @@
             ReceivedMessage::Succession(Succession::Key(key)) => Word::Keys(vec![key], false),
             ReceivedMessage::Succession(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
             ReceivedMessage::Succession(Succession::Settled { key, ran, result }) => {
-                Word::Settled(key, ran, result)
+                Word::KeyResolved(key, ran, result)
             }
             ReceivedMessage::Succession(Succession::Answered { conn, answer }) => {
                 Word::Answer(conn, Arc::new(answer))
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -235,7 +235,7 @@
             }
             Effect::HandOver { keys, standby } => self.say(n, &Word::Keys(keys, standby)),
             Effect::Forward(request) => self.say(n, &Word::Request(request)),
-            Effect::Settled { key, ran, result } => self.say(n, &Word::Settled(key, ran, result)),
+            Effect::Settled { key, ran, result } => self.say(n, &Word::KeyResolved(key, ran, result)),
             Effect::Ready => {
                 if n == 1 && self.pipe.up && !std::mem::replace(&mut self.nodes[n].begun, true) {
                     self.say(n, &Word::Begin);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -49,7 +49,7 @@
     /// All keys, and whether operators want callers kept away.
     Keys(Vec<KeyState>, bool),
     /// What came of an open key.
-    Settled(Key, bool, Option<Bytes>),
+    KeyResolved(Key, bool, Option<Bytes>),
     /// A request that came to the old process.
     Request(Box<Request>),
     /// Its answer, for the connection there.
@@ -307,7 +307,7 @@
                 };
                 keys.iter().map(line).chain([format!("complete {}\n", u8::from(*standby))]).collect()
             }
-            Self::Settled(k, ran, result) => {
+            Self::KeyResolved(k, ran, result) => {
                 vec![format!("settled {} {} {}\n", key(k), u8::from(*ran), base64(result.as_deref()))]
             }
             Self::Request(r) => {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -423,7 +423,7 @@
                 self.successor.send(handover::Word::Request(request));
             }
             Effect::Settled { key, ran, result } => {
-                self.successor.send(handover::Word::Settled(key, ran, result));
+                self.successor.send(handover::Word::KeyResolved(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
             Effect::Alone => {
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -397,7 +397,10 @@
     );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
-        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [ReceivedMessage::Succession(settled)]);
+        assert_eq!(
+            heard(Word::KeyResolved(key.clone(), true, result)),
+            [ReceivedMessage::Succession(settled)]
+        );
     }
     let request = Request {
         conn: 7,
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -143,7 +143,7 @@
         let told = parse(&line(Word::Keys(vec![state.clone()], open)));
         prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(ReceivedMessage::Succession(settled)));
+        prop_assert_eq!(parse(&line(Word::KeyResolved(key, open, result))), Some(ReceivedMessage::Succession(settled)));
         prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(ReceivedMessage::Request(Box::new(r))));
     }
 
