--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -202,7 +202,7 @@
             }
             ReceivedMessage::Succession(_) => Word::Begin,
         };
-        let lines = word.lines();
+        let lines = word.to_lines();
         let again = handover::parse(lines[0].trim_end_matches('\n'));
         assert_eq!(format!("{again:?}"), format!("{:?}", Some(heard)), "{lines:?}");
     }
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -475,7 +475,7 @@
 
     fn say(&mut self, n: usize, word: &Word) {
         if self.pipe.up {
-            let lines = word.lines().into_iter();
+            let lines = word.to_lines().into_iter();
             self.pipe.to[1 - n].extend(lines.map(|line| Told::Line(line.trim_end_matches('\n').to_string())));
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -162,7 +162,7 @@
 fn write(stream: &UnixStream, queue: &Receiver<Word>) {
     let mut writes = BufWriter::new(stream);
     while let Ok(word) = queue.recv() {
-        let lines = word.lines();
+        let lines = word.to_lines();
         if lines
             .into_iter()
             .try_for_each(|l| writes.write_all(l.as_bytes()))
@@ -295,7 +295,7 @@
 
 impl Word {
     /// In lines, each with its end.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn to_lines(&self) -> Vec<String> {
         let key = |key: &Key| base64(Some(key.as_bytes()));
         match self {
             Self::Begin => vec!["begin\n".to_string()],
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -388,7 +388,7 @@
     let until = Duration::from_micros(1_764_576_000_123_456);
     let state = KeyState { key: key.clone(), what: u64::MAX, until, open: true, result: result.clone() };
     let heard = |word: Word| -> Vec<_> {
-        word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
+        word.to_lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
     let complete = ReceivedMessage::Succession(Succession::Complete { standby: true });
     assert_eq!(
@@ -417,7 +417,7 @@
         object: Some("match 7".into()),
         body: (*b"\r\n").into(),
     };
-    let line = Word::Request(Box::new(request.clone())).lines().concat();
+    let line = Word::Request(Box::new(request.clone())).to_lines().concat();
     assert_eq!(
         heard(Word::Request(Box::new(request.clone()))),
         [ReceivedMessage::Request(Box::new(request.clone()))]
@@ -431,7 +431,7 @@
         assert_eq!(parse(old), Some(ReceivedMessage::Request(Box::new(read))), "{old}");
     }
     // And against a word that a process from before objects were passed on cannot read, where there is none.
-    let plain = Word::Request(Box::new(Request { object: None, ..request })).lines().concat();
+    let plain = Word::Request(Box::new(Request { object: None, ..request })).to_lines().concat();
     assert_eq!((plain.split(' ').count(), line.split(' ').count()), (14, 15));
     let refused = Verdict::Refused { retry_after: Duration::from_millis(50), no_retry: true };
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -138,7 +138,7 @@
         open in any::<bool>(),
         result in prop::option::of(bytes(4096)),
     ) {
-        let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
+        let line = |word: Word| word.to_lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
         let told = parse(&line(Word::Keys(vec![state.clone()], open)));
         prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
