--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -9,7 +9,7 @@
 use hopwalk::core::{Command, End, LinkId, Notice, Succession};
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
-use hopwalk::net::handover::{self, ReceivedMessage, Word};
+use hopwalk::net::handover::{self, HandoverMessage, ReceivedMessage};
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::scgi::parse_response;
 use hopwalk::net::vault::ReplyParser;
@@ -191,16 +191,18 @@
     };
     for (_, heard) in in_pieces(bytes, |pieces| read(MOST, pieces, parse)) {
         let word = match heard.clone() {
-            ReceivedMessage::Request(request) => Word::Request(request),
-            ReceivedMessage::Succession(Succession::Key(key)) => Word::Keys(vec![key], false),
-            ReceivedMessage::Succession(Succession::Complete { standby }) => Word::Keys(Vec::new(), standby),
+            ReceivedMessage::Request(request) => HandoverMessage::Request(request),
+            ReceivedMessage::Succession(Succession::Key(key)) => HandoverMessage::Keys(vec![key], false),
+            ReceivedMessage::Succession(Succession::Complete { standby }) => {
+                HandoverMessage::Keys(Vec::new(), standby)
+            }
             ReceivedMessage::Succession(Succession::Settled { key, ran, result }) => {
-                Word::KeyResolved(key, ran, result)
+                HandoverMessage::KeyResolved(key, ran, result)
             }
             ReceivedMessage::Succession(Succession::Answered { conn, answer }) => {
-                Word::Answer(conn, Arc::new(answer))
+                HandoverMessage::Answer(conn, Arc::new(answer))
             }
-            ReceivedMessage::Succession(_) => Word::Begin,
+            ReceivedMessage::Succession(_) => HandoverMessage::Begin,
         };
         let lines = word.to_lines();
         let again = handover::parse(lines[0].trim_end_matches('\n'));
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -10,7 +10,7 @@
 
 use arbitrary::Unstructured;
 use hopwalk::core::*;
-use hopwalk::net::handover::{self, ReceivedMessage, Word};
+use hopwalk::net::handover::{self, HandoverMessage, ReceivedMessage};
 use hopwalk::settings::Site;
 
 const SITE: &str = include_str!("../../../src/lab/site.json");
@@ -233,12 +233,14 @@
                     self.asked.get_mut(&handle).into_iter().for_each(|a| a.unproved_call = true);
                 }
             }
-            Effect::HandOver { keys, standby } => self.say(n, &Word::Keys(keys, standby)),
-            Effect::Forward(request) => self.say(n, &Word::Request(request)),
-            Effect::Settled { key, ran, result } => self.say(n, &Word::KeyResolved(key, ran, result)),
+            Effect::HandOver { keys, standby } => self.say(n, &HandoverMessage::Keys(keys, standby)),
+            Effect::Forward(request) => self.say(n, &HandoverMessage::Request(request)),
+            Effect::Settled { key, ran, result } => {
+                self.say(n, &HandoverMessage::KeyResolved(key, ran, result))
+            }
             Effect::Ready => {
                 if n == 1 && self.pipe.up && !std::mem::replace(&mut self.nodes[n].begun, true) {
-                    self.say(n, &Word::Begin);
+                    self.say(n, &HandoverMessage::Begin);
                 }
             }
             Effect::Listen | Effect::Alone => {
@@ -268,7 +270,7 @@
 
     fn answered(&mut self, n: usize, conn: ConnId, answer: &Answer) {
         if let Some(there) = self.nodes[n].passed.remove(&conn) {
-            return self.say(n, &Word::Answer(there, Arc::new(answer.clone())));
+            return self.say(n, &HandoverMessage::Answer(there, Arc::new(answer.clone())));
         }
         if let Some(at) = self.nodes[n].checks.iter().position(|c| *c == conn) {
             self.nodes[n].checks.remove(at);
@@ -473,7 +475,7 @@
 
     // ---- Two processes --------------------------------------------------------------------------------
 
-    fn say(&mut self, n: usize, word: &Word) {
+    fn say(&mut self, n: usize, word: &HandoverMessage) {
         if self.pipe.up {
             let lines = word.to_lines().into_iter();
             self.pipe.to[1 - n].extend(lines.map(|line| Told::Line(line.trim_end_matches('\n').to_string())));
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -43,7 +43,7 @@
 
 /// Something to tell the other process.
 #[derive(Debug)]
-pub enum Word {
+pub enum HandoverMessage {
     /// Decide from now on.
     Begin,
     /// All keys, and whether operators want callers kept away.
@@ -61,7 +61,7 @@
 pub(super) struct PeerProcess(Arc<Mutex<Option<Link>>>);
 
 struct Link {
-    words: SyncSender<Word>,
+    words: SyncSender<HandoverMessage>,
     stream: UnixStream,
     writer: Option<JoinHandle<()>>,
     /// Requests passed on to this process: the connection in the other one.
@@ -74,7 +74,7 @@
     }
 
     /// Queues a word; never waits.
-    pub(super) fn send(&self, word: Word) {
+    pub(super) fn send(&self, word: HandoverMessage) {
         if let Some(link) = &*self.lock() {
             if link.words.try_send(word).is_err() {
                 let _ = link.stream.shutdown(Shutdown::Both);
@@ -85,7 +85,7 @@
     /// Answers a request that was passed on to this process; false if `conn` is none.
     pub(super) fn answer(&self, conn: ConnId, answer: &Arc<Answer>) -> bool {
         let there = self.lock().as_mut().and_then(|link| link.passed_on.remove(&conn));
-        there.into_iter().for_each(|there| self.send(Word::Answer(there, answer.clone())));
+        there.into_iter().for_each(|there| self.send(HandoverMessage::Answer(there, answer.clone())));
         there.is_some()
     }
 
@@ -159,7 +159,7 @@
     }
 }
 
-fn write(stream: &UnixStream, queue: &Receiver<Word>) {
+fn write(stream: &UnixStream, queue: &Receiver<HandoverMessage>) {
     let mut writes = BufWriter::new(stream);
     while let Ok(word) = queue.recv() {
         let lines = word.to_lines();
@@ -293,7 +293,7 @@
     bytes.map_or("-".to_string(), |bytes| format!("={}", BASE64.encode(bytes)))
 }
 
-impl Word {
+impl HandoverMessage {
     /// In lines, each with its end.
     pub fn to_lines(&self) -> Vec<String> {
         let key = |key: &Key| base64(Some(key.as_bytes()));
@@ -535,14 +535,14 @@
                 _ => thread::sleep(END_LOOK),
             }
         };
-        successor.send(Word::Keys(Vec::new(), false));
+        successor.send(HandoverMessage::Keys(Vec::new(), false));
         // Now it has taken both.
         let answered = asked.and_then(|ticket| hub.queries().remove(&ticket));
         answered.into_iter().for_each(|asker| asker.send(Vec::new()).unwrap());
         while !is_linked() {
             thread::sleep(END_LOOK);
         }
-        successor.send(Word::Begin);
+        successor.send(HandoverMessage::Begin);
         let mut line = String::new();
         std::io::BufRead::read_line(&mut io::BufReader::new(next), &mut line).unwrap();
         std::fs::remove_file(&path).unwrap();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -251,7 +251,9 @@
                 let predecessor = predecessor.clone();
                 // Asked once while it waits for its lease, however often the agent greets meanwhile.
                 if self.hub.routing.is_none() || !std::mem::replace(&mut self.begins, true) {
-                    call_routing::when_ready(&self.hub, move || predecessor.send(handover::Word::Begin));
+                    call_routing::when_ready(&self.hub, move || {
+                        predecessor.send(handover::HandoverMessage::Begin)
+                    });
                 }
             }
             _ => self.hub.ready.store(true, Ordering::Release),
@@ -410,7 +412,7 @@
                 let clock = &self.hub.clock;
                 let on_wall_clock = |key: KeyState| KeyState { until: clock.to_wall(key.until), ..key };
                 let keys = keys.into_iter().map(on_wall_clock).collect();
-                self.successor.send(handover::Word::Keys(keys, standby));
+                self.successor.send(handover::HandoverMessage::Keys(keys, standby));
                 if let Some(fleet) = &self.hub.fleet {
                     fleet.release();
                 }
@@ -420,10 +422,10 @@
             }
             Effect::Forward(mut request) => {
                 request.start = self.hub.clock.to_wall(request.start);
-                self.successor.send(handover::Word::Request(request));
+                self.successor.send(handover::HandoverMessage::Request(request));
             }
             Effect::Settled { key, ran, result } => {
-                self.successor.send(handover::Word::KeyResolved(key, ran, result));
+                self.successor.send(handover::HandoverMessage::KeyResolved(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
             Effect::Alone => {
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -382,23 +382,23 @@
 #[test]
 fn what_a_process_hands_over_is_read_as_it_was_said() {
     use hopwalk::core::{KeyState, Request, Succession};
-    use hopwalk::net::handover::{parse, ReceivedMessage, Word};
+    use hopwalk::net::handover::{parse, HandoverMessage, ReceivedMessage};
     let key: hopwalk::core::Key = "a key, spaces\nand all".into();
     let result: Option<hopwalk::core::Bytes> = Some((*b"\0\xff").into());
     let until = Duration::from_micros(1_764_576_000_123_456);
     let state = KeyState { key: key.clone(), what: u64::MAX, until, open: true, result: result.clone() };
-    let heard = |word: Word| -> Vec<_> {
+    let heard = |word: HandoverMessage| -> Vec<_> {
         word.to_lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
     let complete = ReceivedMessage::Succession(Succession::Complete { standby: true });
     assert_eq!(
-        heard(Word::Keys(vec![state.clone()], true)),
+        heard(HandoverMessage::Keys(vec![state.clone()], true)),
         [ReceivedMessage::Succession(Succession::Key(state)), complete]
     );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
         assert_eq!(
-            heard(Word::KeyResolved(key.clone(), true, result)),
+            heard(HandoverMessage::KeyResolved(key.clone(), true, result)),
             [ReceivedMessage::Succession(settled)]
         );
     }
@@ -417,9 +417,9 @@
         object: Some("match 7".into()),
         body: (*b"\r\n").into(),
     };
-    let line = Word::Request(Box::new(request.clone())).to_lines().concat();
+    let line = HandoverMessage::Request(Box::new(request.clone())).to_lines().concat();
     assert_eq!(
-        heard(Word::Request(Box::new(request.clone()))),
+        heard(HandoverMessage::Request(Box::new(request.clone()))),
         [ReceivedMessage::Request(Box::new(request.clone()))]
     );
     // Guards against an upgrade from a version that does not know the last word, or the last three: its requests
@@ -431,13 +431,13 @@
         assert_eq!(parse(old), Some(ReceivedMessage::Request(Box::new(read))), "{old}");
     }
     // And against a word that a process from before objects were passed on cannot read, where there is none.
-    let plain = Word::Request(Box::new(Request { object: None, ..request })).to_lines().concat();
+    let plain = HandoverMessage::Request(Box::new(Request { object: None, ..request })).to_lines().concat();
     assert_eq!((plain.split(' ').count(), line.split(' ').count()), (14, 15));
     let refused = Verdict::Refused { retry_after: Duration::from_millis(50), no_retry: true };
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
         let told = Succession::Answered { conn: 7, answer: answer.clone() };
-        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [ReceivedMessage::Succession(told)]);
+        assert_eq!(heard(HandoverMessage::Answer(7, Arc::new(answer))), [ReceivedMessage::Succession(told)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
         assert_eq!(parse(bad), None, "{bad}");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,7 +8,7 @@
 };
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::front::Wire;
-use hopwalk::net::handover::{parse, ReceivedMessage, Word};
+use hopwalk::net::handover::{parse, HandoverMessage, ReceivedMessage};
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::vault::{encode_ask, ReplyParser};
@@ -138,13 +138,13 @@
         open in any::<bool>(),
         result in prop::option::of(bytes(4096)),
     ) {
-        let line = |word: Word| word.to_lines()[0].trim_end_matches('\n').to_string();
+        let line = |word: HandoverMessage| word.to_lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
-        let told = parse(&line(Word::Keys(vec![state.clone()], open)));
+        let told = parse(&line(HandoverMessage::Keys(vec![state.clone()], open)));
         prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(Word::KeyResolved(key, open, result))), Some(ReceivedMessage::Succession(settled)));
-        prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(ReceivedMessage::Request(Box::new(r))));
+        prop_assert_eq!(parse(&line(HandoverMessage::KeyResolved(key, open, result))), Some(ReceivedMessage::Succession(settled)));
+        prop_assert_eq!(parse(&line(HandoverMessage::Request(Box::new(r.clone())))), Some(ReceivedMessage::Request(Box::new(r))));
     }
 
     #[test]
