--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -143,8 +143,14 @@
         let told = parse(&line(HandoverMessage::Keys(vec![state.clone()], open)));
         prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(HandoverMessage::KeyResolved(key, open, result))), Some(ReceivedMessage::Succession(settled)));
-        prop_assert_eq!(parse(&line(HandoverMessage::Request(Box::new(r.clone())))), Some(ReceivedMessage::Request(Box::new(r))));
+        prop_assert_eq!(
+            parse(&line(HandoverMessage::KeyResolved(key, open, result))),
+            Some(ReceivedMessage::Succession(settled))
+        );
+        prop_assert_eq!(
+            parse(&line(HandoverMessage::Request(Box::new(r.clone())))),
+            Some(ReceivedMessage::Request(Box::new(r)))
+        );
     }
 
     #[test]
