--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -217,7 +217,7 @@
 }
 
 /// Connects to the process that serves already, if there is one.
-pub(super) fn find(path: &Path, hub: &Arc<Hub>) -> Option<PeerProcess> {
+pub(super) fn connect_to_predecessor(path: &Path, hub: &Arc<Hub>) -> Option<PeerProcess> {
     // Only where nobody listens is there no process: one that is there and not found would keep this one from starting.
     let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
     let stream = connected.ok()?;
@@ -463,7 +463,7 @@
         let (sender, inbox) = std::sync::mpsc::channel();
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
-        let found = find(&path, &hub);
+        let found = connect_to_predecessor(&path, &hub);
         std::fs::remove_file(&path).unwrap();
         assert!(found.is_some());
         let (mut old, _) = listener.accept().unwrap();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -174,7 +174,8 @@
         if let Some(address) = config.admin {
             admin::start(address, &hub).map_err(|source| NodeError::Admin { address, source })?;
         }
-        let predecessor = config.handover.as_ref().and_then(|path| handover::find(path, &hub));
+        let predecessor =
+            config.handover.as_ref().and_then(|path| handover::connect_to_predecessor(path, &hub));
         let mut node = Self {
             core,
             hub,
