--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -255,7 +255,7 @@
 }
 
 /// Waits for a process that takes over. A socket that another one left is replaced.
-pub(super) fn offer(path: &Path, hub: &Arc<Hub>) -> io::Result<PeerProcess> {
+pub(super) fn listen_for_successor(path: &Path, hub: &Arc<Hub>) -> io::Result<PeerProcess> {
     let mut listener = bind(path)?;
     let (partner, hub, path) = (PeerProcess::default(), hub.clone(), path.to_path_buf());
     let successor = partner.clone();
@@ -518,7 +518,7 @@
         let (sender, inbox) = std::sync::mpsc::channel();
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
-        let successor = offer(&path, &hub).unwrap();
+        let successor = listen_for_successor(&path, &hub).unwrap();
         assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
         let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
         assert!(matches!(told(), Input::Succession(Succession::Begin)));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -237,7 +237,7 @@
         }
         self.fronts = fronts;
         if let Some(path) = &self.config.handover {
-            match handover::offer(path, &self.hub) {
+            match handover::listen_for_successor(path, &self.hub) {
                 Ok(successor) => self.successor = successor,
                 Err(e) => warn!("no process can take over from this one: {}: {e}", path.display()),
             }
