--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -90,7 +90,7 @@
     }
 
     /// Waits until all that was queued is written.
-    pub(super) fn finish(&self) {
+    pub(super) fn flush(&self) {
         let writer = self.lock().take().and_then(|link| {
             drop(link.words);
             link.writer
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -314,9 +314,9 @@
         }
         // Answers for the process that ran before may still be queued.
         if let Some(predecessor) = &self.predecessor {
-            predecessor.finish();
+            predecessor.flush();
         }
-        self.successor.finish();
+        self.successor.flush();
         info!("counters at exit: {}", self.core.counters());
         info!("connections closed: {}", self.hub.closes);
         Ok(())
