--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -9,10 +9,10 @@
 use hopwalk::core::{Command, End, LinkId, Notice, Succession};
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
-use hopwalk::net::handover::{self, Heard, Word};
+use hopwalk::net::handover::{self, HandoverMessage, ReceivedMessage};
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::scgi::parse_response;
-use hopwalk::net::vault::Replies;
+use hopwalk::net::vault::ReplyParser;
 use tinyjson::JsonValue;
 
 use crate::alloc::most_held;
@@ -144,7 +144,7 @@
 /// The vault's replies.
 pub fn replies(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
-        let mut replies = Replies::default();
+        let mut replies = ReplyParser::default();
         read(MOST, pieces, |lines| replies.next_reply(lines))
     });
     for (_, end, body) in &all {
@@ -191,14 +191,20 @@
     };
     for (_, heard) in in_pieces(bytes, |pieces| read(MOST, pieces, parse)) {
         let word = match heard.clone() {
-            Heard::Request(request) => Word::Request(request),
-            Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
-            Heard::Word(Succession::KeysComplete { standby }) => Word::Keys(Vec::new(), standby),
-            Heard::Word(Succession::KeyResolved { key, ran, result }) => Word::Settled(key, ran, result),
-            Heard::Word(Succession::ForwardedAnswer { conn, answer }) => Word::Answer(conn, Arc::new(answer)),
-            Heard::Word(_) => Word::Begin,
+            ReceivedMessage::Request(request) => HandoverMessage::Request(request),
+            ReceivedMessage::Succession(Succession::Key(key)) => HandoverMessage::Keys(vec![key], false),
+            ReceivedMessage::Succession(Succession::KeysComplete { standby }) => {
+                HandoverMessage::Keys(Vec::new(), standby)
+            }
+            ReceivedMessage::Succession(Succession::KeyResolved { key, ran, result }) => {
+                HandoverMessage::KeyResolved(key, ran, result)
+            }
+            ReceivedMessage::Succession(Succession::ForwardedAnswer { conn, answer }) => {
+                HandoverMessage::Answer(conn, Arc::new(answer))
+            }
+            ReceivedMessage::Succession(_) => HandoverMessage::Begin,
         };
-        let lines = word.lines();
+        let lines = word.to_lines();
         let again = handover::parse(lines[0].trim_end_matches('\n'));
         assert_eq!(format!("{again:?}"), format!("{:?}", Some(heard)), "{lines:?}");
     }
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -10,7 +10,7 @@
 
 use arbitrary::Unstructured;
 use hopwalk::core::*;
-use hopwalk::net::handover::{self, Heard, Word};
+use hopwalk::net::handover::{self, HandoverMessage, ReceivedMessage};
 use hopwalk::settings::Site;
 
 const SITE: &str = include_str!("../../../src/lab/site.json");
@@ -233,12 +233,14 @@
                     self.asked.get_mut(&handle).into_iter().for_each(|a| a.unproved_call = true);
                 }
             }
-            Effect::HandOver { keys, standby } => self.say(n, &Word::Keys(keys, standby)),
-            Effect::Forward(request) => self.say(n, &Word::Request(request)),
-            Effect::KeyResolved { key, ran, result } => self.say(n, &Word::Settled(key, ran, result)),
+            Effect::HandOver { keys, standby } => self.say(n, &HandoverMessage::Keys(keys, standby)),
+            Effect::Forward(request) => self.say(n, &HandoverMessage::Request(request)),
+            Effect::KeyResolved { key, ran, result } => {
+                self.say(n, &HandoverMessage::KeyResolved(key, ran, result))
+            }
             Effect::Ready => {
                 if n == 1 && self.pipe.up && !std::mem::replace(&mut self.nodes[n].begun, true) {
-                    self.say(n, &Word::Begin);
+                    self.say(n, &HandoverMessage::Begin);
                 }
             }
             Effect::Listen | Effect::PeerExited => {
@@ -268,7 +270,7 @@
 
     fn answered(&mut self, n: usize, conn: ConnId, answer: &Answer) {
         if let Some(there) = self.nodes[n].passed.remove(&conn) {
-            return self.say(n, &Word::Answer(there, Arc::new(answer.clone())));
+            return self.say(n, &HandoverMessage::Answer(there, Arc::new(answer.clone())));
         }
         if let Some(at) = self.nodes[n].checks.iter().position(|c| *c == conn) {
             self.nodes[n].checks.remove(at);
@@ -473,9 +475,9 @@
 
     // ---- Two processes --------------------------------------------------------------------------------
 
-    fn say(&mut self, n: usize, word: &Word) {
+    fn say(&mut self, n: usize, word: &HandoverMessage) {
         if self.pipe.up {
-            let lines = word.lines().into_iter();
+            let lines = word.to_lines().into_iter();
             self.pipe.to[1 - n].extend(lines.map(|line| Told::Line(line.trim_end_matches('\n').to_string())));
         }
     }
@@ -522,19 +524,19 @@
                 let Some(told) = self.pipe.to[n].pop_front() else { continue };
                 let heard = match told {
                     Told::Line(line) => handover::parse(&line).expect("a word"),
-                    Told::Is(word) => Heard::Word(word),
+                    Told::Is(word) => ReceivedMessage::Succession(word),
                 };
                 match &heard {
-                    Heard::Word(Succession::KeysComplete { .. }) => self.pipe.complete = true,
+                    ReceivedMessage::Succession(Succession::KeysComplete { .. }) => self.pipe.complete = true,
                     // It died with all its keys, as a process that is killed does: this one begins with none.
-                    Heard::Word(Succession::PredecessorExited) if !self.pipe.complete => {
+                    ReceivedMessage::Succession(Succession::PredecessorExited) if !self.pipe.complete => {
                         self.asked.values_mut().for_each(|asked| asked.ran = false);
                     }
                     _ => {}
                 }
                 let input = match heard {
-                    Heard::Word(word) => Input::Succession(word),
-                    Heard::Request(mut request) => {
+                    ReceivedMessage::Succession(word) => Input::Succession(word),
+                    ReceivedMessage::Request(mut request) => {
                         let conn = self.new_number();
                         let there = std::mem::replace(&mut request.conn, conn);
                         self.nodes[n].passed.insert(conn, there);
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -24,7 +24,7 @@
 use super::http::{body_len, read_head, response};
 use super::inlet::{Framing, Headed, Inlet, Scan};
 use super::stream::Conn;
-use super::{at_start, metrics, next, routed, spawn, Hub};
+use super::{call_routing, metrics, next, socket_retry, spawn, Hub};
 use crate::core::Input;
 use crate::fleet;
 use crate::fleet::routes::table::MOST_BYTES;
@@ -206,8 +206,8 @@
 
 /// Listens for as long as the process lives; where.
 pub(super) fn start(address: SocketAddr, hub: &Arc<Hub>) -> io::Result<SocketAddr> {
-    drop(at_start::open(|| std::net::TcpListener::bind(address))?);
-    let listener = at_start::open(|| TcpListener::bind(address))?;
+    drop(socket_retry::open(|| std::net::TcpListener::bind(address))?);
+    let listener = socket_retry::open(|| TcpListener::bind(address))?;
     let at = listener.local_addr()?;
     info!("takes operators' calls on {at}");
     let hub = hub.clone();
@@ -257,7 +257,13 @@
     };
     let mut told = None;
     let status = match asked {
-        Ok(Call::Ready) if hub.ready.load(Ordering::Acquire) && !hub.is_closed() && routed::ready(hub) => 200,
+        Ok(Call::Ready)
+            if hub.ready.load(Ordering::Acquire)
+                && !hub.has_stopped_accepting()
+                && call_routing::ready(hub) =>
+        {
+            200
+        }
         Ok(Call::Ready) => 503,
         Ok(Call::Fleet) => {
             told = hub.fleet.as_ref().and_then(fleet::Link::status).map(|status| status.to_json() + "\n");
@@ -267,7 +273,7 @@
                 404
             }
         }
-        Ok(Call::Metrics) => match metrics::text(hub, READ_PATIENCE) {
+        Ok(Call::Metrics) => match metrics::render(hub, READ_PATIENCE) {
             Some(text) => {
                 told = Some(text);
                 200
@@ -338,7 +344,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::routed::double::{hub, Double};
+    use super::super::call_routing::fake::{test_hub, FakeRouter};
     use super::*;
     use crate::fleet::door::{ask, send, DoorError};
     use crate::fleet::routes::record::RecordError;
@@ -346,8 +352,8 @@
 
     const PATIENCE: Duration = Duration::from_secs(10);
 
-    fn door(double: Option<Arc<Double>>) -> (SocketAddr, Arc<Hub>) {
-        let hub = hub(double, None).0;
+    fn door(double: Option<Arc<FakeRouter>>) -> (SocketAddr, Arc<Hub>) {
+        let hub = test_hub(double, None).0;
         hub.ready.store(true, Ordering::Release);
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
@@ -361,7 +367,7 @@
 
     #[test]
     fn each_call_becomes_its_order_and_brings_the_document() {
-        let double = Arc::new(Double::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
@@ -386,13 +392,13 @@
 
     #[test]
     fn a_refusal_tells_why_and_what_to_do() {
-        let double = Arc::new(Double::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
-        double.answer(Err(OrderError::Refused(error.clone().into())));
+        double.set_answer(Err(OrderError::Refused(error.clone().into())));
         let (status, told, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", PATIENCE));
         assert_eq!((status, told, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.answer(Err(OrderError::NoLeader { patience: ORDER_PATIENCE }));
+        double.set_answer(Err(OrderError::NoLeader { patience: ORDER_PATIENCE }));
         let (status, told, help) = refused(ask(at, "GET", "/fleet/routes", PATIENCE));
         assert!(status == 503 && told.contains("leader") && !help.is_empty(), "{told}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
@@ -408,8 +414,8 @@
     #[test]
     fn an_order_that_nobody_answers_holds_up_no_other_call() {
         // Guards against a worker that waits in a system call: with as many as there are workers the door stands still.
-        let double = Arc::new(Double::of([Routed::Barred]));
-        double.silent();
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        double.leave_unanswered();
         let (at, _hub) = door(Some(double.clone()));
         let since = Instant::now();
         let waits: Vec<_> = (0..10)
@@ -421,13 +427,13 @@
         }
         assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
         assert!(since.elapsed() < ORDER_PATIENCE, "{:?}", since.elapsed());
-        double.hang_up();
+        double.drop_unanswered();
         assert!(waits.into_iter().all(|w| w.join().unwrap() == 503));
     }
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
-        let double = Arc::new(Double::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         let (at, _hub) = door(Some(double.clone()));
         assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
         double.set_ready(false);
--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/link_manager.rs
@@ -11,7 +11,7 @@
 
 use super::reader::Reader;
 use super::wire::{encode, encode_move, encode_subscribe};
-use super::{Ended, Order, Outgoing};
+use super::{Ended, Order, OutgoingCommand};
 use crate::core::{Handle, Input, LinkEnd, LinkId, Notice};
 use crate::net::lines::Buffer;
 use crate::net::stream::Conn;
@@ -48,7 +48,7 @@
 
 impl Open {
     /// Puts a command into the bytes to be written, if it is meant for this link.
-    fn put(&mut self, outgoing: &Outgoing, out: &mut String) {
+    fn put(&mut self, outgoing: &OutgoingCommand, out: &mut String) {
         if outgoing.link != self.id {
             self.dropped += 1;
             return;
@@ -71,7 +71,7 @@
     }
 }
 
-pub(super) struct Keeper {
+pub(super) struct LinkManager {
     hub: Arc<Hub>,
     again: Sender<Order>,
     orders: Receiver<Order>,
@@ -83,7 +83,7 @@
     newest: LinkId,
 }
 
-impl Keeper {
+impl LinkManager {
     /// For the orders that come on `orders`; `again` leads there as well.
     pub(super) fn new(hub: Arc<Hub>, again: Sender<Order>, orders: Receiver<Order>) -> Self {
         Self { hub, again, orders, cursor: Arc::default(), unreadable: Arc::default(), newest: LinkId::NONE }
@@ -205,7 +205,7 @@
 
     /// Tells the reducer how a link ended. It does not wait for room: nothing of the next link should come before.
     fn tell_end(&self, link: &Open, end: LinkEnd) {
-        self.hub.push_at_once(Input::Agent { link: link.id, notice: Notice::Closed(end) });
+        self.hub.push_nonblocking(Input::Agent { link: link.id, notice: Notice::Closed(end) });
     }
 
     /// Connects to the address that the configuration names now if that is another one, beside the link: commands
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -83,15 +83,15 @@
 /// Reads one notice: its number, and what it tells, if that matters here.
 pub fn parse(line: &str) -> Result<(Option<u64>, Option<Notice>), NoticeError> {
     let json = json::parse(line)?;
-    let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NoObject)?;
+    let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NotAnObject)?;
     let text = |key: &str| members.get(key).and_then(|v| v.get::<String>()).map(String::as_str);
     let number = |key: &str| members.get(key).and_then(|v| v.get::<f64>()).copied();
-    let lacks = |member| NoticeError::Lacks { member };
+    let lacks = |member| NoticeError::MissingMember { member };
     let handle = || text("handle").and_then(|h| h.parse().ok()).ok_or(lacks("handle"));
     let bytes = |member: &'static str| match text(member) {
         Some(arg) => {
             let read = BASE64.decode(arg).map(|b| Some(b.into()));
-            read.map_err(|said| NoticeError::NoBase64 { member, said })
+            read.map_err(|reason| NoticeError::InvalidBase64 { member, reason })
         }
         None => Ok(None),
     };
@@ -99,11 +99,11 @@
     let lasted = number("lasted").and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     let longest = if event == "greeting" { LONGEST_LIFE } else { LONGEST_RUN };
     if lasted.is_some_and(|lasted| lasted > longest) {
-        return Err(NoticeError::Lasted { days: longest.as_secs() / 86_400 });
+        return Err(NoticeError::DurationTooLong { days: longest.as_secs() / 86_400 });
     }
     // One number too high, and all that the agent tells from then on would pass as told before.
     let is_number = |n: &f64| n.fract() == 0.0 && (1.0..MOST_CURSOR).contains(n);
-    let cursor = number("cursor").map(|n| Some(n).filter(is_number).ok_or(NoticeError::Cursor));
+    let cursor = number("cursor").map(|n| Some(n).filter(is_number).ok_or(NoticeError::InvalidCursor));
     let cursor = cursor.transpose()?.map(|n| n as u64);
     let notice = match event {
         "greeting" => {
@@ -116,7 +116,7 @@
                 Some("error") => End::Failed,
                 Some("cancelled") => End::Cancelled,
                 Some("unknown") => End::Unknown,
-                _ => return Err(NoticeError::Fate),
+                _ => return Err(NoticeError::UnknownFate),
             };
             let result = bytes("arg")?.or_else(|| (end == End::Complete).then(|| Vec::new().into()));
             Some(Notice::Outcome { handle: handle()?, end, lasted, result })
--- a/src/net/routed.rs
+++ b/src/net/call_routing.rs
@@ -90,7 +90,7 @@
     let tell = move |hub: &Hub, told: &Vec<(String, RouteState)>| {
         hub.push(Input::RouteStates(told.clone()));
         // What is read after a check that found this matcher ready comes behind it in the inbox.
-        hub.calls_shut.store(told.iter().any(|(_, way)| *way != RouteState::Open), Ordering::Release);
+        hub.calls_blocked.store(told.iter().any(|(_, way)| *way != RouteState::Open), Ordering::Release);
     };
     let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, routes)) = router.allowed(*known) {
@@ -115,7 +115,7 @@
 
 /// Calls may be made, and the reducer knows it; always where routes are off.
 pub(super) fn ready(hub: &Hub) -> bool {
-    hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_shut.load(Ordering::Acquire))
+    hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_blocked.load(Ordering::Acquire))
 }
 
 /// Does something once calls may be made here, or after a bounded time; at once where routes are off.
@@ -134,7 +134,7 @@
 
 /// A router whose answers are told beforehand, for tests.
 #[cfg(test)]
-pub(super) mod double {
+pub(super) mod fake {
     use std::collections::VecDeque;
     use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
     use std::sync::mpsc::{channel, Sender};
@@ -145,10 +145,10 @@
 
     type Done = Result<String, OrderError>;
 
-    pub struct Double {
+    pub struct FakeRouter {
         /// What the looks at a call find, one after the other; the last one stays.
         routed: Mutex<VecDeque<Routed>>,
-        looks: Mutex<Vec<Call>>,
+        routed_calls: Mutex<Vec<Call>>,
         orders: Mutex<Vec<(Order, String)>>,
         done: Mutex<Done>,
         /// Where orders wait that are never answered.
@@ -157,11 +157,11 @@
         pub stale: AtomicUsize,
     }
 
-    impl Double {
-        pub fn of(routed: impl IntoIterator<Item = Routed>) -> Self {
+    impl FakeRouter {
+        pub fn with_answers(routed: impl IntoIterator<Item = Routed>) -> Self {
             Self {
                 routed: Mutex::new(routed.into_iter().collect()),
-                looks: Mutex::default(),
+                routed_calls: Mutex::default(),
                 orders: Mutex::default(),
                 done: Mutex::new(Ok("{}".into())),
                 silent: Mutex::default(),
@@ -170,23 +170,23 @@
             }
         }
 
-        pub fn looks(&self) -> Vec<Call> {
-            self.looks.lock().unwrap().clone()
+        pub fn routed_calls(&self) -> Vec<Call> {
+            self.routed_calls.lock().unwrap().clone()
         }
 
         pub fn orders(&self) -> MutexGuard<'_, Vec<(Order, String)>> {
             self.orders.lock().unwrap()
         }
 
-        pub fn answer(&self, done: Done) {
+        pub fn set_answer(&self, done: Done) {
             *self.done.lock().unwrap() = done;
         }
 
-        pub fn silent(&self) {
+        pub fn leave_unanswered(&self) {
             *self.silent.lock().unwrap() = Some(Vec::new());
         }
 
-        pub fn hang_up(&self) {
+        pub fn drop_unanswered(&self) {
             *self.silent.lock().unwrap() = None;
         }
 
@@ -195,9 +195,9 @@
         }
     }
 
-    impl Router for Double {
+    impl Router for FakeRouter {
         fn route(&self, call: &Call) -> Routed {
-            self.looks.lock().unwrap().push(call.clone());
+            self.routed_calls.lock().unwrap().push(call.clone());
             let mut routed = self.routed.lock().unwrap();
             if routed.len() > 1 {
                 return routed.pop_front().unwrap();
@@ -239,8 +239,8 @@
     }
 
     /// A hub with this router and the configuration's vault, and what comes to the reducer.
-    pub fn hub(
-        double: Option<Arc<Double>>,
+    pub fn test_hub(
+        double: Option<Arc<FakeRouter>>,
         vault: Option<std::net::SocketAddr>,
     ) -> (Arc<Hub>, Receiver<Input>) {
         // Coroutines are sound on one worker only, in tests too.
@@ -256,15 +256,15 @@
 mod tests {
     use std::sync::mpsc::channel;
 
-    use super::double::{hub, Double};
+    use super::fake::{test_hub, FakeRouter};
     use super::*;
 
     #[test]
     fn a_process_that_takes_over_waits_for_its_lease() {
         // Guards against an upgrade that turns requests away until the new process has its first lease.
-        let double = Arc::new(Double::of([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
         double.set_ready(false);
-        let (hub, _inbox) = hub(Some(double.clone()), None);
+        let (hub, _inbox) = test_hub(Some(double.clone()), None);
         let (sender, begun) = channel();
         when_ready(&hub, move || sender.send(Instant::now()).unwrap());
         assert!(begun.recv_timeout(LOOK * 3).is_err());
@@ -275,7 +275,7 @@
 
     #[test]
     fn the_reducer_hears_of_the_ways_before_anything_else() {
-        let (hub, inbox) = hub(Some(Arc::new(Double::of([Routed::Barred]))), None);
+        let (hub, inbox) = test_hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let told = [("a".to_string(), RouteState::Open), ("b".to_string(), RouteState::Open)];
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -75,12 +75,12 @@
     }
 
     /// Steps that are known.
-    pub fn steps(&self) -> usize {
+    pub fn step_count(&self) -> usize {
         self.epochs.len().saturating_sub(1)
     }
 
     /// When a moment that lies in the past by now was, which a caller stamped so.
-    pub fn past(&mut self, stamp: Duration, now: Duration) -> Duration {
+    pub fn resolve_past(&mut self, stamp: Duration, now: Duration) -> Duration {
         let Some(&newest) = self.callers.back() else { return stamp.min(now) };
         let mut end = now;
         for (place, epoch) in self.callers.iter().enumerate().rev() {
@@ -114,7 +114,7 @@
 
     /// When a moment may be at the latest that lies in the future, and which another process wrote as `stamp` a moment ago:
     /// the wall clock may have been stepped in between.
-    pub fn future(&self, stamp: Duration, now: Duration) -> Duration {
+    pub fn resolve_future(&self, stamp: Duration, now: Duration) -> Duration {
         let mut latest = None;
         let mut end = now;
         for epoch in self.epochs.iter().rev() {
@@ -128,7 +128,7 @@
     }
 
     /// What the wall clock shows, by its last reading, when this clock shows `at`.
-    pub fn shown_at(&self, at: Duration) -> Duration {
+    pub fn wall_time_at(&self, at: Duration) -> Duration {
         let offset = self.epochs.back().map_or(0, |epoch| epoch.offset_us);
         from_micros(micros(at).saturating_add(offset))
     }
@@ -146,7 +146,7 @@
     /// Starts with what the wall clock shows.
     pub fn new() -> Self {
         let clock = Self { start: Instant::now(), unix: read_wall(), wall: Mutex::default() };
-        clock.look();
+        clock.observe_wall_clock();
         clock
     }
 
@@ -156,29 +156,29 @@
     }
 
     /// Notes whether the wall clock was stepped; to be called now and then.
-    pub fn look(&self) {
+    pub fn observe_wall_clock(&self) {
         drop(self.observe());
     }
 
     /// When a caller's stamp of the wall clock was made.
-    pub fn past(&self, stamp: Duration) -> Duration {
+    pub fn resolve_past(&self, stamp: Duration) -> Duration {
         let mut wall = self.observe();
-        wall.past(stamp, self.now())
+        wall.resolve_past(stamp, self.now())
     }
 
     /// When a moment in the future is that another process wrote down just now.
-    pub fn future(&self, stamp: Duration) -> Duration {
-        self.observe().future(stamp, self.now())
+    pub fn resolve_future(&self, stamp: Duration) -> Duration {
+        self.observe().resolve_future(stamp, self.now())
     }
 
     /// A time of this clock as the wall clock shows it, for another process.
     pub fn to_wall(&self, at: Duration) -> Duration {
-        self.observe().shown_at(at)
+        self.observe().wall_time_at(at)
     }
 
     /// Steps of the wall clock so far.
-    pub fn steps(&self) -> usize {
-        self.lock().steps()
+    pub fn step_count(&self) -> usize {
+        self.lock().step_count()
     }
 
     fn lock(&self) -> MutexGuard<'_, WallClock> {
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -30,7 +30,7 @@
     #[diagnostic(help(
         "look who has this address, or set another one; beside a server that runs, start with its TMPDIR"
     ))]
-    Front {
+    Frontend {
         /// The key that names the address.
         key: &'static str,
         /// The address.
@@ -60,7 +60,7 @@
     #[diagnostic(help(
         "its log says why, such as a drain or a lost link: start the new process again once it is ready"
     ))]
-    HandoverEnded,
+    HandoverAborted,
 }
 
 /// Why a line of the agent is no notice. The link is made anew.
@@ -69,7 +69,7 @@
     /// A line that goes on for ever, or is no UTF-8.
     #[error("it is too long, or no text")]
     #[diagnostic(help("check that `agent` names the agent's port and no other service's"))]
-    Line,
+    UnreadableLine,
     /// No JSON.
     #[error("{0}")]
     #[diagnostic(help("the agent must write one JSON object a line: check its version and its address"))]
@@ -77,42 +77,42 @@
     /// JSON, but something else.
     #[error("it is no object")]
     #[diagnostic(help("the agent must write objects: look at its log for what it sent"))]
-    NoObject,
+    NotAnObject,
     /// A member without which it says nothing.
     #[error("it has no {member}")]
     #[diagnostic(help(
         "the agent leaves out what its protocol asks for: run a version of it that goes with this one"
     ))]
-    Lacks {
+    MissingMember {
         /// Which member.
         member: &'static str,
     },
     /// Base64 that is none.
-    #[error("{member}: {said}")]
+    #[error("{member}: {reason}")]
     #[diagnostic(help(
         "the agent must encode bodies in base64 with padding: check what the application returns"
     ))]
-    NoBase64 {
+    InvalidBase64 {
         /// Which member.
         member: &'static str,
         /// What the reader says.
-        said: base64::DecodeError,
+        reason: base64::DecodeError,
     },
     /// A time that would overflow sums later.
     #[error("it lasted more than {days} days")]
     #[diagnostic(help("check the clock of the agent's machine: `lasted` is in milliseconds"))]
-    Lasted {
+    DurationTooLong {
         /// The bound.
         days: u64,
     },
     /// A number that would make all later notices pass as told before.
     #[error("its cursor is no number")]
     #[diagnostic(help("the agent must number notices from 1 on in whole numbers: restart it"))]
-    Cursor,
+    InvalidCursor,
     /// An end of a run that is not known.
     #[error("it has an unknown fate")]
     #[diagnostic(help(
         "the agent may be newer than this program: complete, error, cancelled and unknown are taken"
     ))]
-    Fate,
+    UnknownFate,
 }
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -72,7 +72,7 @@
     let (ending, reason) = serve_requests(&mut stream, wire, place);
     place.hub.closes.count(reason);
     place.begin_closing();
-    let patience = if place.hub.is_closed() { closing::LAST_PATIENCE } else { closing::PATIENCE };
+    let patience = if place.hub.has_stopped_accepting() { closing::LAST_PATIENCE } else { closing::PATIENCE };
     closing::close(&mut stream, ending, patience);
 }
 
@@ -96,7 +96,7 @@
             Parsed::Check { deep } => Input::HealthCheck { conn, deep },
             Parsed::Request(mut request) => {
                 request.conn = conn;
-                request.start = hub.clock.past(request.start);
+                request.start = hub.clock.resolve_past(request.start);
                 Input::Request(request)
             }
         });
@@ -141,13 +141,13 @@
             partial: first_byte.map(|at| at.elapsed()),
             unasked: accepted.map(|at| at.elapsed()),
         };
-        let left = waited.left(hub.idle_limit(), hub.closed_for());
+        let left = waited.left(hub.idle_limit(), hub.stopped_accepting_for());
         // What came while the timer fired is read before the connection is closed as idle.
         if left.is_zero() && last_look && stream.conn().is_quiet() {
             return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
         }
         last_look = left.is_zero();
-        stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
+        stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_check_interval()));
         match read_some(stream, inlet.room()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
             Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -25,7 +25,7 @@
 
 use super::front::read_some;
 use super::lines::Lines;
-use super::{at_start, Hub};
+use super::{socket_retry, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
 
 /// Words that may wait for the other process.
@@ -43,13 +43,13 @@
 
 /// Something to tell the other process.
 #[derive(Debug)]
-pub enum Word {
+pub enum HandoverMessage {
     /// Decide from now on.
     Begin,
     /// All keys, and whether operators want callers kept away.
     Keys(Vec<KeyState>, bool),
     /// What came of an open key.
-    Settled(Key, bool, Option<Bytes>),
+    KeyResolved(Key, bool, Option<Bytes>),
     /// A request that came to the old process.
     Request(Box<Request>),
     /// Its answer, for the connection there.
@@ -58,23 +58,23 @@
 
 /// The other process, as long as there is one.
 #[derive(Clone, Default)]
-pub(super) struct Partner(Arc<Mutex<Option<Link>>>);
+pub(super) struct PeerProcess(Arc<Mutex<Option<Link>>>);
 
 struct Link {
-    words: SyncSender<Word>,
+    words: SyncSender<HandoverMessage>,
     stream: UnixStream,
     writer: Option<JoinHandle<()>>,
     /// Requests passed on to this process: the connection in the other one.
     passed_on: HashMap<ConnId, ConnId>,
 }
 
-impl Partner {
+impl PeerProcess {
     fn lock(&self) -> MutexGuard<'_, Option<Link>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Queues a word; never waits.
-    pub(super) fn send(&self, word: Word) {
+    pub(super) fn send(&self, word: HandoverMessage) {
         if let Some(link) = &*self.lock() {
             if link.words.try_send(word).is_err() {
                 let _ = link.stream.shutdown(Shutdown::Both);
@@ -85,12 +85,12 @@
     /// Answers a request that was passed on to this process; false if `conn` is none.
     pub(super) fn answer(&self, conn: ConnId, answer: &Arc<Answer>) -> bool {
         let there = self.lock().as_mut().and_then(|link| link.passed_on.remove(&conn));
-        there.into_iter().for_each(|there| self.send(Word::Answer(there, answer.clone())));
+        there.into_iter().for_each(|there| self.send(HandoverMessage::Answer(there, answer.clone())));
         there.is_some()
     }
 
     /// Waits until all that was queued is written.
-    pub(super) fn finish(&self) {
+    pub(super) fn flush(&self) {
         let writer = self.lock().take().and_then(|link| {
             drop(link.words);
             link.writer
@@ -121,17 +121,17 @@
                 Err(_) => break,
             };
             match parse(&line) {
-                Some(Heard::Word(word)) => {
+                Some(ReceivedMessage::Succession(word)) => {
                     // What operators ordered of the process before holds here, and the fleet has to know it of this life.
                     if let (Succession::KeysComplete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
                         fleet.draining(true);
                     }
                     hub.push(Input::Succession(on_own_clock(word, hub)));
                 }
-                Some(Heard::Request(mut request)) => {
+                Some(ReceivedMessage::Request(mut request)) => {
                     let conn = hub.new_conn();
                     let there = std::mem::replace(&mut request.conn, conn);
-                    request.start = hub.clock.past(request.start);
+                    request.start = hub.clock.resolve_past(request.start);
                     if let Some(link) = self.lock().as_mut() {
                         link.passed_on.insert(conn, there);
                     }
@@ -152,15 +152,17 @@
 /// What the other process says, with its times, which are the wall clock's, as this process counts them.
 fn on_own_clock(word: Succession, hub: &Hub) -> Succession {
     match word {
-        Succession::Key(key) => Succession::Key(KeyState { until: hub.clock.future(key.until), ..key }),
+        Succession::Key(key) => {
+            Succession::Key(KeyState { until: hub.clock.resolve_future(key.until), ..key })
+        }
         word => word,
     }
 }
 
-fn write(stream: &UnixStream, queue: &Receiver<Word>) {
+fn write(stream: &UnixStream, queue: &Receiver<HandoverMessage>) {
     let mut writes = BufWriter::new(stream);
     while let Ok(word) = queue.recv() {
-        let lines = word.lines();
+        let lines = word.to_lines();
         if lines
             .into_iter()
             .try_for_each(|l| writes.write_all(l.as_bytes()))
@@ -215,11 +217,11 @@
 }
 
 /// Connects to the process that serves already, if there is one.
-pub(super) fn find(path: &Path, hub: &Arc<Hub>) -> Option<Partner> {
+pub(super) fn connect_to_predecessor(path: &Path, hub: &Arc<Hub>) -> Option<PeerProcess> {
     // Only where nobody listens is there no process: one that is there and not found would keep this one from starting.
-    let connected = at_start::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
+    let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
     let stream = connected.ok()?;
-    let partner = Partner::default();
+    let partner = PeerProcess::default();
     let started = stream.try_clone().and_then(|reads| {
         partner.open(stream)?;
         let (partner, hub) = (partner.clone(), hub.clone());
@@ -240,7 +242,7 @@
 /// A socket in place of the one that another process left.
 fn bind(path: &Path) -> io::Result<UnixListener> {
     let _ = std::fs::remove_file(path);
-    let listener = at_start::open(|| UnixListener::bind(path))?;
+    let listener = socket_retry::open(|| UnixListener::bind(path))?;
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
     Ok(listener)
 }
@@ -253,9 +255,9 @@
 }
 
 /// Waits for a process that takes over. A socket that another one left is replaced.
-pub(super) fn offer(path: &Path, hub: &Arc<Hub>) -> io::Result<Partner> {
+pub(super) fn listen_for_successor(path: &Path, hub: &Arc<Hub>) -> io::Result<PeerProcess> {
     let mut listener = bind(path)?;
-    let (partner, hub, path) = (Partner::default(), hub.clone(), path.to_path_buf());
+    let (partner, hub, path) = (PeerProcess::default(), hub.clone(), path.to_path_buf());
     let successor = partner.clone();
     thread::Builder::new().stack_size(STACK).spawn(move || {
         // One after the other: a second process finds nobody until the first is gone.
@@ -291,9 +293,9 @@
     bytes.map_or("-".to_string(), |bytes| format!("={}", BASE64.encode(bytes)))
 }
 
-impl Word {
+impl HandoverMessage {
     /// In lines, each with its end.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn to_lines(&self) -> Vec<String> {
         let key = |key: &Key| base64(Some(key.as_bytes()));
         match self {
             Self::Begin => vec!["begin\n".to_string()],
@@ -305,7 +307,7 @@
                 };
                 keys.iter().map(line).chain([format!("complete {}\n", u8::from(*standby))]).collect()
             }
-            Self::Settled(k, ran, result) => {
+            Self::KeyResolved(k, ran, result) => {
                 vec![format!("settled {} {} {}\n", key(k), u8::from(*ran), base64(result.as_deref()))]
             }
             Self::Request(r) => {
@@ -350,15 +352,15 @@
 
 /// What a line says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ReceivedMessage {
     /// Something for the reducer.
-    Word(Succession),
+    Succession(Succession),
     /// A request, with the connection in the other process.
     Request(Box<Request>),
 }
 
 /// Reads a line without its end; none if it makes no sense.
-pub fn parse(line: &str) -> Option<Heard> {
+pub fn parse(line: &str) -> Option<ReceivedMessage> {
     let bytes = |word: &str| -> Option<Option<Bytes>> {
         match word.strip_prefix('=') {
             Some(text) => Some(Some(BASE64.decode(text).ok()?.into())),
@@ -419,7 +421,7 @@
                 (false, "-") => None,
                 (false, _) => return None,
             };
-            return Some(Heard::Request(Box::new(Request {
+            return Some(ReceivedMessage::Request(Box::new(Request {
                 conn: conn.parse().ok()?,
                 handle: handle.parse().ok()?,
                 class: text(class)?,
@@ -437,7 +439,7 @@
         }
         _ => return None,
     };
-    Some(Heard::Word(word))
+    Some(ReceivedMessage::Succession(word))
 }
 
 #[cfg(test)]
@@ -464,7 +466,7 @@
         let (sender, inbox) = std::sync::mpsc::channel();
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
-        let found = find(&path, &hub);
+        let found = connect_to_predecessor(&path, &hub);
         std::fs::remove_file(&path).unwrap();
         assert!(found.is_some());
         let (mut old, _) = listener.accept().unwrap();
@@ -519,7 +521,7 @@
         let (sender, inbox) = std::sync::mpsc::channel();
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
-        let successor = offer(&path, &hub).unwrap();
+        let successor = listen_for_successor(&path, &hub).unwrap();
         assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
         let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
         assert!(matches!(told(), Input::Succession(Succession::HandoverRequested)));
@@ -536,14 +538,14 @@
                 _ => thread::sleep(END_LOOK),
             }
         };
-        successor.send(Word::Keys(Vec::new(), false));
+        successor.send(HandoverMessage::Keys(Vec::new(), false));
         // Now it has taken both.
         let answered = asked.and_then(|ticket| hub.queries().remove(&ticket));
         answered.into_iter().for_each(|asker| asker.send(Vec::new()).unwrap());
         while !is_linked() {
             thread::sleep(END_LOOK);
         }
-        successor.send(Word::Begin);
+        successor.send(HandoverMessage::Begin);
         let mut line = String::new();
         std::io::BufRead::read_line(&mut io::BufReader::new(next), &mut line).unwrap();
         std::fs::remove_file(&path).unwrap();
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -8,11 +8,11 @@
 
 use may::sync::mpsc as co;
 
+use super::call_routing::Router;
 use super::clock::Clock;
 use super::closes::Closes;
 use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
 use super::listen::{ConnectionHandle, Place};
-use super::routed::Router;
 use super::stream::Conn;
 use crate::core::{Answer, ConnId, Input, Query};
 use crate::fleet;
@@ -35,7 +35,7 @@
 pub struct Hub {
     pub(super) clock: Clock,
     pub(super) inbox: Sender<Input>,
-    pub(super) waiting: AtomicUsize,
+    pub(super) queued_inputs: AtomicUsize,
     connections: Mutex<ConnectionTable<ConnectionHandle>>,
     pub(super) next_conn: AtomicU64,
     /// Why connections were closed.
@@ -44,14 +44,14 @@
     most_connections: AtomicUsize,
     spare_connections: AtomicUsize,
     /// Calls below that may be out at once: each has a descriptor out of those kept back.
-    pub(super) most_calls: AtomicUsize,
-    pub(super) trim_us: AtomicU64,
+    pub(super) max_calls: AtomicUsize,
+    pub(super) idle_limit_us: AtomicU64,
     /// The server has begun to leave.
     draining: AtomicBool,
     /// When the server stopped taking new connections.
     closed: OnceLock<Instant>,
     /// Another process takes the new connections; those that are here end as they fall idle.
-    pub(super) yields: AtomicBool,
+    pub(super) has_yielded: AtomicBool,
     /// The agent was up: requests can be served.
     pub(super) ready: AtomicBool,
     pub(super) queries: Mutex<HashMap<u64, Sender<Lines>>>,
@@ -63,20 +63,20 @@
     /// The fleet's routes, where they are on.
     pub(super) routing: Option<Arc<dyn Router>>,
     /// The reducer was told last that calls of some class are not made.
-    pub(super) calls_shut: AtomicBool,
+    pub(super) calls_blocked: AtomicBool,
     /// The names of the site's classes, since the configuration was last read.
     pub(super) classes: Mutex<Vec<String>>,
 }
 
 /// Whether an answer was given to its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Given {
+pub(super) enum AnswerResult {
     /// It was owed, and its owner has it.
-    Owed,
+    Queued,
     /// The connection is owed none.
     NotOwed,
     /// There is no such connection.
-    Gone,
+    NoConnection,
 }
 
 /// Names and values for people.
@@ -94,45 +94,45 @@
         let hub = Self {
             clock: Clock::new(),
             inbox,
-            waiting: AtomicUsize::new(0),
+            queued_inputs: AtomicUsize::new(0),
             connections: Mutex::default(),
             next_conn: AtomicU64::new(1),
             closes: Closes::default(),
             sockets,
             most_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
-            most_calls: AtomicUsize::new(1),
-            trim_us: AtomicU64::new(u64::MAX),
+            max_calls: AtomicUsize::new(1),
+            idle_limit_us: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
             closed: OnceLock::new(),
-            yields: AtomicBool::new(false),
+            has_yielded: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             queries: Mutex::default(),
             next_query: AtomicU64::new(1),
             links: Mutex::new(links),
             fleet,
             routing,
-            calls_shut: AtomicBool::new(false),
+            calls_blocked: AtomicBool::new(false),
             classes: Mutex::new(classes),
         };
-        hub.share(false);
+        hub.set_descriptor_share(false);
         hub
     }
 
     /// Sets how many descriptors there are: two processes of one server have them together.
-    pub(super) fn share(&self, with_another: bool) {
+    pub(super) fn set_descriptor_share(&self, with_another: bool) {
         let parts = if with_another { 2 } else { 1 };
         let reserved = RESERVED_SOCKETS.min(self.sockets / 2);
         let most = ((self.sockets - reserved) / parts).max(1);
         self.most_connections.store(most, Ordering::Relaxed);
-        self.most_calls.store((reserved / 2 / parts).max(1), Ordering::Relaxed);
+        self.max_calls.store((reserved / 2 / parts).max(1), Ordering::Relaxed);
         self.spare_connections.store(reserved / SPARE_PART / parts, Ordering::Relaxed);
         self.connections().shrink(most, Instant::now(), ConnectionHandle::evict);
     }
 
     /// Calls below that may be out at once.
-    pub(super) fn most_calls(&self) -> usize {
-        self.most_calls.load(Ordering::Relaxed)
+    pub(super) fn max_calls(&self) -> usize {
+        self.max_calls.load(Ordering::Relaxed)
     }
 
     /// A number for a connection.
@@ -142,21 +142,21 @@
 
     /// Brings an input to the reducer; called from coroutines, it waits while the inbox is full.
     pub fn push(&self, input: Input) {
-        while self.waiting.load(Ordering::Relaxed) >= INBOX_ROOM {
+        while self.queued_inputs.load(Ordering::Relaxed) >= INBOX_ROOM {
             crate::net::spawn::sleep(Duration::from_millis(1));
         }
-        self.push_at_once(input);
+        self.push_nonblocking(input);
     }
 
     /// The same for what must not wait, and is rare.
-    pub(super) fn push_at_once(&self, input: Input) {
-        self.waiting.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn push_nonblocking(&self, input: Input) {
+        self.queued_inputs.fetch_add(1, Ordering::Relaxed);
         // The reducer's end is gone only while the process ends.
         let _ = self.inbox.send(input);
     }
 
     /// Asks the reducer; its answer comes under the ticket, which the asker takes out of the queries at the end.
-    pub(super) fn ask(&self, query: Query) -> (u64, Receiver<Lines>) {
+    pub(super) fn submit_query(&self, query: Query) -> (u64, Receiver<Lines>) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let ticket = self.next_query.fetch_add(1, Ordering::Relaxed);
         self.queries().insert(ticket, sender);
@@ -167,7 +167,7 @@
     /// Waits until the reducer has taken all that was brought before, and what follows from it is done; to be called from
     /// threads only.
     pub(super) fn wait_for_reducer(&self) {
-        let (ticket, answer) = self.ask(Query::Status);
+        let (ticket, answer) = self.submit_query(Query::Status);
         // No answer comes only while the process ends.
         let _ = answer.recv();
         self.queries().remove(&ticket);
@@ -209,15 +209,15 @@
     }
 
     /// Gives a connection the answer that it is owed.
-    pub(super) fn give_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> Given {
+    pub(super) fn send_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
         let owner = match self.connections().give_answer(conn) {
             Giving::Owed(handle) => handle.answer.clone(),
-            Giving::NotOwed => return Given::NotOwed,
-            Giving::Gone => return Given::Gone,
+            Giving::NotOwed => return AnswerResult::NotOwed,
+            Giving::Gone => return AnswerResult::NoConnection,
         };
         // Not under the lock: waking a coroutine may wait for the worker, which may wait for the lock.
         let _ = owner.send(answer.clone());
-        Given::Owed
+        AnswerResult::Queued
     }
 
     /// Has all connections closed that are owed nothing.
@@ -227,8 +227,8 @@
 
     /// How long a connection may be idle; none is kept once the server takes no new ones.
     pub(super) fn idle_limit(&self) -> Duration {
-        let told = Duration::from_micros(self.trim_us.load(Ordering::Relaxed));
-        match (self.is_closed(), self.yields.load(Ordering::Relaxed)) {
+        let told = Duration::from_micros(self.idle_limit_us.load(Ordering::Relaxed));
+        match (self.has_stopped_accepting(), self.has_yielded.load(Ordering::Relaxed)) {
             (true, _) => Duration::ZERO,
             (false, true) => told.min(YIELD_IDLE),
             (false, false) => told,
@@ -241,7 +241,7 @@
     }
 
     /// How often an idle connection looks whether it is to close.
-    pub(super) fn idle_look(&self) -> Duration {
+    pub(super) fn idle_check_interval(&self) -> Duration {
         if self.draining.load(Ordering::Relaxed) {
             IDLE_LOOK_DRAINING
         } else {
@@ -250,17 +250,17 @@
     }
 
     /// The server takes no new connections from now on.
-    pub(super) fn close(&self) {
+    pub(super) fn stop_accepting(&self) {
         let _ = self.closed.set(Instant::now());
     }
 
     /// The server takes no new connections.
-    pub(super) fn is_closed(&self) -> bool {
+    pub(super) fn has_stopped_accepting(&self) -> bool {
         self.closed.get().is_some()
     }
 
     /// For how long the server has taken no new connections.
-    pub(super) fn closed_for(&self) -> Option<Duration> {
+    pub(super) fn stopped_accepting_for(&self) -> Option<Duration> {
         self.closed.get().map(Instant::elapsed)
     }
 }
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::routed::ways;
+use super::call_routing::ways;
 use super::Hub;
 use crate::core::Query;
 use crate::fleet;
@@ -20,8 +20,8 @@
 const LOOK: Duration = Duration::from_millis(2);
 
 /// All of it; none where the reducer does not answer within `patience`. Waits in a coroutine.
-pub(super) fn text(hub: &Hub, patience: Duration) -> Option<String> {
-    let (ticket, answer) = hub.ask(Query::Counters);
+pub(super) fn render(hub: &Hub, patience: Duration) -> Option<String> {
+    let (ticket, answer) = hub.submit_query(Query::Counters);
     let since = Instant::now();
     let lines = loop {
         match answer.try_recv() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,7 +5,7 @@
 
 pub mod admin;
 pub mod agent;
-pub mod at_start;
+pub mod call_routing;
 pub mod clock;
 mod closes;
 mod closing;
@@ -15,15 +15,15 @@
 pub mod fields;
 pub mod front;
 pub mod handover;
+mod handshake_filter;
 pub mod http;
 mod hub;
 pub mod inlet;
 pub mod lines;
 mod listen;
 mod metrics;
-mod newcomers;
-pub mod routed;
 pub mod scgi;
+pub mod socket_retry;
 mod spawn;
 mod stream;
 mod tls;
@@ -42,12 +42,12 @@
 use crate::core::{Core, Effect, Input, KeyState, Query};
 use crate::fleet;
 use crate::settings::{Config, Links};
+use call_routing::Router;
 pub use error::NodeError;
-use hub::Given;
+use hub::AnswerResult;
 pub use hub::Hub;
 use listen::{listen, next, Front, Place};
-use routed::Router;
-use spawn::spawn_deep;
+use spawn::spawn_with_large_stack;
 pub use spawn::{sleep, spawn, start_runtime};
 
 /// Inputs that the reducer takes at once.
@@ -63,7 +63,7 @@
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
-        self.0.push_at_once(Input::Drain { signalled_at: self.0.clock.now() });
+        self.0.push_nonblocking(Input::Drain { signalled_at: self.0.clock.now() });
     }
 
     /// Takes up other settings, and moves the links to new addresses. A link that was on stays on: the program
@@ -86,7 +86,7 @@
 
     /// Asks the reducer, and waits for its answer; to be called from threads only.
     pub fn query(&self, query: Query, patience: Duration) -> Option<Vec<(String, String)>> {
-        let (ticket, answer) = self.0.ask(query);
+        let (ticket, answer) = self.0.submit_query(query);
         let lines = answer.recv_timeout(patience).ok();
         self.0.queries().remove(&ticket);
         lines
@@ -124,9 +124,9 @@
     config: Config,
     certificate: Shared,
     /// The process that ran before, until it has handed over and ended.
-    predecessor: Option<handover::Partner>,
+    predecessor: Option<handover::PeerProcess>,
     /// The one that takes over from this one.
-    successor: handover::Partner,
+    successor: handover::PeerProcess,
     /// The process that ran before is asked to hand over once the fleet's routes may be used here.
     begins: bool,
     /// This process's part in the fleet's routes, where they are on.
@@ -149,7 +149,7 @@
         let routing = driver.as_ref().map(|driver| Arc::new(driver.routing()) as Arc<dyn Router>);
         let classes = config.site.class_names.clone();
         let hub = Arc::new(Hub::new(sender, config.sockets, config.links(), classes, fleet, routing));
-        routed::start(&hub);
+        call_routing::start(&hub);
         let mut core = Core::new(config.site.clone(), config.seed, config.stop_after, hub.clock.now())?;
         let runner = match (config.agent, config.appliance.scgi_application) {
             (Some(_), _) => Runner::Agent(agent::Link::start(&hub)),
@@ -174,7 +174,8 @@
         if let Some(address) = config.admin {
             admin::start(address, &hub).map_err(|source| NodeError::Admin { address, source })?;
         }
-        let predecessor = config.handover.as_ref().and_then(|path| handover::find(path, &hub));
+        let predecessor =
+            config.handover.as_ref().and_then(|path| handover::connect_to_predecessor(path, &hub));
         let mut node = Self {
             core,
             hub,
@@ -186,12 +187,12 @@
             config: config.clone(),
             certificate,
             predecessor,
-            successor: handover::Partner::default(),
+            successor: handover::PeerProcess::default(),
             begins: false,
             driver,
             fault: None,
         };
-        node.hub.share(node.predecessor.is_some());
+        node.hub.set_descriptor_share(node.predecessor.is_some());
         if node.predecessor.is_none() {
             node.open_fronts()?;
         }
@@ -211,7 +212,7 @@
         let (hub, shared, config) = (&self.hub, self.predecessor.is_some(), &self.config);
         let mut fronts = Vec::new();
         let mut bound = |key, wire: &str, address: SocketAddr, bound: io::Result<Front>| {
-            let front = bound.map_err(|source| NodeError::Front { key, address, source })?;
+            let front = bound.map_err(|source| NodeError::Frontend { key, address, source })?;
             info!("{} takes {wire} on {}", config.name, front.address);
             fronts.push(front);
             Ok::<(), NodeError>(())
@@ -226,7 +227,7 @@
             let tls = tls::config(self.certificate.clone())?;
             let secure = move |stream, place: Place| {
                 let tls = tls.clone();
-                spawn_deep(move || {
+                spawn_with_large_stack(move || {
                     if let Ok(stream) = tls::accept(stream, &tls) {
                         place.serve(stream, http::Http);
                     }
@@ -236,7 +237,7 @@
         }
         self.fronts = fronts;
         if let Some(path) = &self.config.handover {
-            match handover::offer(path, &self.hub) {
+            match handover::listen_for_successor(path, &self.hub) {
                 Ok(successor) => self.successor = successor,
                 Err(e) => warn!("no process can take over from this one: {}: {e}", path.display()),
             }
@@ -251,7 +252,9 @@
                 let predecessor = predecessor.clone();
                 // Asked once while it waits for its lease, however often the agent greets meanwhile.
                 if self.hub.routing.is_none() || !std::mem::replace(&mut self.begins, true) {
-                    routed::when_ready(&self.hub, move || predecessor.send(handover::Word::Begin));
+                    call_routing::when_ready(&self.hub, move || {
+                        predecessor.send(handover::HandoverMessage::Begin)
+                    });
                 }
             }
             _ => self.hub.ready.store(true, Ordering::Release),
@@ -260,7 +263,7 @@
 
     /// Takes callers; a process that served before has handed over, or is gone.
     fn take_callers(&mut self) {
-        if self.fronts.is_empty() && !self.hub.is_closed() {
+        if self.fronts.is_empty() && !self.hub.has_stopped_accepting() {
             self.fault = self.open_fronts().err();
             self.hub.ready.store(true, Ordering::Release);
         }
@@ -290,8 +293,8 @@
             };
             let mut batch: Vec<Input> = first.into_iter().collect();
             batch.extend(self.inbox.try_iter().take(BATCH));
-            self.hub.waiting.fetch_sub(batch.len(), Ordering::Relaxed);
-            self.hub.clock.look();
+            self.hub.queued_inputs.fetch_sub(batch.len(), Ordering::Relaxed);
+            self.hub.clock.observe_wall_clock();
             for effect in self.core.step(self.hub.clock.now(), batch) {
                 leaving |= effect == Effect::Exit;
                 self.perform(effect);
@@ -311,9 +314,9 @@
         }
         // Answers for the process that ran before may still be queued.
         if let Some(predecessor) = &self.predecessor {
-            predecessor.finish();
+            predecessor.flush();
         }
-        self.successor.finish();
+        self.successor.flush();
         info!("counters at exit: {}", self.core.counters());
         info!("connections closed: {}", self.hub.closes);
         Ok(())
@@ -321,7 +324,7 @@
 
     /// Nobody can connect any more, and all connections are closed. Those that are owed nothing have had their time.
     fn has_closed(&self) -> bool {
-        if self.hub.closed_for().is_some_and(|since| since > front::CLOSING_PATIENCE) {
+        if self.hub.stopped_accepting_for().is_some_and(|since| since > front::CLOSING_PATIENCE) {
             self.hub.evict_all();
         }
         self.fronts.iter().all(Front::is_closed) && self.hub.connections().is_empty()
@@ -334,20 +337,20 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { conn, answer } => match self.hub.give_answer(conn, &answer) {
-                Given::Owed => {}
-                Given::NotOwed => {
+            Effect::Answer { conn, answer } => match self.hub.send_answer(conn, &answer) {
+                AnswerResult::Queued => {}
+                AnswerResult::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
-                    self.hub.push_at_once(Input::ViolationBlocked);
+                    self.hub.push_nonblocking(Input::ViolationBlocked);
                 }
-                Given::Gone => {
+                AnswerResult::NoConnection => {
                     if let Some(predecessor) = &self.predecessor {
                         predecessor.answer(conn, &answer);
                     }
                 }
             },
             Effect::Agent { link, number, command } => match &self.runner {
-                Runner::Agent(agent) => agent.send(agent::Outgoing { link, number, command }),
+                Runner::Agent(agent) => agent.send(agent::OutgoingCommand { link, number, command }),
                 Runner::Application(application) => application.send(command),
                 Runner::None => {}
             },
@@ -378,7 +381,7 @@
             }
             Effect::TrimIdle(after) => {
                 let us = u64::try_from(after.as_micros()).unwrap_or(u64::MAX);
-                self.hub.trim_us.store(us, Ordering::Relaxed);
+                self.hub.idle_limit_us.store(us, Ordering::Relaxed);
             }
             Effect::Draining => {
                 info!("leaving: counters so far: {}", self.core.counters());
@@ -400,17 +403,17 @@
             }
             Effect::StopListening => {
                 info!("takes no new connections; closed so far: {}", self.hub.closes);
-                self.hub.close();
+                self.hub.stop_accepting();
                 self.stop_fronts(false);
             }
             Effect::Ready => self.able(),
             Effect::HandOver { keys, standby } => {
                 info!("hands over to a new process: {} keys", keys.len());
-                self.hub.share(true);
+                self.hub.set_descriptor_share(true);
                 let clock = &self.hub.clock;
                 let on_wall_clock = |key: KeyState| KeyState { until: clock.to_wall(key.until), ..key };
                 let keys = keys.into_iter().map(on_wall_clock).collect();
-                self.successor.send(handover::Word::Keys(keys, standby));
+                self.successor.send(handover::HandoverMessage::Keys(keys, standby));
                 if let Some(fleet) = &self.hub.fleet {
                     fleet.release();
                 }
@@ -420,22 +423,22 @@
             }
             Effect::Forward(mut request) => {
                 request.start = self.hub.clock.to_wall(request.start);
-                self.successor.send(handover::Word::Request(request));
+                self.successor.send(handover::HandoverMessage::Request(request));
             }
             Effect::KeyResolved { key, ran, result } => {
-                self.successor.send(handover::Word::Settled(key, ran, result));
+                self.successor.send(handover::HandoverMessage::KeyResolved(key, ran, result));
             }
             Effect::Listen => self.take_callers(),
             Effect::PeerExited => {
-                self.hub.share(false);
+                self.hub.set_descriptor_share(false);
                 self.take_callers();
                 self.predecessor = None;
             }
             Effect::AbortTakeover => {
-                self.fault = Some(NodeError::HandoverEnded);
+                self.fault = Some(NodeError::HandoverAborted);
             }
             Effect::YieldToSuccessor => {
-                self.hub.yields.store(true, Ordering::Relaxed);
+                self.hub.has_yielded.store(true, Ordering::Relaxed);
                 self.stop_fronts(true);
                 let counters = format!("{}", self.core.counters());
                 let stopped = self.fronts.clone();
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 
 use super::*;
-use crate::net::routed::double::{hub, Double};
+use crate::net::call_routing::fake::{test_hub, FakeRouter};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
@@ -60,13 +60,13 @@
 struct Bench {
     link: Link,
     inbox: Receiver<Input>,
-    double: Arc<Double>,
+    double: Arc<FakeRouter>,
 }
 
 impl Bench {
     fn new(routed: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
-        let double = Arc::new(Double::of(routed));
-        let (hub, inbox) = hub(Some(double.clone()), vault.map(|v| v.at));
+        let double = Arc::new(FakeRouter::with_answers(routed));
+        let (hub, inbox) = test_hub(Some(double.clone()), vault.map(|v| v.at));
         Self { link: Link::start(&hub), inbox, double }
     }
 
@@ -154,7 +154,7 @@
     for _ in 0..2 {
         assert_eq!(bench.ended().1, Some(fence(1)));
     }
-    let tried: Vec<_> = bench.double.looks().iter().map(|call| call.tried).collect();
+    let tried: Vec<_> = bench.double.routed_calls().iter().map(|call| call.tried).collect();
     assert_eq!((tried.first(), tried.last()), (Some(&None), Some(&Some(fence(1)))));
 }
 
@@ -197,7 +197,7 @@
         bench.ask(attempt, true, PATIENCE);
         assert_eq!(bench.ended(), (End::NotNow, None));
     }
-    assert!(bench.double.looks().iter().all(|call| call.tried.is_none()));
+    assert!(bench.double.routed_calls().iter().all(|call| call.tried.is_none()));
 }
 
 /// A service below whose connections, one after the other, follow a script each; returns its address.
@@ -246,9 +246,9 @@
         side.ask().unwrap();
         side.reply(ID, "one");
     }
-    let double = Arc::new(Double::of(looks));
+    let double = Arc::new(FakeRouter::with_answers(looks));
     let scripts = [&[first as fn(&mut Scripted)], then].concat();
-    let (hub, inbox) = hub(Some(double), Some(scripted(scripts)));
+    let (hub, inbox) = test_hub(Some(double), Some(scripted(scripts)));
     let link = Link::start(&hub);
     let mut last = None;
     for attempt in [1, 2] {
@@ -314,7 +314,8 @@
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
     let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
-    let (hub, inbox) = hub(Some(Arc::new(Double::of([go(1, None), wait(100), go(1, None)]))), Some(at));
+    let (hub, inbox) =
+        test_hub(Some(Arc::new(FakeRouter::with_answers([go(1, None), wait(100), go(1, None)]))), Some(at));
     let link = Link::start(&hub);
     let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
@@ -337,7 +338,7 @@
         side.ask().unwrap();
         side.reply(ID, "one");
     }
-    let (hub, inbox) = hub(None, Some(scripted(vec![then])));
+    let (hub, inbox) = test_hub(None, Some(scripted(vec![then])));
     let link = Link::start(&hub);
     let (handle, earlier) = (ID.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
     let (patience, body) = (Duration::from_millis(300), [b'x'].into());
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -8,10 +8,10 @@
 };
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::front::Wire;
-use hopwalk::net::handover::{parse, Heard, Word};
+use hopwalk::net::handover::{parse, HandoverMessage, ReceivedMessage};
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
-use hopwalk::net::vault::{encode_ask, Replies};
+use hopwalk::net::vault::{encode_ask, ReplyParser};
 use hopwalk::net::{agent, http::Http, scgi, scgi::Scgi};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -138,13 +138,19 @@
         open in any::<bool>(),
         result in prop::option::of(bytes(4096)),
     ) {
-        let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
+        let line = |word: HandoverMessage| word.to_lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), digest, until: Duration::from_micros(until), open, result: result.clone() };
-        let told = parse(&line(Word::Keys(vec![state.clone()], open)));
-        prop_assert_eq!(told, Some(Heard::Word(Succession::Key(state))));
+        let told = parse(&line(HandoverMessage::Keys(vec![state.clone()], open)));
+        prop_assert_eq!(told, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::KeyResolved { key: key.clone(), ran: open, result: result.clone() };
-        prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(Heard::Word(settled)));
-        prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(Heard::Request(Box::new(r))));
+        prop_assert_eq!(
+            parse(&line(HandoverMessage::KeyResolved(key, open, result))),
+            Some(ReceivedMessage::Succession(settled))
+        );
+        prop_assert_eq!(
+            parse(&line(HandoverMessage::Request(Box::new(r.clone())))),
+            Some(ReceivedMessage::Request(Box::new(r)))
+        );
     }
 
     #[test]
@@ -165,7 +171,7 @@
         let ask = encode_ask(handle, Duration::from_millis(1), &body, None);
         let head = format!("ask {handle} 1 {}", body.len());
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
-        let (mut lines, mut replies, mut read) = (Lines::new(MOST), Replies::default(), Vec::new());
+        let (mut lines, mut replies, mut read) = (Lines::new(MOST), ReplyParser::default(), Vec::new());
         for piece in reply.chunks(piece) {
             lines.room().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
