--- a/src/console.rs
+++ b/src/console.rs
@@ -15,7 +15,7 @@
 
 use crate::core::Query;
 use crate::net::at_start;
-use crate::net::front::read_some;
+use crate::net::frontend::read_some;
 use crate::net::lines::Lines;
 use crate::net::Handle;
 use crate::settings::Config;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -20,7 +20,7 @@
 
 use super::closing::{close, Ending, PATIENCE};
 use super::fields::Bad;
-use super::front::read_some;
+use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
 use super::inlet::{Framing, Headed, Inlet, Scan};
 use super::stream::Conn;
@@ -251,7 +251,7 @@
         match read_some(&mut conn, inlet.room()) {
             Ok(0) => return,
             Ok(_) => {}
-            Err(e) if super::front::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
+            Err(e) if super::frontend::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return,
         }
     };
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -3,13 +3,13 @@
 //! A connection that is closed while bytes wait there unread is reset, and the reset may overtake an answer that was
 //! written before it. So an end has four steps: the last answer is written, the write side is closed, what still comes
 //! is read and thrown away for a moment, and only then the descriptor is closed. Whether there is anything left to
-//! answer is decided before the first step, by the owner of the connection ([`super::front`]).
+//! answer is decided before the first step, by the owner of the connection ([`super::frontend`]).
 
 use std::io::{self, Read};
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-use super::front::{read_some, Stream};
+use super::frontend::{read_some, Stream};
 
 /// Bytes that are read and thrown away at most, so that a client that writes without end costs no more than this.
 const MOST_DISCARDED: usize = 1 << 20;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -23,7 +23,7 @@
 use nix::unistd::Pid;
 use tracing::{info, warn};
 
-use super::front::read_some;
+use super::frontend::read_some;
 use super::lines::Lines;
 use super::{at_start, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,7 +1,7 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection.
 
 use super::fields::{Bad, Fields, Message, Parsed, MOST_BODY, MOST_HEAD};
-use super::front::Wire;
+use super::frontend::Wire;
 use super::inlet::{Framing, Headed, Scan};
 use crate::core::{Answer, Verdict};
 
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Instant;
 
-use super::front::{is_timeout, read_some};
+use super::frontend::{is_timeout, read_some};
 use super::stream::Conn;
 use crate::core::End;
 
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -21,7 +21,7 @@
 use super::connection_table::AfterAnswer;
 use super::hub::Hub;
 use super::stream::Conn;
-use super::{at_start, front, newcomers, spawn};
+use super::{at_start, frontend, newcomers, spawn};
 use crate::core::{Answer, ConnId};
 
 /// Bytes of answers that the system may hold for a caller that does not read: some whole answers, and no more
@@ -62,8 +62,8 @@
 }
 
 impl Place {
-    pub(super) fn serve(&self, stream: impl front::Stream, wire: impl front::Wire) {
-        front::serve(stream, wire, self);
+    pub(super) fn serve(&self, stream: impl frontend::Stream, wire: impl frontend::Wire) {
+        frontend::serve(stream, wire, self);
     }
 
     /// A whole request was read: from now on the connection is owed an answer.
@@ -206,7 +206,7 @@
 /// Has a connection served, as soon as there is room for it: it waits unread rather than being closed unread.
 fn take_in(stream: TcpStream, hub: &Arc<Hub>, serve: impl Fn(Conn, Place)) {
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
-    let stream = Conn::new(stream, front::WRITE_PATIENCE);
+    let stream = Conn::new(stream, frontend::WRITE_PATIENCE);
     loop {
         if let Some(place) = hub.admit(&stream) {
             return serve(stream, place);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,7 +13,7 @@
 pub mod control;
 pub mod error;
 pub mod fields;
-pub mod front;
+pub mod frontend;
 pub mod handover;
 pub mod http;
 mod hub;
@@ -321,7 +321,7 @@
 
     /// Nobody can connect any more, and all connections are closed. Those that are owed nothing have had their time.
     fn has_closed(&self) -> bool {
-        if self.hub.closed_for().is_some_and(|since| since > front::CLOSING_PATIENCE) {
+        if self.hub.closed_for().is_some_and(|since| since > frontend::CLOSING_PATIENCE) {
             self.hub.evict_all();
         }
         self.fronts.iter().all(Front::is_closed) && self.hub.connections().is_empty()
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -12,7 +12,7 @@
 use may::net::TcpStream;
 
 use super::fields::{Bad, Fields, Message, MOST_BODY, MOST_HEAD};
-use super::front::{is_timeout, read_some, Wire};
+use super::frontend::{is_timeout, read_some, Wire};
 use super::http::{parts, phrase, route, Route};
 use super::inlet::{Framing, Headed, Scan};
 use super::{spawn, Hub};
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -13,7 +13,7 @@
 use rustls::{ServerConfig, ServerConnection, StreamOwned};
 
 use super::error::NodeError;
-use super::front::Stream;
+use super::frontend::Stream;
 use super::stream::Conn;
 use crate::acme::{Certificate, Shared};
 
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -16,7 +16,7 @@
 
 use tracing::debug;
 
-use super::front::is_timeout;
+use super::frontend::is_timeout;
 use super::lines::Buffer;
 use super::stream::Conn;
 use super::{spawn, Hub};
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::routes::Fence;
 use hopwalk::interface::Below;
 use hopwalk::net::fields::{Bad, Message, Parsed};
-use hopwalk::net::front::Wire;
+use hopwalk::net::frontend::Wire;
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::{agent, control, http::Http, scgi, scgi::Scgi, vault};
 use hopwalk::settings::{Appliance, Config, ConfigError, Site};
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -5,7 +5,7 @@
 use hopwalk::net::connection_table::{
     Admission, AfterAnswer, Capacity, ConnectionTable, Giving, EVICT_AFTER,
 };
-use hopwalk::net::front::{Waited, CLOSING_PATIENCE, FIRST_PATIENCE, NEW_PATIENCE, READ_PATIENCE};
+use hopwalk::net::frontend::{Waited, CLOSING_PATIENCE, FIRST_PATIENCE, NEW_PATIENCE, READ_PATIENCE};
 
 const NO_SPARE: Capacity = Capacity { open: 4, spare: 0 };
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -7,7 +7,7 @@
     Answer, Bytes, Command, Handle, Key, KeyState, LinkId, Notice, Request, Succession, Verdict,
 };
 use hopwalk::net::fields::{Message, Parsed};
-use hopwalk::net::front::Wire;
+use hopwalk::net::frontend::Wire;
 use hopwalk::net::handover::{parse, Heard, Word};
 use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
