--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -7,9 +7,9 @@
 use arbitrary::Unstructured;
 use hopwalk::core::{Handle, Request};
 use hopwalk::net::admin::Door;
+use hopwalk::net::decoder::{Framing, Inlet};
 use hopwalk::net::fields::{Bad, Message, Parsed, MOST_BODY};
 use hopwalk::net::http::Http;
-use hopwalk::net::inlet::{Framing, Inlet};
 use hopwalk::net::scgi::{encode_request, Scgi};
 
 use crate::alloc::most_held;
--- a/fuzz/src/targets/mod.rs
+++ b/fuzz/src/targets/mod.rs
@@ -104,7 +104,7 @@
     Target {
         name: "http",
         about: "requests on the HTTP front, in pieces and behind each other, and what proxies disagree about",
-        files: &["src/net/http.rs", "src/net/inlet.rs"],
+        files: &["src/net/http.rs", "src/net/decoder.rs"],
         most_len: 1024,
         words: HEAD_WORDS,
         run: framing::http,
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -19,10 +19,10 @@
 use tracing::info;
 
 use super::closing::{close, Ending, PATIENCE};
+use super::decoder::{Framing, Headed, Inlet, Scan};
 use super::fields::Bad;
 use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
-use super::inlet::{Framing, Headed, Inlet, Scan};
 use super::stream::Conn;
 use super::{at_start, metrics, next, routed, spawn, Hub};
 use crate::core::Input;
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,8 +1,8 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection.
 
+use super::decoder::{Framing, Headed, Scan};
 use super::fields::{Bad, Fields, Message, Parsed, MOST_BODY, MOST_HEAD};
 use super::frontend::Wire;
-use super::inlet::{Framing, Headed, Scan};
 use crate::core::{Answer, Verdict};
 
 /// Where requests go; the class follows.
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -11,10 +11,10 @@
 
 use may::net::TcpStream;
 
+use super::decoder::{Framing, Headed, Scan};
 use super::fields::{Bad, Fields, Message, MOST_BODY, MOST_HEAD};
 use super::frontend::{is_timeout, read_some, Wire};
 use super::http::{parts, phrase, route, Route};
-use super::inlet::{Framing, Headed, Scan};
 use super::{spawn, Hub};
 use crate::core::{Answer, Bytes, Command, End, Handle, Input, LinkId, Notice};
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,10 +6,10 @@
 use hopwalk::core::{
     Answer, Bytes, Command, Handle, Key, KeyState, LinkId, Notice, Request, Succession, Verdict,
 };
+use hopwalk::net::decoder::Inlet;
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::frontend::Wire;
 use hopwalk::net::handover::{parse, Heard, Word};
-use hopwalk::net::inlet::Inlet;
 use hopwalk::net::lines::{Lines, MOST};
 use hopwalk::net::vault::{encode_ask, Replies};
 use hopwalk::net::{agent, http::Http, scgi, scgi::Scgi};
