--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -7,7 +7,7 @@
 use arbitrary::Unstructured;
 use hopwalk::core::{Handle, Request};
 use hopwalk::net::admin::Door;
-use hopwalk::net::decoder::{Framing, Inlet};
+use hopwalk::net::decoder::{Framing, MessageDecoder};
 use hopwalk::net::fields::{Bad, Message, Parsed, MOST_BODY};
 use hopwalk::net::http::Http;
 use hopwalk::net::scgi::{encode_request, Scgi};
@@ -28,12 +28,12 @@
 }
 
 fn read<'a, F: Framing>(framing: F, pieces: impl IntoIterator<Item = &'a [u8]>) -> Read<F::Message> {
-    let mut inlet = Inlet::new(framing);
+    let mut decoder = MessageDecoder::new(framing);
     let (mut messages, mut bad) = (Vec::new(), None);
     'pieces: for piece in pieces {
-        inlet.room().extend_from_slice(piece);
+        decoder.room().extend_from_slice(piece);
         loop {
-            match inlet.next_message() {
+            match decoder.next_message() {
                 Ok(Some(message)) => messages.push(message),
                 Ok(None) => break,
                 Err(what) => {
@@ -43,8 +43,8 @@
             }
         }
     }
-    let work = inlet.work();
-    Read { messages, bad: bad.or_else(|| inlet.end()), work }
+    let work = decoder.work();
+    Read { messages, bad: bad.or_else(|| decoder.end()), work }
 }
 
 /// Every way of cutting the bytes gives the same messages at a cost that grows with their length alone. `same` tells
@@ -183,10 +183,10 @@
 
 /// Up to the end of the first request when it comes byte by byte, and one byte more: a front reads no second one.
 fn first_message(bytes: &[u8]) -> &[u8] {
-    let mut inlet = Inlet::new(Scgi);
+    let mut decoder = MessageDecoder::new(Scgi);
     for (at, byte) in bytes.iter().enumerate() {
-        inlet.room().push(*byte);
-        match inlet.next_message() {
+        decoder.room().push(*byte);
+        match decoder.next_message() {
             Ok(None) => {}
             Ok(Some(_)) => return &bytes[..(at + 2).min(bytes.len())],
             Err(_) => return bytes,
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -19,7 +19,7 @@
 use tracing::info;
 
 use super::closing::{close, Ending, PATIENCE};
-use super::decoder::{Framing, Headed, Inlet, Scan};
+use super::decoder::{Framing, Headed, MessageDecoder, Scan};
 use super::fields::Bad;
 use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
@@ -236,9 +236,9 @@
 }
 
 fn serve(mut conn: Conn, by: &str, hub: &Hub) {
-    let (mut inlet, since) = (Inlet::new(Door), Instant::now());
+    let (mut decoder, since) = (MessageDecoder::new(Door), Instant::now());
     let asked = loop {
-        match inlet.next_message() {
+        match decoder.next_message() {
             Ok(None) => {}
             Ok(Some((call, _))) => break Ok(call),
             Err(bad) => break Err(bad.status),
@@ -248,7 +248,7 @@
             break Err(408);
         }
         conn.set_read_patience(left);
-        match read_some(&mut conn, inlet.room()) {
+        match read_some(&mut conn, decoder.room()) {
             Ok(0) => return,
             Ok(_) => {}
             Err(e) if super::frontend::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -74,7 +74,7 @@
 
 /// What a connection brought and was not yet taken as a message.
 #[derive(Debug)]
-pub struct Inlet<F: Framing> {
+pub struct MessageDecoder<F: Framing> {
     framing: F,
     bytes: Vec<u8>,
     /// Bytes at the start that were taken.
@@ -85,7 +85,7 @@
     work: u64,
 }
 
-impl<F: Framing> Inlet<F> {
+impl<F: Framing> MessageDecoder<F> {
     /// Nothing was brought yet.
     pub fn new(framing: F) -> Self {
         Self {
@@ -118,7 +118,7 @@
     }
 
     /// What is wrong with what is there, now that nothing more comes. A head is looked at only now and then before
-    /// it ends, so this may be more than [`Inlet::next_message`] told.
+    /// it ends, so this may be more than [`MessageDecoder::next_message`] told.
     pub fn end(&mut self) -> Option<Bad> {
         self.next_look = 0;
         self.next_message().err()
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -8,7 +8,7 @@
 use super::closes::CloseReason;
 use super::closing::{self, Ending};
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
-use super::decoder::{Framing, Inlet};
+use super::decoder::{Framing, MessageDecoder};
 use super::fields::{Bad, Message, Parsed};
 use super::stream::Conn;
 use super::{Hub, Place};
@@ -78,10 +78,10 @@
 
 fn serve_requests<S: Stream, W: Wire>(stream: &mut S, wire: W, place: &Place) -> (Ending, CloseReason) {
     let (conn, hub) = (place.conn, &*place.hub);
-    let mut inlet = Inlet::new(wire);
+    let mut decoder = MessageDecoder::new(wire);
     let mut accepted = Some(place.accepted);
     loop {
-        let message = match read_message(stream, &mut inlet, place, accepted.take()) {
+        let message = match read_message(stream, &mut decoder, place, accepted.take()) {
             Ok(message) => message,
             Err(Stop::Idle) => return (Ending::Finished, CloseReason::Idle),
             Err(Stop::PeerClosed) => return (Ending::Finished, CloseReason::PeerGone),
@@ -119,16 +119,16 @@
 
 fn read_message<W: Wire>(
     stream: &mut impl Stream,
-    inlet: &mut Inlet<W>,
+    decoder: &mut MessageDecoder<W>,
     place: &Place,
     accepted: Option<Instant>,
 ) -> Result<Message, Stop> {
     let hub = &*place.hub;
     let since = Instant::now();
-    let mut first_byte = (!inlet.is_empty()).then_some(since);
+    let mut first_byte = (!decoder.is_empty()).then_some(since);
     let (mut last_look, mut noted) = (false, false);
     loop {
-        if let Some((message, _)) = inlet.next_message().map_err(Stop::Bad)? {
+        if let Some((message, _)) = decoder.next_message().map_err(Stop::Bad)? {
             return Ok(message);
         }
         if first_byte.is_some() && !noted {
@@ -148,21 +148,21 @@
         }
         last_look = left.is_zero();
         stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
-        match read_some(stream, inlet.room()) {
+        match read_some(stream, decoder.room()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
             Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
             Ok(0) if idle => return Err(Stop::PeerClosed),
             Ok(0) if place.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
-                return Err(Stop::Bad(inlet.end().unwrap_or(Bad::request("the request ends early"))));
+                return Err(Stop::Bad(decoder.end().unwrap_or(Bad::request("the request ends early"))));
             }
             Ok(_) => {}
             Err(e) if is_timeout(&e) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return Err(Stop::PeerGone),
         }
-        if !inlet.is_empty() {
+        if !decoder.is_empty() {
             first_byte.get_or_insert_with(Instant::now);
         }
     }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -7,7 +7,7 @@
 use hopwalk::core::{Answer, Command, End, LinkId, Notice, Verdict};
 use hopwalk::fleet::routes::Fence;
 use hopwalk::interface::Below;
-use hopwalk::net::decoder::Inlet;
+use hopwalk::net::decoder::MessageDecoder;
 use hopwalk::net::fields::{Bad, Message, Parsed};
 use hopwalk::net::frontend::Wire;
 use hopwalk::net::{agent, control, http::Http, scgi, scgi::Scgi, vault};
@@ -42,19 +42,19 @@
 
 /// Reads what is there at once.
 fn read(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, Bad> {
-    let mut inlet = Inlet::new(wire);
-    inlet.room().extend(bytes);
-    inlet.next_message().map(|message| message.map(|(message, _)| message))
+    let mut decoder = MessageDecoder::new(wire);
+    decoder.room().extend(bytes);
+    decoder.next_message().map(|message| message.map(|(message, _)| message))
 }
 
 /// Feeds a message byte by byte: it must be there with its last byte, and not before.
 fn fed(wire: impl Wire, bytes: &[u8]) -> Message {
-    let mut inlet = Inlet::new(wire);
+    let mut decoder = MessageDecoder::new(wire);
     for (len, byte) in bytes.iter().enumerate() {
-        assert!(inlet.next_message().unwrap().is_none(), "read whole after {len} bytes");
-        inlet.room().push(*byte);
+        assert!(decoder.next_message().unwrap().is_none(), "read whole after {len} bytes");
+        decoder.room().push(*byte);
     }
-    let (message, _) = inlet.next_message().unwrap().expect("a whole message");
+    let (message, _) = decoder.next_message().unwrap().expect("a whole message");
     assert_eq!(message.taken, bytes.len());
     message
 }
@@ -439,23 +439,23 @@
 fn a_head_that_comes_byte_by_byte_costs_a_few_times_its_length() {
     // Guards against a head that is read again from its start with every piece: 33 MB for this one.
     let bytes = http("POST /do/a", &format!("X-Pad: {}\r\nContent-Length: 2000\r\n", "x".repeat(8000)), "");
-    let mut inlet = Inlet::new(Http);
+    let mut decoder = MessageDecoder::new(Http);
     for byte in bytes.iter().chain(&[b'b'; 2000]) {
-        assert!(inlet.next_message().unwrap().is_none());
-        inlet.room().push(*byte);
+        assert!(decoder.next_message().unwrap().is_none());
+        decoder.room().push(*byte);
     }
-    assert!(inlet.next_message().unwrap().is_some());
-    let (work, len) = (inlet.work(), bytes.len() as u64 + 2000);
+    assert!(decoder.next_message().unwrap().is_some());
+    let (work, len) = (decoder.work(), bytes.len() as u64 + 2000);
     println!("{work} bytes looked at for {len}");
     assert!(work < 6 * len);
 }
 
 #[test]
 fn half_a_message_is_told_what_is_wrong_when_nothing_more_comes() {
-    let mut inlet = Inlet::new(Http);
-    inlet.room().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
-    assert!(matches!(inlet.next_message(), Ok(None) | Err(_)));
-    assert_eq!(inlet.end().map(|bad| bad.status), Some(400));
+    let mut decoder = MessageDecoder::new(Http);
+    decoder.room().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
+    assert!(matches!(decoder.next_message(), Ok(None) | Err(_)));
+    assert_eq!(decoder.end().map(|bad| bad.status), Some(400));
 }
 
 #[rstest]
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,7 +6,7 @@
 use hopwalk::core::{
     Answer, Bytes, Command, Handle, Key, KeyState, LinkId, Notice, Request, Succession, Verdict,
 };
-use hopwalk::net::decoder::Inlet;
+use hopwalk::net::decoder::MessageDecoder;
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::frontend::Wire;
 use hopwalk::net::handover::{parse, Heard, Word};
@@ -94,10 +94,10 @@
 
 /// Reads one message that comes in pieces of a length.
 fn read(wire: impl Wire, bytes: &[u8], piece: usize) -> Message {
-    let mut inlet = Inlet::new(wire);
+    let mut decoder = MessageDecoder::new(wire);
     for piece in bytes.chunks(piece) {
-        inlet.room().extend(piece);
-        if let Some((message, taken)) = inlet.next_message().unwrap() {
+        decoder.room().extend(piece);
+        if let Some((message, taken)) = decoder.next_message().unwrap() {
             assert_eq!(taken, bytes.len());
             return message;
         }
