--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -5,7 +5,7 @@
 
 use tracing::warn;
 
-use super::closes::CloseReason;
+use super::close_counts::CloseReason;
 use super::closing::{self, Ending};
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
 use super::decoder::{Framing, MessageDecoder};
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -9,7 +9,7 @@
 use may::sync::mpsc as co;
 
 use super::clock::Clock;
-use super::closes::Closes;
+use super::close_counts::Closes;
 use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
 use super::listen::{ConnectionHandle, Place};
 use super::routed::Router;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub mod agent;
 pub mod at_start;
 pub mod clock;
-mod closes;
+mod close_counts;
 mod closing;
 pub mod connection_table;
 pub mod control;
