--- a/src/net/close_counts.rs
+++ b/src/net/close_counts.rs
@@ -34,15 +34,15 @@
 
 /// Connections that were closed so far, by reason.
 #[derive(Debug, Default)]
-pub(super) struct Closes([AtomicU64; CloseReason::ALL.len()]);
+pub(super) struct CloseCounts([AtomicU64; CloseReason::ALL.len()]);
 
-impl Closes {
+impl CloseCounts {
     pub(super) fn count(&self, reason: CloseReason) {
         self.0[reason as usize].fetch_add(1, Ordering::Relaxed);
     }
 }
 
-impl fmt::Display for Closes {
+impl fmt::Display for CloseCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (place, (reason, name)) in CloseReason::ALL.into_iter().enumerate() {
             let separator = if place > 0 { " " } else { "" };
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -9,7 +9,7 @@
 use may::sync::mpsc as co;
 
 use super::clock::Clock;
-use super::close_counts::Closes;
+use super::close_counts::CloseCounts;
 use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
 use super::listen::{ConnectionHandle, Place};
 use super::routed::Router;
@@ -39,7 +39,7 @@
     connections: Mutex<ConnectionTable<ConnectionHandle>>,
     pub(super) next_conn: AtomicU64,
     /// Why connections were closed.
-    pub(super) closes: Closes,
+    pub(super) closes: CloseCounts,
     pub(super) sockets: usize,
     most_connections: AtomicUsize,
     spare_connections: AtomicUsize,
@@ -97,7 +97,7 @@
             waiting: AtomicUsize::new(0),
             connections: Mutex::default(),
             next_conn: AtomicU64::new(1),
-            closes: Closes::default(),
+            closes: CloseCounts::default(),
             sockets,
             most_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
