--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -10,7 +10,7 @@
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
 use hopwalk::net::handover::{self, Heard, Word};
-use hopwalk::net::lines::{Lines, MOST};
+use hopwalk::net::lines::{LineDecoder, MOST};
 use hopwalk::net::scgi::parse_response;
 use hopwalk::net::vault::Replies;
 use tinyjson::JsonValue;
@@ -24,9 +24,9 @@
 fn read<'a, T, E: Debug>(
     most: usize,
     pieces: impl IntoIterator<Item = &'a [u8]>,
-    mut next: impl FnMut(&mut Lines) -> Result<Option<T>, E>,
+    mut next: impl FnMut(&mut LineDecoder) -> Result<Option<T>, E>,
 ) -> Read<T> {
-    let mut lines = Lines::new(most);
+    let mut lines = LineDecoder::new(most);
     let mut all = Vec::new();
     for piece in pieces {
         lines.room().extend_from_slice(piece);
@@ -184,7 +184,7 @@
 
 /// What two versions tell each other: what is understood is said again in the same words.
 pub fn handover(bytes: &[u8]) {
-    let parse = |lines: &mut Lines| match lines.line() {
+    let parse = |lines: &mut LineDecoder| match lines.line() {
         Ok(Some(line)) => handover::parse(&line).map(|heard| Some((line, heard))).ok_or(End::Malformed),
         Ok(None) => Ok(None),
         Err(end) => Err(end),
--- a/src/console.rs
+++ b/src/console.rs
@@ -16,7 +16,7 @@
 use crate::core::Query;
 use crate::net::at_start;
 use crate::net::frontend::read_some;
-use crate::net::lines::Lines;
+use crate::net::lines::LineDecoder;
 use crate::net::Handle;
 use crate::settings::Config;
 
@@ -142,7 +142,7 @@
 fn serve(stream: UnixStream, answer: impl Fn(&Word) -> Vec<(String, String)>) -> io::Result<()> {
     stream.set_read_timeout(Some(CLIENT_PATIENCE))?;
     stream.set_write_timeout(Some(CLIENT_PATIENCE))?;
-    let mut lines = Lines::new(MOST_LINE);
+    let mut lines = LineDecoder::new(MOST_LINE);
     loop {
         // A line that is too long is no word: neither its start nor its end is carried out.
         let line = match lines.line() {
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -8,7 +8,7 @@
 use super::wire::parse;
 use crate::core::{End, Input, LinkId, Notice};
 use crate::net::error::NoticeError;
-use crate::net::lines::{Buffer, Lines};
+use crate::net::lines::{Buffer, LineDecoder};
 use crate::net::Hub;
 use crate::told;
 
@@ -63,7 +63,7 @@
 
 /// The next notice that tells something new; none while it is not there whole. `cursor` is the number of the last
 /// notice read, over all links: what was told before, on this link or a former one, is not told twice.
-pub fn next_notice(lines: &mut Lines, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
+pub fn next_notice(lines: &mut LineDecoder, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
     while let Some(line) = lines.line().map_err(|_| NoticeError::Line)? {
         let (number, notice) = parse(&line)?;
         let told = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -24,7 +24,7 @@
 use tracing::{info, warn};
 
 use super::frontend::read_some;
-use super::lines::Lines;
+use super::lines::LineDecoder;
 use super::{at_start, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
 
@@ -109,7 +109,7 @@
 
     /// Tells the reducer what the other process says, until it is gone.
     fn listen(&self, stream: UnixStream, hub: &Hub) {
-        let mut lines = Lines::new(MOST_LINE);
+        let mut lines = LineDecoder::new(MOST_LINE);
         loop {
             let line = match lines.line() {
                 Ok(Some(line)) => line,
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -12,7 +12,7 @@
 
 /// Lines out of the pieces in which they come, without I/O. Each byte is looked at once for the end of a line.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineDecoder {
     bytes: Vec<u8>,
     used: usize,
     /// Bytes behind `used` in which there is no end of a line.
@@ -21,7 +21,7 @@
     work: u64,
 }
 
-impl Lines {
+impl LineDecoder {
     /// Lines of at most `most` bytes without their ends.
     pub fn new(most: usize) -> Self {
         Self { bytes: Vec::new(), used: 0, looked: 0, most, work: 0 }
@@ -81,7 +81,7 @@
 /// What was read off a link and not yet used.
 pub(super) struct Buffer {
     stream: Conn,
-    pub(super) lines: Lines,
+    pub(super) lines: LineDecoder,
     until: Option<Instant>,
     /// Why nothing more comes, where the stream itself has ended.
     closed: Option<Closed>,
@@ -98,7 +98,7 @@
 
 impl Buffer {
     pub(super) fn new(stream: Conn) -> Self {
-        Self { stream, lines: Lines::new(MOST), until: None, closed: None }
+        Self { stream, lines: LineDecoder::new(MOST), until: None, closed: None }
     }
 
     /// Waits no longer than to this time.
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::core::{Bytes, End, Handle};
 use crate::fleet::routes::Fence;
-use crate::net::lines::Lines;
+use crate::net::lines::LineDecoder;
 
 /// The longest reply.
 const MOST_REPLY: usize = 16 << 10;
@@ -21,7 +21,10 @@
 impl Replies {
     /// The next reply: whose it is, how the call ended, and the body where it went well; none while it is not there
     /// whole.
-    pub fn next_reply(&mut self, lines: &mut Lines) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
+    pub fn next_reply(
+        &mut self,
+        lines: &mut LineDecoder,
+    ) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
         if self.head.is_none() {
             let Some(line) = lines.line()? else { return Ok(None) };
             match parse_reply(&line)? {
