--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -10,7 +10,7 @@
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
 use hopwalk::net::handover::{self, Heard, Word};
-use hopwalk::net::lines::{LineDecoder, MOST};
+use hopwalk::net::lines::{LineDecoder, MAX_LINE};
 use hopwalk::net::scgi::parse_response;
 use hopwalk::net::vault::Replies;
 use tinyjson::JsonValue;
@@ -77,7 +77,7 @@
 pub fn notices(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
         let cursor = AtomicU64::new(0);
-        read(MOST, pieces, |lines| next_notice(lines, &cursor))
+        read(MAX_LINE, pieces, |lines| next_notice(lines, &cursor))
     });
     for notice in &all {
         plausible(notice);
@@ -94,11 +94,11 @@
     // A link that breaks anywhere, and one behind it on which all is told again.
     for at in (0..=bytes.len()).step_by(bytes.len() / 32 + 1) {
         let cursor = AtomicU64::new(0);
-        let (before, bad, _) = read(MOST, [&bytes[..at]], |lines| next_notice(lines, &cursor));
+        let (before, bad, _) = read(MAX_LINE, [&bytes[..at]], |lines| next_notice(lines, &cursor));
         if bad.is_some() {
             break;
         }
-        let (after, _, _) = read(MOST, [bytes], |lines| next_notice(lines, &cursor));
+        let (after, _, _) = read(MAX_LINE, [bytes], |lines| next_notice(lines, &cursor));
         let unnumbered = |n: &&Notice| matches!(n, Notice::Outcome { .. });
         // Outcomes without a number cannot be told apart from new ones; numbered ones come once.
         if before.iter().chain(&after).filter(unnumbered).count() == all.iter().filter(unnumbered).count() {
@@ -145,7 +145,7 @@
 pub fn replies(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
         let mut replies = Replies::default();
-        read(MOST, pieces, |lines| replies.next_reply(lines))
+        read(MAX_LINE, pieces, |lines| replies.next_reply(lines))
     });
     for (_, end, body) in &all {
         assert_eq!(*end == End::Complete, body.is_some());
@@ -189,7 +189,7 @@
         Ok(None) => Ok(None),
         Err(end) => Err(end),
     };
-    for (_, heard) in in_pieces(bytes, |pieces| read(MOST, pieces, parse)) {
+    for (_, heard) in in_pieces(bytes, |pieces| read(MAX_LINE, pieces, parse)) {
         let word = match heard.clone() {
             Heard::Request(request) => Word::Request(request),
             Heard::Word(Succession::Key(key)) => Word::Keys(vec![key], false),
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -8,7 +8,7 @@
 use crate::core::End;
 
 /// The longest line or body that a link may bring.
-pub const MOST: usize = 64 << 10;
+pub const MAX_LINE: usize = 64 << 10;
 
 /// Lines out of the pieces in which they come, without I/O. Each byte is looked at once for the end of a line.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
 
 impl Buffer {
     pub(super) fn new(stream: Conn) -> Self {
-        Self { stream, lines: LineDecoder::new(MOST), until: None, closed: None }
+        Self { stream, lines: LineDecoder::new(MAX_LINE), until: None, closed: None }
     }
 
     /// Waits no longer than to this time.
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -10,7 +10,7 @@
 use hopwalk::net::fields::{Message, Parsed};
 use hopwalk::net::frontend::Wire;
 use hopwalk::net::handover::{parse, Heard, Word};
-use hopwalk::net::lines::{LineDecoder, MOST};
+use hopwalk::net::lines::{LineDecoder, MAX_LINE};
 use hopwalk::net::vault::{encode_ask, Replies};
 use hopwalk::net::{agent, http::Http, scgi, scgi::Scgi};
 use proptest::prelude::*;
@@ -165,7 +165,7 @@
         let ask = encode_ask(handle, Duration::from_millis(1), &body, None);
         let head = format!("ask {handle} 1 {}", body.len());
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
-        let (mut lines, mut replies, mut read) = (LineDecoder::new(MOST), Replies::default(), Vec::new());
+        let (mut lines, mut replies, mut read) = (LineDecoder::new(MAX_LINE), Replies::default(), Vec::new());
         for piece in reply.chunks(piece) {
             lines.room().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
