--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -13,7 +13,7 @@
 use super::wire::{encode, encode_move, encode_subscribe};
 use super::{Ended, Order, Outgoing};
 use crate::core::{Handle, Input, LinkEnd, LinkId, Notice};
-use crate::net::lines::Buffer;
+use crate::net::lines::LinkReader;
 use crate::net::stream::Conn;
 use crate::net::{spawn, Hub};
 
@@ -118,7 +118,7 @@
         self.newest = LinkId(self.newest.0 + 1);
         let link = self.newest;
         info!("linked to the agent at {address}: link {link}");
-        let mut reads = Buffer::new(conn.clone());
+        let mut reads = LinkReader::new(conn.clone());
         let reader = Reader {
             link,
             hub: self.hub.clone(),
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -8,7 +8,7 @@
 use super::wire::parse;
 use crate::core::{End, Input, LinkId, Notice};
 use crate::net::error::NoticeError;
-use crate::net::lines::{Buffer, LineDecoder};
+use crate::net::lines::{LineDecoder, LinkReader};
 use crate::net::Hub;
 use crate::told;
 
@@ -25,7 +25,7 @@
 impl Reader {
     /// Reads until the link ends. A notice that cannot be read ends it, as a new link may bring it whole; where that one
     /// brings the same again, it is the agent's own, and is passed over: it must not keep back all that follows.
-    pub(super) fn read_notices(&self, reads: &mut Buffer, settled: impl Fn()) -> End {
+    pub(super) fn read_notices(&self, reads: &mut LinkReader, settled: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
                 Ok(Some(Notice::Settled { asked_on })) if asked_on == self.link => settled(),
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -79,7 +79,7 @@
 }
 
 /// What was read off a link and not yet used.
-pub(super) struct Buffer {
+pub(super) struct LinkReader {
     stream: Conn,
     pub(super) lines: LineDecoder,
     until: Option<Instant>,
@@ -96,7 +96,7 @@
     WithError(io::ErrorKind),
 }
 
-impl Buffer {
+impl LinkReader {
     pub(super) fn new(stream: Conn) -> Self {
         Self { stream, lines: LineDecoder::new(MAX_LINE), until: None, closed: None }
     }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -17,7 +17,7 @@
 use tracing::debug;
 
 use super::frontend::is_timeout;
-use super::lines::Buffer;
+use super::lines::LinkReader;
 use super::stream::Conn;
 use super::{spawn, Hub};
 use crate::core::{Bytes, End, Handle, Input, ReplyDigest};
@@ -257,7 +257,7 @@
                 return (end, None, None);
             }
         };
-        let mut link = Buffer::new(conn.clone());
+        let mut link = LinkReader::new(conn.clone());
         // A routed call may have waited for the moment of a switch, and is told what is left.
         let patience = if fence.is_some() { ask.left() } else { ask.patience };
         let ended = match conn.write_all(&encode_ask(ask.handle, patience, &ask.body, fence)) {
@@ -352,7 +352,7 @@
     }
 
     /// Reads up to the reply of a call: replies under other ids are nobody's, copies of earlier ones are not its own.
-    fn read_reply(&self, link: &mut Buffer, ask: &Ask) -> Result<Reply, End> {
+    fn read_reply(&self, link: &mut LinkReader, ask: &Ask) -> Result<Reply, End> {
         link.until(ask.until());
         let mut replies = Replies::default();
         let mut followed_strays = false;
