--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -29,7 +29,7 @@
     let mut lines = LineDecoder::new(most);
     let mut all = Vec::new();
     for piece in pieces {
-        lines.room().extend_from_slice(piece);
+        lines.buffer_mut().extend_from_slice(piece);
         loop {
             match next(&mut lines) {
                 Ok(Some(one)) => all.push(one),
--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -31,7 +31,7 @@
     let mut decoder = MessageDecoder::new(framing);
     let (mut messages, mut bad) = (Vec::new(), None);
     'pieces: for piece in pieces {
-        decoder.room().extend_from_slice(piece);
+        decoder.buffer_mut().extend_from_slice(piece);
         loop {
             match decoder.next_message() {
                 Ok(Some(message)) => messages.push(message),
@@ -185,7 +185,7 @@
 fn first_message(bytes: &[u8]) -> &[u8] {
     let mut decoder = MessageDecoder::new(Scgi);
     for (at, byte) in bytes.iter().enumerate() {
-        decoder.room().push(*byte);
+        decoder.buffer_mut().push(*byte);
         match decoder.next_message() {
             Ok(None) => {}
             Ok(Some(_)) => return &bytes[..(at + 2).min(bytes.len())],
--- a/src/console.rs
+++ b/src/console.rs
@@ -147,7 +147,7 @@
         // A line that is too long is no word: neither its start nor its end is carried out.
         let line = match lines.line() {
             Ok(Some(line)) => line,
-            Ok(None) if read_some(&mut (&stream), lines.room())? > 0 => continue,
+            Ok(None) if read_some(&mut (&stream), lines.buffer_mut())? > 0 => continue,
             Ok(None) => return Ok(()),
             Err(_) => return (&stream).write_all(b"error: the line is too long, or no text\n\n"),
         };
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -248,7 +248,7 @@
             break Err(408);
         }
         conn.set_read_patience(left);
-        match read_some(&mut conn, decoder.room()) {
+        match read_some(&mut conn, decoder.buffer_mut()) {
             Ok(0) => return,
             Ok(_) => {}
             Err(e) if super::frontend::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -100,7 +100,7 @@
     }
 
     /// Where more bytes are to be put, behind those that are there.
-    pub fn room(&mut self) -> &mut Vec<u8> {
+    pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
         // Only what is left of a piece is moved, once a piece.
         self.work += (self.bytes.len() - self.used) as u64 * u64::from(self.used > 0);
         self.bytes.drain(..std::mem::take(&mut self.used));
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -148,7 +148,7 @@
         }
         last_look = left.is_zero();
         stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
-        match read_some(stream, decoder.room()) {
+        match read_some(stream, decoder.buffer_mut()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
             Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
             Ok(0) if idle => return Err(Stop::PeerClosed),
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -113,7 +113,7 @@
         loop {
             let line = match lines.line() {
                 Ok(Some(line)) => line,
-                Ok(None) => match read_some(&mut (&stream), lines.room()) {
+                Ok(None) => match read_some(&mut (&stream), lines.buffer_mut()) {
                     Ok(read) if read > 0 => continue,
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                     _ => break,
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -28,7 +28,7 @@
     }
 
     /// Where more bytes are to be put, behind those that are there.
-    pub fn room(&mut self) -> &mut Vec<u8> {
+    pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
         self.work += (self.bytes.len() - self.used) as u64 * u64::from(self.used > 0);
         self.bytes.drain(..std::mem::take(&mut self.used));
         &mut self.bytes
@@ -129,7 +129,7 @@
                 }
                 self.stream.set_read_patience(left);
             }
-            match read_some(&mut self.stream, self.lines.room()) {
+            match read_some(&mut self.stream, self.lines.buffer_mut()) {
                 Ok(0) => {
                     self.closed = Some(Closed::Cleanly);
                     return Err(End::Broken);
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -43,7 +43,7 @@
 /// Reads what is there at once.
 fn read(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, Bad> {
     let mut decoder = MessageDecoder::new(wire);
-    decoder.room().extend(bytes);
+    decoder.buffer_mut().extend(bytes);
     decoder.next_message().map(|message| message.map(|(message, _)| message))
 }
 
@@ -52,7 +52,7 @@
     let mut decoder = MessageDecoder::new(wire);
     for (len, byte) in bytes.iter().enumerate() {
         assert!(decoder.next_message().unwrap().is_none(), "read whole after {len} bytes");
-        decoder.room().push(*byte);
+        decoder.buffer_mut().push(*byte);
     }
     let (message, _) = decoder.next_message().unwrap().expect("a whole message");
     assert_eq!(message.taken, bytes.len());
@@ -442,7 +442,7 @@
     let mut decoder = MessageDecoder::new(Http);
     for byte in bytes.iter().chain(&[b'b'; 2000]) {
         assert!(decoder.next_message().unwrap().is_none());
-        decoder.room().push(*byte);
+        decoder.buffer_mut().push(*byte);
     }
     assert!(decoder.next_message().unwrap().is_some());
     let (work, len) = (decoder.work(), bytes.len() as u64 + 2000);
@@ -453,7 +453,7 @@
 #[test]
 fn half_a_message_is_told_what_is_wrong_when_nothing_more_comes() {
     let mut decoder = MessageDecoder::new(Http);
-    decoder.room().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
+    decoder.buffer_mut().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
     assert!(matches!(decoder.next_message(), Ok(None) | Err(_)));
     assert_eq!(decoder.end().map(|bad| bad.status), Some(400));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -96,7 +96,7 @@
 fn read(wire: impl Wire, bytes: &[u8], piece: usize) -> Message {
     let mut decoder = MessageDecoder::new(wire);
     for piece in bytes.chunks(piece) {
-        decoder.room().extend(piece);
+        decoder.buffer_mut().extend(piece);
         if let Some((message, taken)) = decoder.next_message().unwrap() {
             assert_eq!(taken, bytes.len());
             return message;
@@ -167,7 +167,7 @@
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
         let (mut lines, mut replies, mut read) = (LineDecoder::new(MAX_LINE), Replies::default(), Vec::new());
         for piece in reply.chunks(piece) {
-            lines.room().extend(piece);
+            lines.buffer_mut().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
         }
         prop_assert_eq!(read.len(), 1);
