--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -34,11 +34,11 @@
             match next(&mut lines) {
                 Ok(Some(one)) => all.push(one),
                 Ok(None) => break,
-                Err(e) => return (all, Some(format!("{e:?}")), lines.work()),
+                Err(e) => return (all, Some(format!("{e:?}")), lines.bytes_processed()),
             }
         }
     }
-    (all, None, lines.work())
+    (all, None, lines.bytes_processed())
 }
 
 /// However the bytes are cut, the same is read, at a cost that grows with their length alone.
--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -43,7 +43,7 @@
             }
         }
     }
-    let work = decoder.work();
+    let work = decoder.bytes_processed();
     Read { messages, bad: bad.or_else(|| decoder.end()), work }
 }
 
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -113,7 +113,7 @@
     }
 
     /// Bytes that were looked at or moved so far: the cost of all that was read.
-    pub fn work(&self) -> u64 {
+    pub fn bytes_processed(&self) -> u64 {
         self.work
     }
 
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -45,7 +45,7 @@
     }
 
     /// Bytes that were looked at or moved so far.
-    pub fn work(&self) -> u64 {
+    pub fn bytes_processed(&self) -> u64 {
         self.work
     }
 
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -445,7 +445,7 @@
         decoder.buffer_mut().push(*byte);
     }
     assert!(decoder.next_message().unwrap().is_some());
-    let (work, len) = (decoder.work(), bytes.len() as u64 + 2000);
+    let (work, len) = (decoder.bytes_processed(), bytes.len() as u64 + 2000);
     println!("{work} bytes looked at for {len}");
     assert!(work < 6 * len);
 }
