--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -44,7 +44,7 @@
         }
     }
     let work = decoder.bytes_processed();
-    Read { messages, bad: bad.or_else(|| decoder.end()), work }
+    Read { messages, bad: bad.or_else(|| decoder.finish()), work }
 }
 
 /// Every way of cutting the bytes gives the same messages at a cost that grows with their length alone. `same` tells
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -119,7 +119,7 @@
 
     /// What is wrong with what is there, now that nothing more comes. A head is looked at only now and then before
     /// it ends, so this may be more than [`MessageDecoder::next_message`] told.
-    pub fn end(&mut self) -> Option<Bad> {
+    pub fn finish(&mut self) -> Option<Bad> {
         self.next_look = 0;
         self.next_message().err()
     }
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -155,7 +155,7 @@
             Ok(0) if place.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
-                return Err(Stop::Bad(decoder.end().unwrap_or(Bad::request("the request ends early"))));
+                return Err(Stop::Bad(decoder.finish().unwrap_or(Bad::request("the request ends early"))));
             }
             Ok(_) => {}
             Err(e) if is_timeout(&e) => {}
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -455,7 +455,7 @@
     let mut decoder = MessageDecoder::new(Http);
     decoder.buffer_mut().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
     assert!(matches!(decoder.next_message(), Ok(None) | Err(_)));
-    assert_eq!(decoder.end().map(|bad| bad.status), Some(400));
+    assert_eq!(decoder.finish().map(|bad| bad.status), Some(400));
 }
 
 #[rstest]
