--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -184,7 +184,7 @@
 
 /// What two versions tell each other: what is understood is said again in the same words.
 pub fn handover(bytes: &[u8]) {
-    let parse = |lines: &mut LineDecoder| match lines.line() {
+    let parse = |lines: &mut LineDecoder| match lines.next_line() {
         Ok(Some(line)) => handover::parse(&line).map(|heard| Some((line, heard))).ok_or(End::Malformed),
         Ok(None) => Ok(None),
         Err(end) => Err(end),
@@ -207,7 +207,7 @@
 /// Words at the console: one word a line, and an answer ends where its empty line is.
 pub fn console(bytes: &[u8]) {
     let words = in_pieces(bytes, |pieces| {
-        read(256, pieces, |lines| lines.line().map(|line| line.map(|line| ConsoleWord::parse(&line))))
+        read(256, pieces, |lines| lines.next_line().map(|line| line.map(|line| ConsoleWord::parse(&line))))
     });
     assert!(words.len() <= bytes.iter().filter(|b| **b == b'\n').count());
     // The words a strict reader finds: whole lines of at most 256 bytes, up to the first that is longer.
--- a/src/console.rs
+++ b/src/console.rs
@@ -145,7 +145,7 @@
     let mut lines = LineDecoder::new(MOST_LINE);
     loop {
         // A line that is too long is no word: neither its start nor its end is carried out.
-        let line = match lines.line() {
+        let line = match lines.next_line() {
             Ok(Some(line)) => line,
             Ok(None) if read_some(&mut (&stream), lines.buffer_mut())? > 0 => continue,
             Ok(None) => return Ok(()),
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -64,7 +64,7 @@
 /// The next notice that tells something new; none while it is not there whole. `cursor` is the number of the last
 /// notice read, over all links: what was told before, on this link or a former one, is not told twice.
 pub fn next_notice(lines: &mut LineDecoder, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
-    while let Some(line) = lines.line().map_err(|_| NoticeError::Line)? {
+    while let Some(line) = lines.next_line().map_err(|_| NoticeError::Line)? {
         let (number, notice) = parse(&line)?;
         let told = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
         if let Some(notice) = notice.filter(|_| !told) {
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -111,7 +111,7 @@
     fn listen(&self, stream: UnixStream, hub: &Hub) {
         let mut lines = LineDecoder::new(MOST_LINE);
         loop {
-            let line = match lines.line() {
+            let line = match lines.next_line() {
                 Ok(Some(line)) => line,
                 Ok(None) => match read_some(&mut (&stream), lines.buffer_mut()) {
                     Ok(read) if read > 0 => continue,
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -51,7 +51,7 @@
 
     /// The next line, without its end; none while it is not there whole. [`End::Malformed`] where it is longer
     /// than it may be, or no text.
-    pub fn line(&mut self) -> Result<Option<String>, End> {
+    pub fn next_line(&mut self) -> Result<Option<String>, End> {
         let rest = &self.bytes[self.used..];
         let found = rest[self.looked..].iter().position(|b| *b == b'\n').map(|at| self.looked + at);
         self.work += (found.map_or(rest.len(), |at| at + 1) - self.looked) as u64;
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -26,7 +26,7 @@
         lines: &mut LineDecoder,
     ) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
         if self.head.is_none() {
-            let Some(line) = lines.line()? else { return Ok(None) };
+            let Some(line) = lines.next_line()? else { return Ok(None) };
             match parse_reply(&line)? {
                 (whose, _, Some(len)) => self.head = Some((whose, len)),
                 (whose, end, None) => return Ok(Some((whose, end, None))),
@@ -39,7 +39,7 @@
         if self.body.is_none() {
             return Ok(None);
         }
-        match lines.line()? {
+        match lines.next_line()? {
             None => Ok(None),
             Some(line) if line.is_empty() => {
                 self.head = None;
