--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -70,7 +70,7 @@
     }
 
     /// The next `len` bytes, once they are there.
-    pub fn exact(&mut self, len: usize) -> Option<Vec<u8>> {
+    pub fn take_exact(&mut self, len: usize) -> Option<Vec<u8>> {
         let bytes = self.bytes[self.used..].get(..len)?.to_vec();
         self.work += len as u64;
         (self.used, self.looked) = (self.used + len, 0);
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -34,7 +34,7 @@
         }
         let Some((whose, len)) = self.head else { return Ok(None) };
         if self.body.is_none() {
-            self.body = lines.exact(len).map(Bytes::from);
+            self.body = lines.take_exact(len).map(Bytes::from);
         }
         if self.body.is_none() {
             return Ok(None);
