--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -31,7 +31,7 @@
                 Ok(Some(Notice::Settled { asked_on })) if asked_on == self.link => settled(),
                 Ok(Some(notice)) => self.hub.push(Input::Agent { link: self.link, notice }),
                 Ok(None) => {
-                    if let Err(end) = reads.more() {
+                    if let Err(end) = reads.read_more() {
                         return end;
                     }
                 }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -120,7 +120,7 @@
     }
 
     /// Waits for more bytes.
-    pub(super) fn more(&mut self) -> Result<(), End> {
+    pub(super) fn read_more(&mut self) -> Result<(), End> {
         loop {
             if let Some(until) = self.until {
                 let left = until.saturating_duration_since(Instant::now());
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -365,7 +365,7 @@
                     followed_strays = true;
                     self.hub.push(Input::StrayReply);
                 }
-                None => link.more()?,
+                None => link.read_more()?,
             }
         }
     }
