--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -102,7 +102,7 @@
     }
 
     /// Waits no longer than to this time.
-    pub(super) fn until(&mut self, until: Instant) {
+    pub(super) fn set_deadline(&mut self, until: Instant) {
         self.until = Some(until);
     }
 
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -353,7 +353,7 @@
 
     /// Reads up to the reply of a call: replies under other ids are nobody's, copies of earlier ones are not its own.
     fn read_reply(&self, link: &mut LinkReader, ask: &Ask) -> Result<Reply, End> {
-        link.until(ask.until());
+        link.set_deadline(ask.until());
         let mut replies = Replies::default();
         let mut followed_strays = false;
         loop {
