--- a/src/net/agent/keeper.rs
+++ b/src/net/agent/keeper.rs
@@ -233,7 +233,7 @@
     /// doubt, and all its notices are read. What comes to be said for it meanwhile is dropped.
     fn settle(&mut self, mut link: Open, mut out: String) {
         encode_move(link.id, &mut out);
-        link.conn.set_write_patience(MOVE_PATIENCE);
+        link.conn.set_write_timeout(MOVE_PATIENCE);
         link.write(&out);
         let since = Instant::now();
         let (mut is_settled, mut is_ended) = (false, false);
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -41,7 +41,7 @@
     }
 
     /// How long writing waits for a peer that takes nothing.
-    pub(super) fn set_write_patience(&mut self, patience: Duration) {
+    pub(super) fn set_write_timeout(&mut self, patience: Duration) {
         self.write_patience = patience;
     }
 
