--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -143,7 +143,7 @@
         };
         let left = waited.left(hub.idle_limit(), hub.closed_for());
         // What came while the timer fired is read before the connection is closed as idle.
-        if left.is_zero() && last_look && stream.conn().is_quiet() {
+        if left.is_zero() && last_look && stream.conn().is_open_and_idle() {
             return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
         }
         last_look = left.is_zero();
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -55,7 +55,7 @@
     }
 
     /// Nothing has come that was not read, and the other side has not closed.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_open_and_idle(&self) -> bool {
         matches!(self.stream.inner().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -307,14 +307,14 @@
                 None => return Err(End::Cancelled),
             }
             let Some(fence) = leg.fence else {
-                if !conn.is_quiet() {
+                if !conn.is_open_and_idle() {
                     self.drop_spoilt(&conn);
                     continue;
                 }
                 return Ok(Ready { conn, address, epoch, fence: None, before: None });
             };
             let now = self.leg(ask, &mut waits)?;
-            if !conn.is_quiet() {
+            if !conn.is_open_and_idle() {
                 self.drop_spoilt(&conn);
                 leg = now;
                 continue;
@@ -409,7 +409,8 @@
     let (epoch, taken) = {
         let mut pool = lock(pool);
         pool.idle.retain(|(_, _, since)| since.elapsed() < IDLE);
-        let usable = |at: usize, pool: &Pool| pool.idle[at].1 == address && pool.idle[at].0.is_quiet();
+        let usable =
+            |at: usize, pool: &Pool| pool.idle[at].1 == address && pool.idle[at].0.is_open_and_idle();
         let at = (0..pool.idle.len()).rev().find(|at| !fresh && usable(*at, &pool));
         (pool.epoch, at.map(|at| pool.idle.remove(at).0))
     };
