--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -8,7 +8,7 @@
 use hopwalk::core::{Handle, Request};
 use hopwalk::net::admin::Door;
 use hopwalk::net::decoder::{Framing, MessageDecoder};
-use hopwalk::net::fields::{Bad, Message, Parsed, MOST_BODY};
+use hopwalk::net::fields::{Message, Parsed, RequestError, MOST_BODY};
 use hopwalk::net::http::Http;
 use hopwalk::net::scgi::{encode_request, Scgi};
 
@@ -17,7 +17,7 @@
 /// All messages, how much each took, how it ended, and what it cost.
 struct Read<M> {
     messages: Vec<(M, usize)>,
-    bad: Option<Bad>,
+    bad: Option<RequestError>,
     work: u64,
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -20,7 +20,7 @@
 
 use super::closing::{close, Ending, PATIENCE};
 use super::decoder::{Framing, Headed, MessageDecoder, Scan};
-use super::fields::Bad;
+use super::fields::RequestError;
 use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
 use super::stream::Conn;
@@ -173,7 +173,7 @@
         scan.finds_blank_line(bytes)
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Asked>>, Bad> {
+    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Asked>>, RequestError> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let Some((head, len)) = read_head(bytes, &mut fields)? else { return Ok(None) };
         let body = body_len(head.headers)?;
@@ -181,18 +181,18 @@
             (head.method.unwrap_or(""), head.path.unwrap_or("").split('?').next().unwrap_or(""));
         let known = CALLS.iter().find(|(m, p, _)| (*m, *p) == (method, path)).map(|(.., asked)| *asked);
         if body > known.map_or(MOST_CALL, Asked::most_body) {
-            return Err(Bad { status: 413, reason: "the body is too large" });
+            return Err(RequestError { status: 413, reason: "the body is too large" });
         }
         match known {
             Some(head) => Ok(Some(Headed { head, len, body })),
             None if CALLS.iter().any(|(_, p, _)| *p == path) => {
-                Err(Bad { status: 405, reason: "not with this method" })
+                Err(RequestError { status: 405, reason: "not with this method" })
             }
-            None => Err(Bad { status: 404, reason: "no such call" }),
+            None => Err(RequestError { status: 404, reason: "no such call" }),
         }
     }
 
-    fn message(&self, headed: Headed<Asked>, body: &[u8], _behind: bool) -> Result<Call, Bad> {
+    fn message(&self, headed: Headed<Asked>, body: &[u8], _behind: bool) -> Result<Call, RequestError> {
         Ok(headed.head.with(body))
     }
 }
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -5,7 +5,7 @@
 //! there, and before that only each time the bytes have doubled, so that what can never become a head is turned
 //! down early. Without this a head of 8 KiB that comes byte by byte would cost 33 MB of reading.
 
-use super::fields::Bad;
+use super::fields::RequestError;
 
 /// How messages stand on a wire.
 pub trait Framing: Copy {
@@ -21,14 +21,19 @@
 
     /// Reads the head at the start of `bytes`, which are no more than [`Framing::MOST_HEAD`]; none while it is
     /// not there whole.
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Self::Head>>, Bad>;
+    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Self::Head>>, RequestError>;
 
     /// Makes the message; `behind` tells whether more bytes came behind its body.
-    fn message(&self, head: Headed<Self::Head>, body: &[u8], behind: bool) -> Result<Self::Message, Bad>;
+    fn message(
+        &self,
+        head: Headed<Self::Head>,
+        body: &[u8],
+        behind: bool,
+    ) -> Result<Self::Message, RequestError>;
 
     /// The answer to a head that does not end within its bound.
-    fn too_large(&self) -> Bad {
-        Bad { status: 431, reason: "the head is too large" }
+    fn too_large(&self) -> RequestError {
+        RequestError { status: 431, reason: "the head is too large" }
     }
 }
 
@@ -119,14 +124,14 @@
 
     /// What is wrong with what is there, now that nothing more comes. A head is looked at only now and then before
     /// it ends, so this may be more than [`MessageDecoder::next_message`] told.
-    pub fn finish(&mut self) -> Option<Bad> {
+    pub fn finish(&mut self) -> Option<RequestError> {
         self.next_look = 0;
         self.next_message().err()
     }
 
     /// The next message, and the bytes that it took; none while it is not there whole. After an error nothing
     /// behind it may be read.
-    pub fn next_message(&mut self) -> Result<Option<(F::Message, usize)>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<(F::Message, usize)>, RequestError> {
         let bytes = &self.bytes[self.used..];
         let headed = match self.headed.take() {
             Some(headed) => headed,
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -24,14 +24,14 @@
 
 /// Input that is answered with an error and a close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct RequestError {
     /// Its HTTP status.
     pub status: u16,
     /// What is wrong.
     pub reason: &'static str,
 }
 
-impl Bad {
+impl RequestError {
     /// A request that cannot be read.
     pub const fn request(reason: &'static str) -> Self {
         Self { status: 400, reason }
@@ -78,10 +78,14 @@
 }
 
 /// Notes a value. A field that stands twice with different values leaves open which of them counts.
-fn note<T: PartialEq>(held: &mut Option<T>, value: Option<T>, wrong: &'static str) -> Result<(), Bad> {
-    let value = value.ok_or(Bad::request(wrong))?;
+fn note<T: PartialEq>(
+    held: &mut Option<T>,
+    value: Option<T>,
+    wrong: &'static str,
+) -> Result<(), RequestError> {
+    let value = value.ok_or(RequestError::request(wrong))?;
     match held.as_ref().is_some_and(|before| *before != value) {
-        true => Err(Bad::request("a field stands twice")),
+        true => Err(RequestError::request("a field stands twice")),
         false => {
             *held = Some(value);
             Ok(())
@@ -107,7 +111,7 @@
 
 impl Fields {
     /// Takes one field; `name` in any case. Names that are not known are passed over.
-    pub fn set(&mut self, name: &str, value: &str) -> Result<(), Bad> {
+    pub fn set(&mut self, name: &str, value: &str) -> Result<(), RequestError> {
         let value = value.trim();
         let is = |known: &str| name.eq_ignore_ascii_case(known);
         if is("x-request-id") {
@@ -140,7 +144,7 @@
             let object = (!value.is_empty()).then(|| clip(value, MOST_OBJECT).into());
             match &self.object {
                 Some(before) if before.is_some() != object.is_some() => {
-                    Err(Bad::request("a field stands twice"))
+                    Err(RequestError::request("a field stands twice"))
                 }
                 Some(_) => Ok(()),
                 None => {
@@ -154,12 +158,12 @@
     }
 
     /// The request, if all that it needs is there.
-    pub fn finish(self, class: &str, body: Bytes) -> Result<Request, Bad> {
+    pub fn finish(self, class: &str, body: Bytes) -> Result<Request, RequestError> {
         Ok(Request {
             conn: 0,
-            handle: self.handle.ok_or(Bad::request("X-Request-Id is missing"))?,
+            handle: self.handle.ok_or(RequestError::request("X-Request-Id is missing"))?,
             class: class.to_string(),
-            start: self.start.ok_or(Bad::request("X-Request-Start is missing"))?,
+            start: self.start.ok_or(RequestError::request("X-Request-Start is missing"))?,
             patience: self.patience,
             caller: self.caller.unwrap_or_default(),
             tenant: self.tenant,
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -9,7 +9,7 @@
 use super::closing::{self, Ending};
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
 use super::decoder::{Framing, MessageDecoder};
-use super::fields::{Bad, Message, Parsed};
+use super::fields::{Message, Parsed, RequestError};
 use super::stream::Conn;
 use super::{Hub, Place};
 use crate::core::{Answer, End, Input, Verdict};
@@ -29,14 +29,14 @@
 /// there is between then and the stop.
 pub const CLOSING_PATIENCE: Duration = Duration::from_millis(400);
 /// The answer to a request that does not come whole in its time.
-const TOO_SLOW: Bad = Bad { status: 408, reason: "too slow" };
+const TOO_SLOW: RequestError = RequestError { status: 408, reason: "too slow" };
 
 /// How requests and answers look on a front.
 pub trait Wire: Framing<Message = Message> + Send + 'static {
     /// An answer in bytes.
     fn encode(&self, answer: &Answer, close: bool) -> Vec<u8>;
     /// The answer to input that is no message.
-    fn encode_bad(&self, bad: Bad) -> Vec<u8>;
+    fn encode_bad(&self, bad: RequestError) -> Vec<u8>;
 }
 
 /// The bytes under a wire: a connection, or TLS on one.
@@ -64,7 +64,7 @@
     /// The caller closed it, or it broke.
     PeerGone,
     /// It sent what is no request.
-    Bad(Bad),
+    Bad(RequestError),
 }
 
 /// Serves one connection until it ends.
@@ -155,7 +155,9 @@
             Ok(0) if place.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
-                return Err(Stop::Bad(decoder.finish().unwrap_or(Bad::request("the request ends early"))));
+                return Err(Stop::Bad(
+                    decoder.finish().unwrap_or(RequestError::request("the request ends early")),
+                ));
             }
             Ok(_) => {}
             Err(e) if is_timeout(&e) => {}
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,7 +1,7 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection.
 
 use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Bad, Fields, Message, Parsed, MOST_BODY, MOST_HEAD};
+use super::fields::{Fields, Message, Parsed, RequestError, MOST_BODY, MOST_HEAD};
 use super::frontend::Wire;
 use crate::core::{Answer, Verdict};
 
@@ -25,7 +25,7 @@
         scan.finds_blank_line(bytes)
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Head>>, Bad> {
+    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Head>>, RequestError> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let Some((head, len)) = read_head(bytes, &mut fields)? else { return Ok(None) };
         let mut known = Fields::default();
@@ -34,7 +34,8 @@
             if ["content-length", "transfer-encoding"].iter().any(|f| field.name.eq_ignore_ascii_case(f)) {
                 continue;
             }
-            let value = std::str::from_utf8(field.value).map_err(|_| Bad::request("a field is no text"))?;
+            let value =
+                std::str::from_utf8(field.value).map_err(|_| RequestError::request("a field is no text"))?;
             if field.name.eq_ignore_ascii_case("connection") {
                 close |= value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
             } else {
@@ -43,13 +44,13 @@
         }
         let body = body_len(head.headers)?;
         if body > MOST_BODY {
-            return Err(Bad { status: 413, reason: "the body is too large" });
+            return Err(RequestError { status: 413, reason: "the body is too large" });
         }
         let route = route(head.method.unwrap_or(""), head.path.unwrap_or(""), known)?;
         Ok(Some(Headed { head: Head { route, close }, len, body }))
     }
 
-    fn message(&self, headed: Headed<Head>, body: &[u8], _behind: bool) -> Result<Message, Bad> {
+    fn message(&self, headed: Headed<Head>, body: &[u8], _behind: bool) -> Result<Message, RequestError> {
         let taken = headed.len + headed.body;
         Ok(Message { parsed: headed.head.route.with(body)?, taken, close: headed.head.close })
     }
@@ -61,7 +62,7 @@
         response(status, &fields, body, close)
     }
 
-    fn encode_bad(&self, bad: Bad) -> Vec<u8> {
+    fn encode_bad(&self, bad: RequestError) -> Vec<u8> {
         response(bad.status, "", bad.reason.as_bytes(), true)
     }
 }
@@ -78,17 +79,19 @@
 pub(super) fn read_head<'h, 'b>(
     bytes: &'b [u8],
     fields: &'h mut [httparse::Header<'b>],
-) -> Result<Option<(httparse::Request<'h, 'b>, usize)>, Bad> {
+) -> Result<Option<(httparse::Request<'h, 'b>, usize)>, RequestError> {
     let mut head = httparse::Request::new(fields);
     match head.parse(bytes) {
         // An end of a line that is a line feed alone is one to some servers on the way, and none to others.
         Ok(httparse::Status::Complete(len)) => match has_bare_line_feed(&bytes[..len]) {
-            true => Err(Bad::request("a line does not end in CR LF")),
+            true => Err(RequestError::request("a line does not end in CR LF")),
             false => Ok(Some((head, len))),
         },
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(httparse::Error::TooManyHeaders) => Err(Bad { status: 431, reason: "the head is too large" }),
-        Err(_) => Err(Bad::request("this is no HTTP request")),
+        Err(httparse::Error::TooManyHeaders) => {
+            Err(RequestError { status: 431, reason: "the head is too large" })
+        }
+        Err(_) => Err(RequestError::request("this is no HTTP request")),
     }
 }
 
@@ -98,20 +101,20 @@
 
 /// How long the body behind a head is. What leaves open where the next request starts is turned down: another
 /// server on the way could see another request there.
-pub(super) fn body_len(fields: &[httparse::Header]) -> Result<usize, Bad> {
+pub(super) fn body_len(fields: &[httparse::Header]) -> Result<usize, RequestError> {
     let mut told = None;
     for field in fields {
         if field.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(Bad { status: 411, reason: "a body needs a Content-Length" });
+            return Err(RequestError { status: 411, reason: "a body needs a Content-Length" });
         }
         if !field.name.eq_ignore_ascii_case("content-length") {
             continue;
         }
         let digits = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
         let len = std::str::from_utf8(field.value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-        let len: usize = len.ok_or(Bad::request("Content-Length is no length"))?;
+        let len: usize = len.ok_or(RequestError::request("Content-Length is no length"))?;
         if told.replace(len).is_some_and(|before| before != len) {
-            return Err(Bad::request("Content-Length stands twice"));
+            return Err(RequestError::request("Content-Length stands twice"));
         }
     }
     Ok(told.unwrap_or(0))
@@ -136,7 +139,7 @@
 
 impl Route {
     /// What was read, with its body.
-    pub(super) fn with(self, body: &[u8]) -> Result<Parsed, Bad> {
+    pub(super) fn with(self, body: &[u8]) -> Result<Parsed, RequestError> {
         Ok(match self {
             Self::Check { deep } => Parsed::Check { deep },
             Self::Request { class, fields } => Parsed::Request(Box::new(fields.finish(&class, body.into())?)),
@@ -145,20 +148,20 @@
 }
 
 /// Tells what a method and a target ask for; shared with the other front.
-pub(super) fn route(method: &str, target: &str, fields: Fields) -> Result<Route, Bad> {
+pub(super) fn route(method: &str, target: &str, fields: Fields) -> Result<Route, RequestError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     if path == CHECK {
         return match method {
             "GET" => Ok(Route::Check { deep: query.split('&').any(|pair| pair == "deep=1") }),
-            _ => Err(Bad { status: 405, reason: "a check is a GET" }),
+            _ => Err(RequestError { status: 405, reason: "a check is a GET" }),
         };
     }
     let Some(class) = path.strip_prefix(PATH) else {
-        return Err(Bad { status: 404, reason: "no such path" });
+        return Err(RequestError { status: 404, reason: "no such path" });
     };
     // A request may have an effect: what a GET or a PUT promises does not hold for it.
     if method != "POST" {
-        return Err(Bad { status: 405, reason: "a request is a POST" });
+        return Err(RequestError { status: 405, reason: "a request is a POST" });
     }
     Ok(Route::Request { class: class.to_string(), fields: Box::new(fields) })
 }
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -12,7 +12,7 @@
 use may::net::TcpStream;
 
 use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Bad, Fields, Message, MOST_BODY, MOST_HEAD};
+use super::fields::{Fields, Message, RequestError, MOST_BODY, MOST_HEAD};
 use super::frontend::{is_timeout, read_some, Wire};
 use super::http::{parts, phrase, route, Route};
 use super::{spawn, Hub};
@@ -39,23 +39,23 @@
         !matches!(netstring(bytes), Ok(None))
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Route>>, Bad> {
+    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Route>>, RequestError> {
         let Some((block, len)) = netstring(bytes)? else { return Ok(None) };
         let (head, body) = read_block(block)?;
         Ok(Some(Headed { head, len, body }))
     }
 
-    fn message(&self, headed: Headed<Route>, body: &[u8], behind: bool) -> Result<Message, Bad> {
+    fn message(&self, headed: Headed<Route>, body: &[u8], behind: bool) -> Result<Message, RequestError> {
         let (parsed, taken) = (headed.head.with(body)?, headed.len + headed.body);
         // Nothing may follow on this wire: either length could be the wrong one, so the request is not run.
         match behind {
-            true => Err(Bad::request("the body is longer than CONTENT_LENGTH")),
+            true => Err(RequestError::request("the body is longer than CONTENT_LENGTH")),
             false => Ok(Message { parsed, taken, close: true }),
         }
     }
 
-    fn too_large(&self) -> Bad {
-        Bad { status: 431, reason: "the header block is too large" }
+    fn too_large(&self) -> RequestError {
+        RequestError { status: 431, reason: "the header block is too large" }
     }
 }
 
@@ -65,7 +65,7 @@
         response(status, &fields, body)
     }
 
-    fn encode_bad(&self, bad: Bad) -> Vec<u8> {
+    fn encode_bad(&self, bad: RequestError) -> Vec<u8> {
         response(bad.status, "", bad.reason.as_bytes())
     }
 }
@@ -77,48 +77,48 @@
 }
 
 /// The netstring at the start of `bytes`, and where what follows it begins.
-fn netstring(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, Bad> {
+fn netstring(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, RequestError> {
     let Some(colon) = bytes.iter().take(LENGTH_DIGITS + 1).position(|b| *b == b':') else {
         let digits = bytes.iter().take(LENGTH_DIGITS + 1).all(u8::is_ascii_digit);
         return match digits && bytes.len() <= LENGTH_DIGITS {
             true => Ok(None),
-            false => Err(Bad::request("the header block has no length")),
+            false => Err(RequestError::request("the header block has no length")),
         };
     };
     let digits = std::str::from_utf8(&bytes[..colon]).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     // A leading zero is no length in a netstring; an empty block has no fields and no use here.
     let len = digits.filter(|d| !d.starts_with('0')).and_then(|d| d.parse::<usize>().ok());
-    let len = len.ok_or(Bad::request("the header block has no length"))?;
+    let len = len.ok_or(RequestError::request("the header block has no length"))?;
     if len > MOST_HEAD {
-        return Err(Bad { status: 431, reason: "the header block is too large" });
+        return Err(RequestError { status: 431, reason: "the header block is too large" });
     }
     let (from, to) = (colon + 1, colon + 1 + len);
     match bytes.get(to) {
         None => Ok(None),
         Some(b',') => Ok(Some((&bytes[from..to], to + 1))),
-        Some(_) => Err(Bad::request("the header block does not end where its length says")),
+        Some(_) => Err(RequestError::request("the header block does not end where its length says")),
     }
 }
 
 /// Reads the fields: what is asked for, and the length of the body. A name that stands twice leaves open which of
 /// its values counts, and is no request.
-fn read_block(block: &[u8]) -> Result<(Route, usize), Bad> {
-    let text = std::str::from_utf8(block).map_err(|_| Bad::request("a field is no text"))?;
-    let text = text.strip_suffix('\0').ok_or(Bad::request("the last field is not ended"))?;
+fn read_block(block: &[u8]) -> Result<(Route, usize), RequestError> {
+    let text = std::str::from_utf8(block).map_err(|_| RequestError::request("a field is no text"))?;
+    let text = text.strip_suffix('\0').ok_or(RequestError::request("the last field is not ended"))?;
     let mut parts = text.split('\0');
     let mut known = Fields::default();
     let (mut body_len, mut scgi) = (None, None);
     let (mut method, mut uri, mut path, mut query) = (None, None, None, None);
     while let Some(name) = parts.next() {
-        let value = parts.next().ok_or(Bad::request("a field has no value"))?;
+        let value = parts.next().ok_or(RequestError::request("a field has no value"))?;
         if body_len.is_none() && name != "CONTENT_LENGTH" {
-            return Err(Bad::request("CONTENT_LENGTH does not come first"));
+            return Err(RequestError::request("CONTENT_LENGTH does not come first"));
         }
         let once = match name {
             "CONTENT_LENGTH" => {
                 let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
                 let len = value.parse::<usize>().ok().filter(|_| digits);
-                body_len.replace(len.ok_or(Bad::request("CONTENT_LENGTH is no length"))?).is_none()
+                body_len.replace(len.ok_or(RequestError::request("CONTENT_LENGTH is no length"))?).is_none()
             }
             "SCGI" => scgi.replace(value).is_none(),
             "REQUEST_METHOD" => method.replace(value).is_none(),
@@ -133,15 +133,15 @@
             }
         };
         if !once {
-            return Err(Bad::request("a field stands twice"));
+            return Err(RequestError::request("a field stands twice"));
         }
     }
-    let body_len = body_len.ok_or(Bad::request("CONTENT_LENGTH is missing"))?;
+    let body_len = body_len.ok_or(RequestError::request("CONTENT_LENGTH is missing"))?;
     if scgi != Some("1") {
-        return Err(Bad::request("SCGI=1 is missing"));
+        return Err(RequestError::request("SCGI=1 is missing"));
     }
     if body_len > MOST_BODY {
-        return Err(Bad { status: 413, reason: "the body is too large" });
+        return Err(RequestError { status: 413, reason: "the body is too large" });
     }
     let target = match uri.filter(|uri| !uri.is_empty()) {
         Some(uri) => uri.to_string(),
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::routes::Fence;
 use hopwalk::interface::Below;
 use hopwalk::net::decoder::MessageDecoder;
-use hopwalk::net::fields::{Bad, Message, Parsed};
+use hopwalk::net::fields::{Message, Parsed, RequestError};
 use hopwalk::net::frontend::Wire;
 use hopwalk::net::{agent, control, http::Http, scgi, scgi::Scgi, vault};
 use hopwalk::settings::{Appliance, Config, ConfigError, Site};
@@ -41,7 +41,7 @@
 }
 
 /// Reads what is there at once.
-fn read(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, Bad> {
+fn read(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, RequestError> {
     let mut decoder = MessageDecoder::new(wire);
     decoder.buffer_mut().extend(bytes);
     decoder.next_message().map(|message| message.map(|(message, _)| message))
@@ -155,7 +155,7 @@
     assert_eq!(String::from_utf8(Http.encode(&answer, false)).unwrap(), http);
     let scgi = format!("Status: 503 Service Unavailable\r\nContent-Length: 0\r\n{fields}\r\n");
     assert_eq!(String::from_utf8(Scgi.encode(&answer, true)).unwrap(), scgi);
-    let bad = String::from_utf8(Http.encode_bad(Bad { status: 413, reason: "x" })).unwrap();
+    let bad = String::from_utf8(Http.encode_bad(RequestError { status: 413, reason: "x" })).unwrap();
     assert!(bad.starts_with("HTTP/1.1 413 ") && bad.contains("Connection: close\r\n"), "{bad}");
 }
 
