--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -33,7 +33,7 @@
 
 impl RequestError {
     /// A request that cannot be read.
-    pub const fn request(reason: &'static str) -> Self {
+    pub const fn bad_request(reason: &'static str) -> Self {
         Self { status: 400, reason }
     }
 }
@@ -83,9 +83,9 @@
     value: Option<T>,
     wrong: &'static str,
 ) -> Result<(), RequestError> {
-    let value = value.ok_or(RequestError::request(wrong))?;
+    let value = value.ok_or(RequestError::bad_request(wrong))?;
     match held.as_ref().is_some_and(|before| *before != value) {
-        true => Err(RequestError::request("a field stands twice")),
+        true => Err(RequestError::bad_request("a field stands twice")),
         false => {
             *held = Some(value);
             Ok(())
@@ -144,7 +144,7 @@
             let object = (!value.is_empty()).then(|| clip(value, MOST_OBJECT).into());
             match &self.object {
                 Some(before) if before.is_some() != object.is_some() => {
-                    Err(RequestError::request("a field stands twice"))
+                    Err(RequestError::bad_request("a field stands twice"))
                 }
                 Some(_) => Ok(()),
                 None => {
@@ -161,9 +161,9 @@
     pub fn finish(self, class: &str, body: Bytes) -> Result<Request, RequestError> {
         Ok(Request {
             conn: 0,
-            handle: self.handle.ok_or(RequestError::request("X-Request-Id is missing"))?,
+            handle: self.handle.ok_or(RequestError::bad_request("X-Request-Id is missing"))?,
             class: class.to_string(),
-            start: self.start.ok_or(RequestError::request("X-Request-Start is missing"))?,
+            start: self.start.ok_or(RequestError::bad_request("X-Request-Start is missing"))?,
             patience: self.patience,
             caller: self.caller.unwrap_or_default(),
             tenant: self.tenant,
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -156,7 +156,7 @@
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
                 return Err(Stop::Bad(
-                    decoder.finish().unwrap_or(RequestError::request("the request ends early")),
+                    decoder.finish().unwrap_or(RequestError::bad_request("the request ends early")),
                 ));
             }
             Ok(_) => {}
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -34,8 +34,8 @@
             if ["content-length", "transfer-encoding"].iter().any(|f| field.name.eq_ignore_ascii_case(f)) {
                 continue;
             }
-            let value =
-                std::str::from_utf8(field.value).map_err(|_| RequestError::request("a field is no text"))?;
+            let value = std::str::from_utf8(field.value)
+                .map_err(|_| RequestError::bad_request("a field is no text"))?;
             if field.name.eq_ignore_ascii_case("connection") {
                 close |= value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
             } else {
@@ -84,14 +84,14 @@
     match head.parse(bytes) {
         // An end of a line that is a line feed alone is one to some servers on the way, and none to others.
         Ok(httparse::Status::Complete(len)) => match has_bare_line_feed(&bytes[..len]) {
-            true => Err(RequestError::request("a line does not end in CR LF")),
+            true => Err(RequestError::bad_request("a line does not end in CR LF")),
             false => Ok(Some((head, len))),
         },
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => {
             Err(RequestError { status: 431, reason: "the head is too large" })
         }
-        Err(_) => Err(RequestError::request("this is no HTTP request")),
+        Err(_) => Err(RequestError::bad_request("this is no HTTP request")),
     }
 }
 
@@ -112,9 +112,9 @@
         }
         let digits = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
         let len = std::str::from_utf8(field.value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
-        let len: usize = len.ok_or(RequestError::request("Content-Length is no length"))?;
+        let len: usize = len.ok_or(RequestError::bad_request("Content-Length is no length"))?;
         if told.replace(len).is_some_and(|before| before != len) {
-            return Err(RequestError::request("Content-Length stands twice"));
+            return Err(RequestError::bad_request("Content-Length stands twice"));
         }
     }
     Ok(told.unwrap_or(0))
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -49,7 +49,7 @@
         let (parsed, taken) = (headed.head.with(body)?, headed.len + headed.body);
         // Nothing may follow on this wire: either length could be the wrong one, so the request is not run.
         match behind {
-            true => Err(RequestError::request("the body is longer than CONTENT_LENGTH")),
+            true => Err(RequestError::bad_request("the body is longer than CONTENT_LENGTH")),
             false => Ok(Message { parsed, taken, close: true }),
         }
     }
@@ -82,13 +82,13 @@
         let digits = bytes.iter().take(LENGTH_DIGITS + 1).all(u8::is_ascii_digit);
         return match digits && bytes.len() <= LENGTH_DIGITS {
             true => Ok(None),
-            false => Err(RequestError::request("the header block has no length")),
+            false => Err(RequestError::bad_request("the header block has no length")),
         };
     };
     let digits = std::str::from_utf8(&bytes[..colon]).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
     // A leading zero is no length in a netstring; an empty block has no fields and no use here.
     let len = digits.filter(|d| !d.starts_with('0')).and_then(|d| d.parse::<usize>().ok());
-    let len = len.ok_or(RequestError::request("the header block has no length"))?;
+    let len = len.ok_or(RequestError::bad_request("the header block has no length"))?;
     if len > MOST_HEAD {
         return Err(RequestError { status: 431, reason: "the header block is too large" });
     }
@@ -96,29 +96,31 @@
     match bytes.get(to) {
         None => Ok(None),
         Some(b',') => Ok(Some((&bytes[from..to], to + 1))),
-        Some(_) => Err(RequestError::request("the header block does not end where its length says")),
+        Some(_) => Err(RequestError::bad_request("the header block does not end where its length says")),
     }
 }
 
 /// Reads the fields: what is asked for, and the length of the body. A name that stands twice leaves open which of
 /// its values counts, and is no request.
 fn read_block(block: &[u8]) -> Result<(Route, usize), RequestError> {
-    let text = std::str::from_utf8(block).map_err(|_| RequestError::request("a field is no text"))?;
-    let text = text.strip_suffix('\0').ok_or(RequestError::request("the last field is not ended"))?;
+    let text = std::str::from_utf8(block).map_err(|_| RequestError::bad_request("a field is no text"))?;
+    let text = text.strip_suffix('\0').ok_or(RequestError::bad_request("the last field is not ended"))?;
     let mut parts = text.split('\0');
     let mut known = Fields::default();
     let (mut body_len, mut scgi) = (None, None);
     let (mut method, mut uri, mut path, mut query) = (None, None, None, None);
     while let Some(name) = parts.next() {
-        let value = parts.next().ok_or(RequestError::request("a field has no value"))?;
+        let value = parts.next().ok_or(RequestError::bad_request("a field has no value"))?;
         if body_len.is_none() && name != "CONTENT_LENGTH" {
-            return Err(RequestError::request("CONTENT_LENGTH does not come first"));
+            return Err(RequestError::bad_request("CONTENT_LENGTH does not come first"));
         }
         let once = match name {
             "CONTENT_LENGTH" => {
                 let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
                 let len = value.parse::<usize>().ok().filter(|_| digits);
-                body_len.replace(len.ok_or(RequestError::request("CONTENT_LENGTH is no length"))?).is_none()
+                body_len
+                    .replace(len.ok_or(RequestError::bad_request("CONTENT_LENGTH is no length"))?)
+                    .is_none()
             }
             "SCGI" => scgi.replace(value).is_none(),
             "REQUEST_METHOD" => method.replace(value).is_none(),
@@ -133,12 +135,12 @@
             }
         };
         if !once {
-            return Err(RequestError::request("a field stands twice"));
+            return Err(RequestError::bad_request("a field stands twice"));
         }
     }
-    let body_len = body_len.ok_or(RequestError::request("CONTENT_LENGTH is missing"))?;
+    let body_len = body_len.ok_or(RequestError::bad_request("CONTENT_LENGTH is missing"))?;
     if scgi != Some("1") {
-        return Err(RequestError::request("SCGI=1 is missing"));
+        return Err(RequestError::bad_request("SCGI=1 is missing"));
     }
     if body_len > MOST_BODY {
         return Err(RequestError { status: 413, reason: "the body is too large" });
