--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -8,7 +8,7 @@
 use hopwalk::core::{Handle, Request};
 use hopwalk::net::admin::Door;
 use hopwalk::net::decoder::{Framing, MessageDecoder};
-use hopwalk::net::fields::{Message, Parsed, RequestError, MOST_BODY};
+use hopwalk::net::fields::{Message, Parsed, RequestError, MAX_BODY};
 use hopwalk::net::http::Http;
 use hopwalk::net::scgi::{encode_request, Scgi};
 
@@ -274,6 +274,6 @@
         rank,
         key,
         object: u.arbitrary::<bool>()?.then(|| "7f3a9c21e0b4d655".into()),
-        body: body[..body.len().min(MOST_BODY)].into(),
+        body: body[..body.len().min(MAX_BODY)].into(),
     })
 }
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -6,7 +6,7 @@
 use crate::core::{Bytes, Handle, Key, Request};
 
 /// The longest body of a request.
-pub const MOST_BODY: usize = 2048;
+pub const MAX_BODY: usize = 2048;
 /// The longest head of a request, on whichever front.
 pub const MOST_HEAD: usize = 8192;
 /// The longest key.
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,7 +1,7 @@
 //! The platform's front: HTTP/1.1, one request at a time on a connection.
 
 use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Fields, Message, Parsed, RequestError, MOST_BODY, MOST_HEAD};
+use super::fields::{Fields, Message, Parsed, RequestError, MAX_BODY, MOST_HEAD};
 use super::frontend::Wire;
 use crate::core::{Answer, Verdict};
 
@@ -43,7 +43,7 @@
             }
         }
         let body = body_len(head.headers)?;
-        if body > MOST_BODY {
+        if body > MAX_BODY {
             return Err(RequestError { status: 413, reason: "the body is too large" });
         }
         let route = route(head.method.unwrap_or(""), head.path.unwrap_or(""), known)?;
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -12,7 +12,7 @@
 use may::net::TcpStream;
 
 use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Fields, Message, RequestError, MOST_BODY, MOST_HEAD};
+use super::fields::{Fields, Message, RequestError, MAX_BODY, MOST_HEAD};
 use super::frontend::{is_timeout, read_some, Wire};
 use super::http::{parts, phrase, route, Route};
 use super::{spawn, Hub};
@@ -142,7 +142,7 @@
     if scgi != Some("1") {
         return Err(RequestError::bad_request("SCGI=1 is missing"));
     }
-    if body_len > MOST_BODY {
+    if body_len > MAX_BODY {
         return Err(RequestError { status: 413, reason: "the body is too large" });
     }
     let target = match uri.filter(|uri| !uri.is_empty()) {
