--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -89,7 +89,7 @@
         unambiguous(this, message);
         rest = behind;
         if let Parsed::Request(request) = &message.parsed {
-            assert_eq!(message.taken, *taken);
+            assert_eq!(message.consumed, *taken);
             agree(request);
         }
     }
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -56,7 +56,7 @@
     /// What it is.
     pub parsed: Parsed,
     /// Bytes that it took.
-    pub taken: usize,
+    pub consumed: usize,
     /// The connection is closed after the answer.
     pub close: bool,
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -52,7 +52,7 @@
 
     fn message(&self, headed: Headed<Head>, body: &[u8], _behind: bool) -> Result<Message, RequestError> {
         let taken = headed.len + headed.body;
-        Ok(Message { parsed: headed.head.route.with(body)?, taken, close: headed.head.close })
+        Ok(Message { parsed: headed.head.route.with(body)?, consumed: taken, close: headed.head.close })
     }
 }
 
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -50,7 +50,7 @@
         // Nothing may follow on this wire: either length could be the wrong one, so the request is not run.
         match behind {
             true => Err(RequestError::bad_request("the body is longer than CONTENT_LENGTH")),
-            false => Ok(Message { parsed, taken, close: true }),
+            false => Ok(Message { parsed, consumed: taken, close: true }),
         }
     }
 
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -55,7 +55,7 @@
         decoder.buffer_mut().push(*byte);
     }
     let (message, _) = decoder.next_message().unwrap().expect("a whole message");
-    assert_eq!(message.taken, bytes.len());
+    assert_eq!(message.consumed, bytes.len());
     message
 }
 
