--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -6,7 +6,7 @@
 
 use arbitrary::Unstructured;
 use hopwalk::core::{Handle, Request};
-use hopwalk::net::admin::Door;
+use hopwalk::net::admin::AdminHttp;
 use hopwalk::net::decoder::{Framing, MessageDecoder};
 use hopwalk::net::fields::{Message, Parsed, RequestError, MAX_BODY};
 use hopwalk::net::http::Http;
@@ -197,7 +197,7 @@
 
 /// Calls of operators.
 pub fn door(bytes: &[u8]) {
-    in_pieces(Door, bytes, all_the_same);
+    in_pieces(AdminHttp, bytes, all_the_same);
 }
 
 /// The fields of a request as a caller would write them.
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -162,9 +162,9 @@
 
 /// The door's wire.
 #[derive(Clone, Copy, Debug)]
-pub struct Door;
+pub struct AdminHttp;
 
-impl Framing for Door {
+impl Framing for AdminHttp {
     type Head = Asked;
     type Message = Call;
     const MOST_HEAD: usize = MOST_CALL;
@@ -236,7 +236,7 @@
 }
 
 fn serve(mut conn: Conn, by: &str, hub: &Hub) {
-    let (mut decoder, since) = (MessageDecoder::new(Door), Instant::now());
+    let (mut decoder, since) = (MessageDecoder::new(AdminHttp), Instant::now());
     let asked = loop {
         match decoder.next_message() {
             Ok(None) => {}
