--- a/src/net/connection_table.rs
+++ b/src/net/connection_table.rs
@@ -35,13 +35,13 @@
 
 /// Whether a connection is owed an answer.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Giving<'a, H> {
+pub enum AnswerDue<'a, H> {
     /// It is, and this is it.
     Owed(&'a H),
     /// It is not: one was given, or nothing was asked. Another one would pass for that to its next request.
     NotOwed,
     /// There is no such connection.
-    Gone,
+    NoConnection,
 }
 
 /// What a connection does once the request that it just read is answered.
@@ -127,13 +127,13 @@
     }
 
     /// Gives the owner of a connection the answer that it owes.
-    pub fn give_answer(&mut self, conn: ConnId) -> Giving<'_, H> {
-        let Some(entry) = self.entries.get_mut(&conn) else { return Giving::Gone };
+    pub fn give_answer(&mut self, conn: ConnId) -> AnswerDue<'_, H> {
+        let Some(entry) = self.entries.get_mut(&conn) else { return AnswerDue::NoConnection };
         if !entry.is_busy || entry.has_answer {
-            return Giving::NotOwed;
+            return AnswerDue::NotOwed;
         }
         entry.has_answer = true;
-        Giving::Owed(&entry.handle)
+        AnswerDue::Owed(&entry.handle)
     }
 
     /// Admits a connection at `now`, if there is room. `evict` is called for one that is to make room, where one can:
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -10,7 +10,7 @@
 
 use super::clock::Clock;
 use super::close_counts::CloseCounts;
-use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
+use super::connection_table::{Admission, AnswerDue, Capacity, ConnectionTable};
 use super::listen::{ConnectionHandle, Place};
 use super::routed::Router;
 use super::stream::Conn;
@@ -211,9 +211,9 @@
     /// Gives a connection the answer that it is owed.
     pub(super) fn give_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> Given {
         let owner = match self.connections().give_answer(conn) {
-            Giving::Owed(handle) => handle.answer.clone(),
-            Giving::NotOwed => return Given::NotOwed,
-            Giving::Gone => return Given::Gone,
+            AnswerDue::Owed(handle) => handle.answer.clone(),
+            AnswerDue::NotOwed => return Given::NotOwed,
+            AnswerDue::NoConnection => return Given::Gone,
         };
         // Not under the lock: waking a coroutine may wait for the worker, which may wait for the lock.
         let _ = owner.send(answer.clone());
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hopwalk::net::connection_table::{
-    Admission, AfterAnswer, Capacity, ConnectionTable, Giving, EVICT_AFTER,
+    Admission, AfterAnswer, AnswerDue, Capacity, ConnectionTable, EVICT_AFTER,
 };
 use hopwalk::net::frontend::{Waited, CLOSING_PATIENCE, FIRST_PATIENCE, NEW_PATIENCE, READ_PATIENCE};
 
@@ -110,14 +110,14 @@
     let now = Instant::now();
     let mut table = ConnectionTable::default();
     table.admit(1, "first", now, NO_SPARE, |_| ());
-    assert_eq!(table.give_answer(1), Giving::NotOwed);
+    assert_eq!(table.give_answer(1), AnswerDue::NotOwed);
     for _ in 0..2 {
         table.request_read(1);
-        assert_eq!(table.give_answer(1), Giving::Owed(&"first"));
-        assert_eq!(table.give_answer(1), Giving::NotOwed);
+        assert_eq!(table.give_answer(1), AnswerDue::Owed(&"first"));
+        assert_eq!(table.give_answer(1), AnswerDue::NotOwed);
         table.answered(1, now);
-        assert_eq!(table.give_answer(1), Giving::NotOwed);
+        assert_eq!(table.give_answer(1), AnswerDue::NotOwed);
     }
     table.remove(1);
-    assert_eq!(table.give_answer(1), Giving::Gone);
+    assert_eq!(table.give_answer(1), AnswerDue::NoConnection);
 }
