--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -11,7 +11,7 @@
 use super::decoder::{Framing, MessageDecoder};
 use super::fields::{Message, Parsed, RequestError};
 use super::stream::Conn;
-use super::{Hub, Place};
+use super::{ConnectionSlot, Hub};
 use crate::core::{Answer, End, Input, Verdict};
 
 /// A request must be there whole this long after its first byte.
@@ -68,20 +68,24 @@
 }
 
 /// Serves one connection until it ends.
-pub(super) fn serve<S: Stream, W: Wire>(mut stream: S, wire: W, place: &Place) {
-    let (ending, reason) = serve_requests(&mut stream, wire, place);
-    place.hub.closes.count(reason);
-    place.begin_closing();
-    let patience = if place.hub.is_closed() { closing::LAST_PATIENCE } else { closing::PATIENCE };
+pub(super) fn serve<S: Stream, W: Wire>(mut stream: S, wire: W, slot: &ConnectionSlot) {
+    let (ending, reason) = serve_requests(&mut stream, wire, slot);
+    slot.hub.closes.count(reason);
+    slot.begin_closing();
+    let patience = if slot.hub.is_closed() { closing::LAST_PATIENCE } else { closing::PATIENCE };
     closing::close(&mut stream, ending, patience);
 }
 
-fn serve_requests<S: Stream, W: Wire>(stream: &mut S, wire: W, place: &Place) -> (Ending, CloseReason) {
-    let (conn, hub) = (place.conn, &*place.hub);
+fn serve_requests<S: Stream, W: Wire>(
+    stream: &mut S,
+    wire: W,
+    slot: &ConnectionSlot,
+) -> (Ending, CloseReason) {
+    let (conn, hub) = (slot.conn, &*slot.hub);
     let mut decoder = MessageDecoder::new(wire);
-    let mut accepted = Some(place.accepted);
+    let mut accepted = Some(slot.accepted);
     loop {
-        let message = match read_message(stream, &mut decoder, place, accepted.take()) {
+        let message = match read_message(stream, &mut decoder, slot, accepted.take()) {
             Ok(message) => message,
             Err(Stop::Idle) => return (Ending::Finished, CloseReason::Idle),
             Err(Stop::PeerClosed) => return (Ending::Finished, CloseReason::PeerGone),
@@ -91,7 +95,7 @@
                 return (write(stream, &wire.encode_bad(bad), hub), CloseReason::Malformed);
             }
         };
-        let after = place.request_read();
+        let after = slot.request_read();
         hub.push(match message.parsed {
             Parsed::Check { deep } => Input::Check { conn, deep },
             Parsed::Request(mut request) => {
@@ -100,7 +104,7 @@
                 Input::Request(request)
             }
         });
-        let Ok(answer) = place.answers.recv() else {
+        let Ok(answer) = slot.answers.recv() else {
             warn!("violation: a connection ends without the answer that it is owed: {conn}");
             hub.push(Input::Violated);
             return (Ending::Finished, CloseReason::Unanswered);
@@ -113,17 +117,17 @@
             Ending::Finished if close => return (ending, CloseReason::AfterAnswer),
             Ending::Finished => {}
         }
-        place.answered();
+        slot.answered();
     }
 }
 
 fn read_message<W: Wire>(
     stream: &mut impl Stream,
     decoder: &mut MessageDecoder<W>,
-    place: &Place,
+    slot: &ConnectionSlot,
     accepted: Option<Instant>,
 ) -> Result<Message, Stop> {
-    let hub = &*place.hub;
+    let hub = &*slot.hub;
     let since = Instant::now();
     let mut first_byte = (!decoder.is_empty()).then_some(since);
     let (mut last_look, mut noted) = (false, false);
@@ -133,7 +137,7 @@
         }
         if first_byte.is_some() && !noted {
             noted = true;
-            place.part_read();
+            slot.part_read();
         }
         let idle = first_byte.is_none();
         let waited = Waited {
@@ -150,9 +154,9 @@
         stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
         match read_some(stream, decoder.buffer_mut()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
-            Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
+            Ok(0) if idle && slot.is_evicted() => return Err(Stop::Idle),
             Ok(0) if idle => return Err(Stop::PeerClosed),
-            Ok(0) if place.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
+            Ok(0) if slot.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
                 return Err(Stop::Bad(
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -11,7 +11,7 @@
 use super::clock::Clock;
 use super::close_counts::CloseCounts;
 use super::connection_table::{Admission, AnswerDue, Capacity, ConnectionTable};
-use super::listen::{ConnectionHandle, Place};
+use super::listen::{ConnectionHandle, ConnectionSlot};
 use super::routed::Router;
 use super::stream::Conn;
 use crate::core::{Answer, ConnId, Input, Query};
@@ -192,7 +192,7 @@
     }
 
     /// A place for a new connection, and where its answers come; none while there is no room.
-    pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<Place> {
+    pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<ConnectionSlot> {
         let conn = self.new_conn();
         let (answer, answers) = co::channel();
         let accepted = Instant::now();
@@ -203,7 +203,7 @@
         };
         let admission = self.connections().admit(conn, handle, accepted, capacity, ConnectionHandle::evict);
         match admission {
-            Admission::Admitted => Some(Place { conn, answers, accepted, hub: self.clone() }),
+            Admission::Admitted => Some(ConnectionSlot { conn, answers, accepted, hub: self.clone() }),
             Admission::Full => None,
         }
     }
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -54,14 +54,14 @@
 }
 
 /// A connection's place among all; it is given up however the connection's coroutine ends.
-pub(super) struct Place {
+pub(super) struct ConnectionSlot {
     pub(super) conn: ConnId,
     pub(super) answers: co::Receiver<Arc<Answer>>,
     pub(super) accepted: Instant,
     pub(super) hub: Arc<Hub>,
 }
 
-impl Place {
+impl ConnectionSlot {
     pub(super) fn serve(&self, stream: impl frontend::Stream, wire: impl frontend::Wire) {
         frontend::serve(stream, wire, self);
     }
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.hub.connections().remove(self.conn);
     }
@@ -158,7 +158,12 @@
 }
 
 /// Takes connections on a front until it is stopped.
-fn accept(listener: Arc<TcpListener>, hub: &Arc<Hub>, state: &StopState, serve: impl Fn(Conn, Place)) {
+fn accept(
+    listener: Arc<TcpListener>,
+    hub: &Arc<Hub>,
+    state: &StopState,
+    serve: impl Fn(Conn, ConnectionSlot),
+) {
     // Also after an accept that failed: where all of them fail, the listener stops none the less.
     while !state.is_asked.load(Ordering::Acquire) {
         if let Some(stream) = accept_once(&listener) {
@@ -204,12 +209,12 @@
 }
 
 /// Has a connection served, as soon as there is room for it: it waits unread rather than being closed unread.
-fn take_in(stream: TcpStream, hub: &Arc<Hub>, serve: impl Fn(Conn, Place)) {
+fn take_in(stream: TcpStream, hub: &Arc<Hub>, serve: impl Fn(Conn, ConnectionSlot)) {
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
     let stream = Conn::new(stream, frontend::WRITE_PATIENCE);
     loop {
-        if let Some(place) = hub.admit(&stream) {
-            return serve(stream, place);
+        if let Some(slot) = hub.admit(&stream) {
+            return serve(stream, slot);
         }
         crate::net::spawn::sleep(ROOM_LOOK);
     }
@@ -241,7 +246,7 @@
     address: SocketAddr,
     hub: &Arc<Hub>,
     shared: bool,
-    serve: impl Fn(Conn, Place) + Send + 'static,
+    serve: impl Fn(Conn, ConnectionSlot) + Send + 'static,
 ) -> io::Result<Front> {
     // May's listener shares its port with any other that does the same: a second server started by mistake would
     // take half of the first one's callers. A plain listener fails where somebody listens.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -45,7 +45,7 @@
 pub use error::NodeError;
 use hub::Given;
 pub use hub::Hub;
-use listen::{listen, next, Front, Place};
+use listen::{listen, next, ConnectionSlot, Front};
 use routed::Router;
 use spawn::spawn_deep;
 pub use spawn::{sleep, spawn, start_runtime};
@@ -216,19 +216,19 @@
             fronts.push(front);
             Ok::<(), NodeError>(())
         };
-        let plain = |stream, place: Place| spawn(move || place.serve(stream, http::Http));
+        let plain = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, http::Http));
         bound("listen", "HTTP", config.listen, listen(config.listen, hub, shared, plain))?;
         if let Some(address) = config.appliance.scgi_listen {
-            let scgi = |stream, place: Place| spawn(move || place.serve(stream, scgi::Scgi));
+            let scgi = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, scgi::Scgi));
             bound("scgi.listen", "SCGI", address, listen(address, hub, shared, scgi))?;
         }
         if let Some(address) = config.appliance.tls_listen {
             let tls = tls::config(self.certificate.clone())?;
-            let secure = move |stream, place: Place| {
+            let secure = move |stream, slot: ConnectionSlot| {
                 let tls = tls.clone();
                 spawn_deep(move || {
                     if let Ok(stream) = tls::accept(stream, &tls) {
-                        place.serve(stream, http::Http);
+                        slot.serve(stream, http::Http);
                     }
                 });
             };
