--- a/src/console.rs
+++ b/src/console.rs
@@ -17,7 +17,7 @@
 use crate::net::at_start;
 use crate::net::frontend::read_some;
 use crate::net::lines::LineDecoder;
-use crate::net::Handle;
+use crate::net::NodeHandle;
 use crate::settings::Config;
 
 /// A client that says nothing for this long is let go, so that the next one is heard.
@@ -98,7 +98,7 @@
 pub fn start(
     path: &Path,
     config: &Config,
-    handle: Handle,
+    handle: NodeHandle,
     certificate: CertificateState,
     takes_over: bool,
 ) -> Result<(), ConsoleError> {
@@ -209,7 +209,7 @@
 fn answer(
     word: &Word,
     settings: &[(String, String)],
-    handle: &Handle,
+    handle: &NodeHandle,
     certificate: &CertificateState,
 ) -> Vec<(String, String)> {
     let asked = |query| match handle.query(query, ANSWER_PATIENCE) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -57,9 +57,9 @@
 
 /// A handle for parts outside the reducer, such as the signal handler.
 #[derive(Clone)]
-pub struct Handle(Arc<Hub>);
+pub struct NodeHandle(Arc<Hub>);
 
-impl Handle {
+impl NodeHandle {
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
@@ -267,8 +267,8 @@
     }
 
     /// A handle for other threads.
-    pub fn handle(&self) -> Handle {
-        Handle(self.hub.clone())
+    pub fn handle(&self) -> NodeHandle {
+        NodeHandle(self.hub.clone())
     }
 
     /// Runs until the server has left.
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::sync::mpsc::{sync_channel, SyncSender};
 
-use hopwalk::net::Handle;
+use hopwalk::net::NodeHandle;
 use hopwalk::settings::Config;
 use hopwalk::told;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -22,7 +22,7 @@
 }
 
 /// Has each signal carried out, on a thread of its own.
-pub fn watch(mut signals: Signals, handle: Handle, config: Config) {
+pub fn watch(mut signals: Signals, handle: NodeHandle, config: Config) {
     let reload = start_reloads(handle.clone(), config);
     std::thread::spawn(move || {
         for signal in signals.forever() {
@@ -38,7 +38,7 @@
 
 /// Reads the configuration again at each word, on a thread of its own: a file that takes long to read must not
 /// hold up a drain.
-fn start_reloads(handle: Handle, mut config: Config) -> SyncSender<()> {
+fn start_reloads(handle: NodeHandle, mut config: Config) -> SyncSender<()> {
     let (reload, reloads) = sync_channel(1);
     std::thread::spawn(move || {
         for () in reloads {
