--- a/src/console.rs
+++ b/src/console.rs
@@ -100,11 +100,11 @@
     config: &Config,
     handle: NodeHandle,
     certificate: CertificateState,
-    takes_over: bool,
+    has_predecessor: bool,
 ) -> Result<(), ConsoleError> {
     let at = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
     if std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket()) {
-        if !takes_over && UnixStream::connect(path).is_ok() {
+        if !has_predecessor && UnixStream::connect(path).is_ok() {
             return Err(ConsoleError::Taken { path: path.to_path_buf() });
         }
         std::fs::remove_file(path).map_err(at)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -237,7 +237,7 @@
     }
     if let Some(path) = &config.appliance.console {
         let state = std::sync::Arc::new(move || certificate.describe());
-        console::start(path, &config, node.handle(), state, node.takes_over())?;
+        console::start(path, &config, node.handle(), state, node.has_predecessor())?;
     }
     Ok(node.run()?)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -202,7 +202,7 @@
     }
 
     /// Another process serves at the same addresses, until it has handed over.
-    pub fn takes_over(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
