--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -93,7 +93,7 @@
     }
 
     /// Has the counters printed.
-    pub fn report(&self) {
+    pub fn log_counters(&self) {
         self.0.push(Input::Report);
     }
 }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -27,7 +27,7 @@
     std::thread::spawn(move || {
         for signal in signals.forever() {
             match signal {
-                SIGUSR1 => handle.report(),
+                SIGUSR1 => handle.log_counters(),
                 // A second one that finds the first still waiting is the same: the file is read after both.
                 SIGHUP => drop(reload.try_send(())),
                 _ => handle.drain(),
