--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -18,11 +18,11 @@
 use miette::Diagnostic;
 use tracing::info;
 
-use super::closing::{close, Ending, PATIENCE};
 use super::decoder::{Framing, Headed, MessageDecoder, Scan};
 use super::fields::RequestError;
 use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
+use super::lingering_close::{close, Ending, PATIENCE};
 use super::stream::Conn;
 use super::{at_start, metrics, next, routed, spawn, Hub};
 use crate::core::Input;
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -6,10 +6,10 @@
 use tracing::warn;
 
 use super::close_counts::CloseReason;
-use super::closing::{self, Ending};
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
 use super::decoder::{Framing, MessageDecoder};
 use super::fields::{Message, Parsed, RequestError};
+use super::lingering_close::{self, Ending};
 use super::stream::Conn;
 use super::{ConnectionSlot, Hub};
 use crate::core::{Answer, End, Input, Verdict};
@@ -72,8 +72,9 @@
     let (ending, reason) = serve_requests(&mut stream, wire, slot);
     slot.hub.closes.count(reason);
     slot.begin_closing();
-    let patience = if slot.hub.is_closed() { closing::LAST_PATIENCE } else { closing::PATIENCE };
-    closing::close(&mut stream, ending, patience);
+    let patience =
+        if slot.hub.is_closed() { lingering_close::LAST_PATIENCE } else { lingering_close::PATIENCE };
+    lingering_close::close(&mut stream, ending, patience);
 }
 
 fn serve_requests<S: Stream, W: Wire>(
