--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -10,7 +10,7 @@
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
 use hopwalk::net::handover::{self, HandoverMessage, ReceivedMessage};
-use hopwalk::net::lines::{Lines, MOST};
+use hopwalk::net::lines::{LineDecoder, MAX_LINE};
 use hopwalk::net::scgi::parse_response;
 use hopwalk::net::vault::ReplyParser;
 use tinyjson::JsonValue;
@@ -24,21 +24,21 @@
 fn read<'a, T, E: Debug>(
     most: usize,
     pieces: impl IntoIterator<Item = &'a [u8]>,
-    mut next: impl FnMut(&mut Lines) -> Result<Option<T>, E>,
+    mut next: impl FnMut(&mut LineDecoder) -> Result<Option<T>, E>,
 ) -> Read<T> {
-    let mut lines = Lines::new(most);
+    let mut lines = LineDecoder::new(most);
     let mut all = Vec::new();
     for piece in pieces {
-        lines.room().extend_from_slice(piece);
+        lines.buffer_mut().extend_from_slice(piece);
         loop {
             match next(&mut lines) {
                 Ok(Some(one)) => all.push(one),
                 Ok(None) => break,
-                Err(e) => return (all, Some(format!("{e:?}")), lines.work()),
+                Err(e) => return (all, Some(format!("{e:?}")), lines.bytes_processed()),
             }
         }
     }
-    (all, None, lines.work())
+    (all, None, lines.bytes_processed())
 }
 
 /// However the bytes are cut, the same is read, at a cost that grows with their length alone.
@@ -77,7 +77,7 @@
 pub fn notices(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
         let cursor = AtomicU64::new(0);
-        read(MOST, pieces, |lines| next_notice(lines, &cursor))
+        read(MAX_LINE, pieces, |lines| next_notice(lines, &cursor))
     });
     for notice in &all {
         plausible(notice);
@@ -94,11 +94,11 @@
     // A link that breaks anywhere, and one behind it on which all is told again.
     for at in (0..=bytes.len()).step_by(bytes.len() / 32 + 1) {
         let cursor = AtomicU64::new(0);
-        let (before, bad, _) = read(MOST, [&bytes[..at]], |lines| next_notice(lines, &cursor));
+        let (before, bad, _) = read(MAX_LINE, [&bytes[..at]], |lines| next_notice(lines, &cursor));
         if bad.is_some() {
             break;
         }
-        let (after, _, _) = read(MOST, [bytes], |lines| next_notice(lines, &cursor));
+        let (after, _, _) = read(MAX_LINE, [bytes], |lines| next_notice(lines, &cursor));
         let unnumbered = |n: &&Notice| matches!(n, Notice::Outcome { .. });
         // Outcomes without a number cannot be told apart from new ones; numbered ones come once.
         if before.iter().chain(&after).filter(unnumbered).count() == all.iter().filter(unnumbered).count() {
@@ -145,7 +145,7 @@
 pub fn replies(bytes: &[u8]) {
     let all = in_pieces(bytes, |pieces| {
         let mut replies = ReplyParser::default();
-        read(MOST, pieces, |lines| replies.next_reply(lines))
+        read(MAX_LINE, pieces, |lines| replies.next_reply(lines))
     });
     for (_, end, body) in &all {
         assert_eq!(*end == End::Complete, body.is_some());
@@ -184,12 +184,12 @@
 
 /// What two versions tell each other: what is understood is said again in the same words.
 pub fn handover(bytes: &[u8]) {
-    let parse = |lines: &mut Lines| match lines.line() {
+    let parse = |lines: &mut LineDecoder| match lines.next_line() {
         Ok(Some(line)) => handover::parse(&line).map(|heard| Some((line, heard))).ok_or(End::Malformed),
         Ok(None) => Ok(None),
         Err(end) => Err(end),
     };
-    for (_, heard) in in_pieces(bytes, |pieces| read(MOST, pieces, parse)) {
+    for (_, heard) in in_pieces(bytes, |pieces| read(MAX_LINE, pieces, parse)) {
         let word = match heard.clone() {
             ReceivedMessage::Request(request) => HandoverMessage::Request(request),
             ReceivedMessage::Succession(Succession::Key(key)) => HandoverMessage::Keys(vec![key], false),
@@ -213,7 +213,7 @@
 /// Words at the console: one word a line, and an answer ends where its empty line is.
 pub fn console(bytes: &[u8]) {
     let words = in_pieces(bytes, |pieces| {
-        read(256, pieces, |lines| lines.line().map(|line| line.map(|line| ConsoleWord::parse(&line))))
+        read(256, pieces, |lines| lines.next_line().map(|line| line.map(|line| ConsoleWord::parse(&line))))
     });
     assert!(words.len() <= bytes.iter().filter(|b| **b == b'\n').count());
     // The words a strict reader finds: whole lines of at most 256 bytes, up to the first that is longer.
--- a/fuzz/src/targets/framing.rs
+++ b/fuzz/src/targets/framing.rs
@@ -6,10 +6,10 @@
 
 use arbitrary::Unstructured;
 use hopwalk::core::{Handle, Request};
-use hopwalk::net::admin::Door;
-use hopwalk::net::fields::{Bad, Message, Parsed, MOST_BODY};
+use hopwalk::net::admin::AdminHttp;
+use hopwalk::net::decoder::{Framing, MessageDecoder};
+use hopwalk::net::fields::{Message, Parsed, RequestError, MAX_BODY};
 use hopwalk::net::http::Http;
-use hopwalk::net::inlet::{Framing, Inlet};
 use hopwalk::net::scgi::{encode_request, Scgi};
 
 use crate::alloc::most_held;
@@ -17,7 +17,7 @@
 /// All messages, how much each took, how it ended, and what it cost.
 struct Read<M> {
     messages: Vec<(M, usize)>,
-    bad: Option<Bad>,
+    bad: Option<RequestError>,
     work: u64,
 }
 
@@ -28,12 +28,12 @@
 }
 
 fn read<'a, F: Framing>(framing: F, pieces: impl IntoIterator<Item = &'a [u8]>) -> Read<F::Message> {
-    let mut inlet = Inlet::new(framing);
+    let mut decoder = MessageDecoder::new(framing);
     let (mut messages, mut bad) = (Vec::new(), None);
     'pieces: for piece in pieces {
-        inlet.room().extend_from_slice(piece);
+        decoder.buffer_mut().extend_from_slice(piece);
         loop {
-            match inlet.next_message() {
+            match decoder.next_message() {
                 Ok(Some(message)) => messages.push(message),
                 Ok(None) => break,
                 Err(what) => {
@@ -43,8 +43,8 @@
             }
         }
     }
-    let work = inlet.work();
-    Read { messages, bad: bad.or_else(|| inlet.end()), work }
+    let work = decoder.bytes_processed();
+    Read { messages, bad: bad.or_else(|| decoder.finish()), work }
 }
 
 /// Every way of cutting the bytes gives the same messages at a cost that grows with their length alone. `same` tells
@@ -89,7 +89,7 @@
         unambiguous(this, message);
         rest = behind;
         if let Parsed::Request(request) = &message.parsed {
-            assert_eq!(message.taken, *taken);
+            assert_eq!(message.consumed, *taken);
             agree(request);
         }
     }
@@ -183,10 +183,10 @@
 
 /// Up to the end of the first request when it comes byte by byte, and one byte more: a front reads no second one.
 fn first_message(bytes: &[u8]) -> &[u8] {
-    let mut inlet = Inlet::new(Scgi);
+    let mut decoder = MessageDecoder::new(Scgi);
     for (at, byte) in bytes.iter().enumerate() {
-        inlet.room().push(*byte);
-        match inlet.next_message() {
+        decoder.buffer_mut().push(*byte);
+        match decoder.next_message() {
             Ok(None) => {}
             Ok(Some(_)) => return &bytes[..(at + 2).min(bytes.len())],
             Err(_) => return bytes,
@@ -197,7 +197,7 @@
 
 /// Calls of operators.
 pub fn door(bytes: &[u8]) {
-    in_pieces(Door, bytes, all_the_same);
+    in_pieces(AdminHttp, bytes, all_the_same);
 }
 
 /// The fields of a request as a caller would write them.
@@ -274,6 +274,6 @@
         rank,
         key,
         object: u.arbitrary::<bool>()?.then(|| "7f3a9c21e0b4d655".into()),
-        body: body[..body.len().min(MOST_BODY)].into(),
+        body: body[..body.len().min(MAX_BODY)].into(),
     })
 }
--- a/src/console.rs
+++ b/src/console.rs
@@ -14,10 +14,10 @@
 use tracing::{debug, info, warn};
 
 use crate::core::Query;
-use crate::net::front::read_some;
-use crate::net::lines::Lines;
+use crate::net::frontend::read_some;
+use crate::net::lines::LineDecoder;
 use crate::net::socket_retry;
-use crate::net::Handle;
+use crate::net::NodeHandle;
 use crate::settings::Config;
 
 /// A client that says nothing for this long is let go, so that the next one is heard.
@@ -98,13 +98,13 @@
 pub fn start(
     path: &Path,
     config: &Config,
-    handle: Handle,
+    handle: NodeHandle,
     certificate: CertificateState,
-    takes_over: bool,
+    has_predecessor: bool,
 ) -> Result<(), ConsoleError> {
     let at = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
     if std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket()) {
-        if !takes_over && UnixStream::connect(path).is_ok() {
+        if !has_predecessor && UnixStream::connect(path).is_ok() {
             return Err(ConsoleError::Taken { path: path.to_path_buf() });
         }
         std::fs::remove_file(path).map_err(at)?;
@@ -142,12 +142,12 @@
 fn serve(stream: UnixStream, answer: impl Fn(&Word) -> Vec<(String, String)>) -> io::Result<()> {
     stream.set_read_timeout(Some(CLIENT_PATIENCE))?;
     stream.set_write_timeout(Some(CLIENT_PATIENCE))?;
-    let mut lines = Lines::new(MOST_LINE);
+    let mut lines = LineDecoder::new(MOST_LINE);
     loop {
         // A line that is too long is no word: neither its start nor its end is carried out.
-        let line = match lines.line() {
+        let line = match lines.next_line() {
             Ok(Some(line)) => line,
-            Ok(None) if read_some(&mut (&stream), lines.room())? > 0 => continue,
+            Ok(None) if read_some(&mut (&stream), lines.buffer_mut())? > 0 => continue,
             Ok(None) => return Ok(()),
             Err(_) => return (&stream).write_all(b"error: the line is too long, or no text\n\n"),
         };
@@ -209,7 +209,7 @@
 fn answer(
     word: &Word,
     settings: &[(String, String)],
-    handle: &Handle,
+    handle: &NodeHandle,
     certificate: &CertificateState,
 ) -> Vec<(String, String)> {
     let asked = |query| match handle.query(query, ANSWER_PATIENCE) {
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -18,11 +18,11 @@
 use miette::Diagnostic;
 use tracing::info;
 
-use super::closing::{close, Ending, PATIENCE};
-use super::fields::Bad;
-use super::front::read_some;
+use super::decoder::{Framing, Headed, MessageDecoder, Scan};
+use super::fields::RequestError;
+use super::frontend::read_some;
 use super::http::{body_len, read_head, response};
-use super::inlet::{Framing, Headed, Inlet, Scan};
+use super::lingering_close::{close, Ending, PATIENCE};
 use super::stream::Conn;
 use super::{call_routing, metrics, next, socket_retry, spawn, Hub};
 use crate::core::Input;
@@ -162,9 +162,9 @@
 
 /// The door's wire.
 #[derive(Clone, Copy, Debug)]
-pub struct Door;
+pub struct AdminHttp;
 
-impl Framing for Door {
+impl Framing for AdminHttp {
     type Head = Asked;
     type Message = Call;
     const MOST_HEAD: usize = MOST_CALL;
@@ -173,7 +173,7 @@
         scan.finds_blank_line(bytes)
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Asked>>, Bad> {
+    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Asked>>, RequestError> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let Some((head, len)) = read_head(bytes, &mut fields)? else { return Ok(None) };
         let body = body_len(head.headers)?;
@@ -181,18 +181,18 @@
             (head.method.unwrap_or(""), head.path.unwrap_or("").split('?').next().unwrap_or(""));
         let known = CALLS.iter().find(|(m, p, _)| (*m, *p) == (method, path)).map(|(.., asked)| *asked);
         if body > known.map_or(MOST_CALL, Asked::most_body) {
-            return Err(Bad { status: 413, reason: "the body is too large" });
+            return Err(RequestError { status: 413, reason: "the body is too large" });
         }
         match known {
             Some(head) => Ok(Some(Headed { head, len, body })),
             None if CALLS.iter().any(|(_, p, _)| *p == path) => {
-                Err(Bad { status: 405, reason: "not with this method" })
+                Err(RequestError { status: 405, reason: "not with this method" })
             }
-            None => Err(Bad { status: 404, reason: "no such call" }),
+            None => Err(RequestError { status: 404, reason: "no such call" }),
         }
     }
 
-    fn message(&self, headed: Headed<Asked>, body: &[u8], _behind: bool) -> Result<Call, Bad> {
+    fn message(&self, headed: Headed<Asked>, body: &[u8], _behind: bool) -> Result<Call, RequestError> {
         Ok(headed.head.with(body))
     }
 }
@@ -236,9 +236,9 @@
 }
 
 fn serve(mut conn: Conn, by: &str, hub: &Hub) {
-    let (mut inlet, since) = (Inlet::new(Door), Instant::now());
+    let (mut decoder, since) = (MessageDecoder::new(AdminHttp), Instant::now());
     let asked = loop {
-        match inlet.next_message() {
+        match decoder.next_message() {
             Ok(None) => {}
             Ok(Some((call, _))) => break Ok(call),
             Err(bad) => break Err(bad.status),
@@ -248,10 +248,10 @@
             break Err(408);
         }
         conn.set_read_patience(left);
-        match read_some(&mut conn, inlet.room()) {
+        match read_some(&mut conn, decoder.buffer_mut()) {
             Ok(0) => return,
             Ok(_) => {}
-            Err(e) if super::front::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
+            Err(e) if super::frontend::is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return,
         }
     };
--- a/src/net/agent/link_manager.rs
+++ b/src/net/agent/link_manager.rs
@@ -13,7 +13,7 @@
 use super::wire::{encode, encode_move, encode_subscribe};
 use super::{Ended, Order, OutgoingCommand};
 use crate::core::{Handle, Input, LinkEnd, LinkId, Notice};
-use crate::net::lines::Buffer;
+use crate::net::lines::LinkReader;
 use crate::net::stream::Conn;
 use crate::net::{spawn, Hub};
 
@@ -118,7 +118,7 @@
         self.newest = LinkId(self.newest.0 + 1);
         let link = self.newest;
         info!("linked to the agent at {address}: link {link}");
-        let mut reads = Buffer::new(conn.clone());
+        let mut reads = LinkReader::new(conn.clone());
         let reader = Reader {
             link,
             hub: self.hub.clone(),
@@ -233,7 +233,7 @@
     /// doubt, and all its notices are read. What comes to be said for it meanwhile is dropped.
     fn settle(&mut self, mut link: Open, mut out: String) {
         encode_move(link.id, &mut out);
-        link.conn.set_write_patience(MOVE_PATIENCE);
+        link.conn.set_write_timeout(MOVE_PATIENCE);
         link.write(&out);
         let since = Instant::now();
         let (mut is_settled, mut is_ended) = (false, false);
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -8,7 +8,7 @@
 use super::wire::parse;
 use crate::core::{End, Input, LinkId, Notice};
 use crate::net::error::NoticeError;
-use crate::net::lines::{Buffer, Lines};
+use crate::net::lines::{LineDecoder, LinkReader};
 use crate::net::Hub;
 use crate::told;
 
@@ -25,13 +25,13 @@
 impl Reader {
     /// Reads until the link ends. A notice that cannot be read ends it, as a new link may bring it whole; where that one
     /// brings the same again, it is the agent's own, and is passed over: it must not keep back all that follows.
-    pub(super) fn read_notices(&self, reads: &mut Buffer, settled: impl Fn()) -> End {
+    pub(super) fn read_notices(&self, reads: &mut LinkReader, settled: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
                 Ok(Some(Notice::MoveAcknowledged { requested_on })) if requested_on == self.link => settled(),
                 Ok(Some(notice)) => self.hub.push(Input::Agent { link: self.link, notice }),
                 Ok(None) => {
-                    if let Err(end) = reads.more() {
+                    if let Err(end) = reads.read_more() {
                         return end;
                     }
                 }
@@ -63,8 +63,8 @@
 
 /// The next notice that tells something new; none while it is not there whole. `cursor` is the number of the last
 /// notice read, over all links: what was told before, on this link or a former one, is not told twice.
-pub fn next_notice(lines: &mut Lines, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
-    while let Some(line) = lines.line().map_err(|_| NoticeError::UnreadableLine)? {
+pub fn next_notice(lines: &mut LineDecoder, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
+    while let Some(line) = lines.next_line().map_err(|_| NoticeError::UnreadableLine)? {
         let (number, notice) = parse(&line)?;
         let told = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
         if let Some(notice) = notice.filter(|_| !told) {
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -6,7 +6,7 @@
 use crate::core::{Bytes, Handle, Key, Request};
 
 /// The longest body of a request.
-pub const MOST_BODY: usize = 2048;
+pub const MAX_BODY: usize = 2048;
 /// The longest head of a request, on whichever front.
 pub const MOST_HEAD: usize = 8192;
 /// The longest key.
@@ -24,16 +24,16 @@
 
 /// Input that is answered with an error and a close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct RequestError {
     /// Its HTTP status.
     pub status: u16,
     /// What is wrong.
     pub reason: &'static str,
 }
 
-impl Bad {
+impl RequestError {
     /// A request that cannot be read.
-    pub const fn request(reason: &'static str) -> Self {
+    pub const fn bad_request(reason: &'static str) -> Self {
         Self { status: 400, reason }
     }
 }
@@ -56,7 +56,7 @@
     /// What it is.
     pub parsed: Parsed,
     /// Bytes that it took.
-    pub taken: usize,
+    pub consumed: usize,
     /// The connection is closed after the answer.
     pub close: bool,
 }
@@ -78,10 +78,14 @@
 }
 
 /// Notes a value. A field that stands twice with different values leaves open which of them counts.
-fn note<T: PartialEq>(held: &mut Option<T>, value: Option<T>, wrong: &'static str) -> Result<(), Bad> {
-    let value = value.ok_or(Bad::request(wrong))?;
+fn note<T: PartialEq>(
+    held: &mut Option<T>,
+    value: Option<T>,
+    wrong: &'static str,
+) -> Result<(), RequestError> {
+    let value = value.ok_or(RequestError::bad_request(wrong))?;
     match held.as_ref().is_some_and(|before| *before != value) {
-        true => Err(Bad::request("a field stands twice")),
+        true => Err(RequestError::bad_request("a field stands twice")),
         false => {
             *held = Some(value);
             Ok(())
@@ -107,7 +111,7 @@
 
 impl Fields {
     /// Takes one field; `name` in any case. Names that are not known are passed over.
-    pub fn set(&mut self, name: &str, value: &str) -> Result<(), Bad> {
+    pub fn set(&mut self, name: &str, value: &str) -> Result<(), RequestError> {
         let value = value.trim();
         let is = |known: &str| name.eq_ignore_ascii_case(known);
         if is("x-request-id") {
@@ -140,7 +144,7 @@
             let object = (!value.is_empty()).then(|| clip(value, MOST_OBJECT).into());
             match &self.object {
                 Some(before) if before.is_some() != object.is_some() => {
-                    Err(Bad::request("a field stands twice"))
+                    Err(RequestError::bad_request("a field stands twice"))
                 }
                 Some(_) => Ok(()),
                 None => {
@@ -154,12 +158,12 @@
     }
 
     /// The request, if all that it needs is there.
-    pub fn finish(self, class: &str, body: Bytes) -> Result<Request, Bad> {
+    pub fn finish(self, class: &str, body: Bytes) -> Result<Request, RequestError> {
         Ok(Request {
             conn: 0,
-            handle: self.handle.ok_or(Bad::request("X-Request-Id is missing"))?,
+            handle: self.handle.ok_or(RequestError::bad_request("X-Request-Id is missing"))?,
             class: class.to_string(),
-            start: self.start.ok_or(Bad::request("X-Request-Start is missing"))?,
+            start: self.start.ok_or(RequestError::bad_request("X-Request-Start is missing"))?,
             timeout: self.patience,
             caller: self.caller.unwrap_or_default(),
             tenant: self.tenant,
--- a/src/net/front.rs
+++ b/src/net/frontend.rs
@@ -5,13 +5,13 @@
 
 use tracing::warn;
 
-use super::closes::CloseReason;
-use super::closing::{self, Ending};
+use super::close_counts::CloseReason;
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
-use super::fields::{Bad, Message, Parsed};
-use super::inlet::{Framing, Inlet};
+use super::decoder::{Framing, MessageDecoder};
+use super::fields::{Message, Parsed, RequestError};
+use super::lingering_close::{self, Ending};
 use super::stream::Conn;
-use super::{Hub, Place};
+use super::{ConnectionSlot, Hub};
 use crate::core::{Answer, End, Input, Verdict};
 
 /// A request must be there whole this long after its first byte.
@@ -29,14 +29,14 @@
 /// there is between then and the stop.
 pub const CLOSING_PATIENCE: Duration = Duration::from_millis(400);
 /// The answer to a request that does not come whole in its time.
-const TOO_SLOW: Bad = Bad { status: 408, reason: "too slow" };
+const TOO_SLOW: RequestError = RequestError { status: 408, reason: "too slow" };
 
 /// How requests and answers look on a front.
 pub trait Wire: Framing<Message = Message> + Send + 'static {
     /// An answer in bytes.
     fn encode(&self, answer: &Answer, close: bool) -> Vec<u8>;
     /// The answer to input that is no message.
-    fn encode_bad(&self, bad: Bad) -> Vec<u8>;
+    fn encode_bad(&self, bad: RequestError) -> Vec<u8>;
 }
 
 /// The bytes under a wire: a connection, or TLS on one.
@@ -64,24 +64,32 @@
     /// The caller closed it, or it broke.
     PeerGone,
     /// It sent what is no request.
-    Bad(Bad),
+    Bad(RequestError),
 }
 
 /// Serves one connection until it ends.
-pub(super) fn serve<S: Stream, W: Wire>(mut stream: S, wire: W, place: &Place) {
-    let (ending, reason) = serve_requests(&mut stream, wire, place);
-    place.hub.closes.count(reason);
-    place.begin_closing();
-    let patience = if place.hub.has_stopped_accepting() { closing::LAST_PATIENCE } else { closing::PATIENCE };
-    closing::close(&mut stream, ending, patience);
+pub(super) fn serve<S: Stream, W: Wire>(mut stream: S, wire: W, slot: &ConnectionSlot) {
+    let (ending, reason) = serve_requests(&mut stream, wire, slot);
+    slot.hub.closes.count(reason);
+    slot.begin_closing();
+    let patience = if slot.hub.has_stopped_accepting() {
+        lingering_close::LAST_PATIENCE
+    } else {
+        lingering_close::PATIENCE
+    };
+    lingering_close::close(&mut stream, ending, patience);
 }
 
-fn serve_requests<S: Stream, W: Wire>(stream: &mut S, wire: W, place: &Place) -> (Ending, CloseReason) {
-    let (conn, hub) = (place.conn, &*place.hub);
-    let mut inlet = Inlet::new(wire);
-    let mut accepted = Some(place.accepted);
+fn serve_requests<S: Stream, W: Wire>(
+    stream: &mut S,
+    wire: W,
+    slot: &ConnectionSlot,
+) -> (Ending, CloseReason) {
+    let (conn, hub) = (slot.conn, &*slot.hub);
+    let mut decoder = MessageDecoder::new(wire);
+    let mut accepted = Some(slot.accepted);
     loop {
-        let message = match read_message(stream, &mut inlet, place, accepted.take()) {
+        let message = match read_message(stream, &mut decoder, slot, accepted.take()) {
             Ok(message) => message,
             Err(Stop::Idle) => return (Ending::Finished, CloseReason::Idle),
             Err(Stop::PeerClosed) => return (Ending::Finished, CloseReason::PeerGone),
@@ -91,7 +99,7 @@
                 return (write(stream, &wire.encode_bad(bad), hub), CloseReason::Malformed);
             }
         };
-        let after = place.request_read();
+        let after = slot.request_read();
         hub.push(match message.parsed {
             Parsed::Check { deep } => Input::HealthCheck { conn, deep },
             Parsed::Request(mut request) => {
@@ -100,7 +108,7 @@
                 Input::Request(request)
             }
         });
-        let Ok(answer) = place.answers.recv() else {
+        let Ok(answer) = slot.answers.recv() else {
             warn!("violation: a connection ends without the answer that it is owed: {conn}");
             hub.push(Input::ViolationBlocked);
             return (Ending::Finished, CloseReason::Unanswered);
@@ -113,27 +121,27 @@
             Ending::Finished if close => return (ending, CloseReason::AfterAnswer),
             Ending::Finished => {}
         }
-        place.answered();
+        slot.answered();
     }
 }
 
 fn read_message<W: Wire>(
     stream: &mut impl Stream,
-    inlet: &mut Inlet<W>,
-    place: &Place,
+    decoder: &mut MessageDecoder<W>,
+    slot: &ConnectionSlot,
     accepted: Option<Instant>,
 ) -> Result<Message, Stop> {
-    let hub = &*place.hub;
+    let hub = &*slot.hub;
     let since = Instant::now();
-    let mut first_byte = (!inlet.is_empty()).then_some(since);
+    let mut first_byte = (!decoder.is_empty()).then_some(since);
     let (mut last_look, mut noted) = (false, false);
     loop {
-        if let Some((message, _)) = inlet.next_message().map_err(Stop::Bad)? {
+        if let Some((message, _)) = decoder.next_message().map_err(Stop::Bad)? {
             return Ok(message);
         }
         if first_byte.is_some() && !noted {
             noted = true;
-            place.part_read();
+            slot.part_read();
         }
         let idle = first_byte.is_none();
         let waited = Waited {
@@ -143,26 +151,28 @@
         };
         let left = waited.left(hub.idle_limit(), hub.stopped_accepting_for());
         // What came while the timer fired is read before the connection is closed as idle.
-        if left.is_zero() && last_look && stream.conn().is_quiet() {
+        if left.is_zero() && last_look && stream.conn().is_open_and_idle() {
             return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
         }
         last_look = left.is_zero();
         stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_check_interval()));
-        match read_some(stream, inlet.room()) {
+        match read_some(stream, decoder.buffer_mut()) {
             // Nothing more comes, as this one was evicted or the caller has closed its side.
-            Ok(0) if idle && place.is_evicted() => return Err(Stop::Idle),
+            Ok(0) if idle && slot.is_evicted() => return Err(Stop::Idle),
             Ok(0) if idle => return Err(Stop::PeerClosed),
-            Ok(0) if place.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
+            Ok(0) if slot.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
             // The caller may have closed only its own side, and still read.
             Ok(0) => {
-                return Err(Stop::Bad(inlet.end().unwrap_or(Bad::request("the request ends early"))));
+                return Err(Stop::Bad(
+                    decoder.finish().unwrap_or(RequestError::bad_request("the request ends early")),
+                ));
             }
             Ok(_) => {}
             Err(e) if is_timeout(&e) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return Err(Stop::PeerGone),
         }
-        if !inlet.is_empty() {
+        if !decoder.is_empty() {
             first_byte.get_or_insert_with(Instant::now);
         }
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -23,8 +23,8 @@
 use nix::unistd::Pid;
 use tracing::{info, warn};
 
-use super::front::read_some;
-use super::lines::Lines;
+use super::frontend::read_some;
+use super::lines::LineDecoder;
 use super::{socket_retry, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
 
@@ -109,11 +109,11 @@
 
     /// Tells the reducer what the other process says, until it is gone.
     fn listen(&self, stream: UnixStream, hub: &Hub) {
-        let mut lines = Lines::new(MOST_LINE);
+        let mut lines = LineDecoder::new(MOST_LINE);
         loop {
-            let line = match lines.line() {
+            let line = match lines.next_line() {
                 Ok(Some(line)) => line,
-                Ok(None) => match read_some(&mut (&stream), lines.room()) {
+                Ok(None) => match read_some(&mut (&stream), lines.buffer_mut()) {
                     Ok(read) if read > 0 => continue,
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                     _ => break,
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -10,9 +10,9 @@
 
 use super::call_routing::Router;
 use super::clock::Clock;
-use super::closes::Closes;
-use super::connection_table::{Admission, Capacity, ConnectionTable, Giving};
-use super::listen::{ConnectionHandle, Place};
+use super::close_counts::CloseCounts;
+use super::connection_table::{Admission, AnswerDue, Capacity, ConnectionTable};
+use super::listen::{ConnectionHandle, ConnectionSlot};
 use super::stream::Conn;
 use crate::core::{Answer, ConnId, Input, Query};
 use crate::fleet;
@@ -39,7 +39,7 @@
     connections: Mutex<ConnectionTable<ConnectionHandle>>,
     pub(super) next_conn: AtomicU64,
     /// Why connections were closed.
-    pub(super) closes: Closes,
+    pub(super) closes: CloseCounts,
     pub(super) sockets: usize,
     most_connections: AtomicUsize,
     spare_connections: AtomicUsize,
@@ -97,7 +97,7 @@
             queued_inputs: AtomicUsize::new(0),
             connections: Mutex::default(),
             next_conn: AtomicU64::new(1),
-            closes: Closes::default(),
+            closes: CloseCounts::default(),
             sockets,
             most_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
@@ -192,7 +192,7 @@
     }
 
     /// A place for a new connection, and where its answers come; none while there is no room.
-    pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<Place> {
+    pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<ConnectionSlot> {
         let conn = self.new_conn();
         let (answer, answers) = co::channel();
         let accepted = Instant::now();
@@ -203,7 +203,7 @@
         };
         let admission = self.connections().admit(conn, handle, accepted, capacity, ConnectionHandle::evict);
         match admission {
-            Admission::Admitted => Some(Place { conn, answers, accepted, hub: self.clone() }),
+            Admission::Admitted => Some(ConnectionSlot { conn, answers, accepted, hub: self.clone() }),
             Admission::Full => None,
         }
     }
@@ -211,9 +211,9 @@
     /// Gives a connection the answer that it is owed.
     pub(super) fn send_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
         let owner = match self.connections().give_answer(conn) {
-            Giving::Owed(handle) => handle.answer.clone(),
-            Giving::NotOwed => return AnswerResult::NotOwed,
-            Giving::Gone => return AnswerResult::NoConnection,
+            AnswerDue::Owed(handle) => handle.answer.clone(),
+            AnswerDue::NotOwed => return AnswerResult::NotOwed,
+            AnswerDue::NoConnection => return AnswerResult::NoConnection,
         };
         // Not under the lock: waking a coroutine may wait for the worker, which may wait for the lock.
         let _ = owner.send(answer.clone());
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -3,16 +3,16 @@
 use std::io;
 use std::time::Instant;
 
-use super::front::{is_timeout, read_some};
+use super::frontend::{is_timeout, read_some};
 use super::stream::Conn;
 use crate::core::End;
 
 /// The longest line or body that a link may bring.
-pub const MOST: usize = 64 << 10;
+pub const MAX_LINE: usize = 64 << 10;
 
 /// Lines out of the pieces in which they come, without I/O. Each byte is looked at once for the end of a line.
 #[derive(Debug)]
-pub struct Lines {
+pub struct LineDecoder {
     bytes: Vec<u8>,
     used: usize,
     /// Bytes behind `used` in which there is no end of a line.
@@ -21,14 +21,14 @@
     work: u64,
 }
 
-impl Lines {
+impl LineDecoder {
     /// Lines of at most `most` bytes without their ends.
     pub fn new(most: usize) -> Self {
         Self { bytes: Vec::new(), used: 0, looked: 0, most, work: 0 }
     }
 
     /// Where more bytes are to be put, behind those that are there.
-    pub fn room(&mut self) -> &mut Vec<u8> {
+    pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
         self.work += (self.bytes.len() - self.used) as u64 * u64::from(self.used > 0);
         self.bytes.drain(..std::mem::take(&mut self.used));
         &mut self.bytes
@@ -45,13 +45,13 @@
     }
 
     /// Bytes that were looked at or moved so far.
-    pub fn work(&self) -> u64 {
+    pub fn bytes_processed(&self) -> u64 {
         self.work
     }
 
     /// The next line, without its end; none while it is not there whole. [`End::Malformed`] where it is longer
     /// than it may be, or no text.
-    pub fn line(&mut self) -> Result<Option<String>, End> {
+    pub fn next_line(&mut self) -> Result<Option<String>, End> {
         let rest = &self.bytes[self.used..];
         let found = rest[self.looked..].iter().position(|b| *b == b'\n').map(|at| self.looked + at);
         self.work += (found.map_or(rest.len(), |at| at + 1) - self.looked) as u64;
@@ -70,7 +70,7 @@
     }
 
     /// The next `len` bytes, once they are there.
-    pub fn exact(&mut self, len: usize) -> Option<Vec<u8>> {
+    pub fn take_exact(&mut self, len: usize) -> Option<Vec<u8>> {
         let bytes = self.bytes[self.used..].get(..len)?.to_vec();
         self.work += len as u64;
         (self.used, self.looked) = (self.used + len, 0);
@@ -79,9 +79,9 @@
 }
 
 /// What was read off a link and not yet used.
-pub(super) struct Buffer {
+pub(super) struct LinkReader {
     stream: Conn,
-    pub(super) lines: Lines,
+    pub(super) lines: LineDecoder,
     until: Option<Instant>,
     /// Why nothing more comes, where the stream itself has ended.
     closed: Option<Closed>,
@@ -96,13 +96,13 @@
     WithError(io::ErrorKind),
 }
 
-impl Buffer {
+impl LinkReader {
     pub(super) fn new(stream: Conn) -> Self {
-        Self { stream, lines: Lines::new(MOST), until: None, closed: None }
+        Self { stream, lines: LineDecoder::new(MAX_LINE), until: None, closed: None }
     }
 
     /// Waits no longer than to this time.
-    pub(super) fn until(&mut self, until: Instant) {
+    pub(super) fn set_deadline(&mut self, until: Instant) {
         self.until = Some(until);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Waits for more bytes.
-    pub(super) fn more(&mut self) -> Result<(), End> {
+    pub(super) fn read_more(&mut self) -> Result<(), End> {
         loop {
             if let Some(until) = self.until {
                 let left = until.saturating_duration_since(Instant::now());
@@ -129,7 +129,7 @@
                 }
                 self.stream.set_read_patience(left);
             }
-            match read_some(&mut self.stream, self.lines.room()) {
+            match read_some(&mut self.stream, self.lines.buffer_mut()) {
                 Ok(0) => {
                     self.closed = Some(Closed::Cleanly);
                     return Err(End::Broken);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -7,19 +7,19 @@
 pub mod agent;
 pub mod call_routing;
 pub mod clock;
-mod closes;
-mod closing;
+mod close_counts;
 pub mod connection_table;
 pub mod control;
+pub mod decoder;
 pub mod error;
 pub mod fields;
-pub mod front;
+pub mod frontend;
 pub mod handover;
 mod handshake_filter;
 pub mod http;
 mod hub;
-pub mod inlet;
 pub mod lines;
+mod lingering_close;
 mod listen;
 mod metrics;
 pub mod scgi;
@@ -46,7 +46,7 @@
 pub use error::NodeError;
 use hub::AnswerResult;
 pub use hub::Hub;
-use listen::{listen, next, Front, Place};
+use listen::{listen, next, ConnectionSlot, Front};
 use spawn::spawn_with_large_stack;
 pub use spawn::{sleep, spawn, start_runtime};
 
@@ -57,9 +57,9 @@
 
 /// A handle for parts outside the reducer, such as the signal handler.
 #[derive(Clone)]
-pub struct Handle(Arc<Hub>);
+pub struct NodeHandle(Arc<Hub>);
 
-impl Handle {
+impl NodeHandle {
     /// Begins to leave.
     pub fn drain(&self) {
         // The grace counts from here: a full inbox must not hold it up.
@@ -93,7 +93,7 @@
     }
 
     /// Has the counters printed.
-    pub fn report(&self) {
+    pub fn log_counters(&self) {
         self.0.push(Input::LogCounters);
     }
 }
@@ -203,7 +203,7 @@
     }
 
     /// Another process serves at the same addresses, until it has handed over.
-    pub fn takes_over(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
@@ -217,19 +217,19 @@
             fronts.push(front);
             Ok::<(), NodeError>(())
         };
-        let plain = |stream, place: Place| spawn(move || place.serve(stream, http::Http));
+        let plain = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, http::Http));
         bound("listen", "HTTP", config.listen, listen(config.listen, hub, shared, plain))?;
         if let Some(address) = config.appliance.scgi_listen {
-            let scgi = |stream, place: Place| spawn(move || place.serve(stream, scgi::Scgi));
+            let scgi = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, scgi::Scgi));
             bound("scgi.listen", "SCGI", address, listen(address, hub, shared, scgi))?;
         }
         if let Some(address) = config.appliance.tls_listen {
             let tls = tls::config(self.certificate.clone())?;
-            let secure = move |stream, place: Place| {
+            let secure = move |stream, slot: ConnectionSlot| {
                 let tls = tls.clone();
                 spawn_with_large_stack(move || {
                     if let Ok(stream) = tls::accept(stream, &tls) {
-                        place.serve(stream, http::Http);
+                        slot.serve(stream, http::Http);
                     }
                 });
             };
@@ -270,8 +270,8 @@
     }
 
     /// A handle for other threads.
-    pub fn handle(&self) -> Handle {
-        Handle(self.hub.clone())
+    pub fn handle(&self) -> NodeHandle {
+        NodeHandle(self.hub.clone())
     }
 
     /// Runs until the server has left.
@@ -324,7 +324,7 @@
 
     /// Nobody can connect any more, and all connections are closed. Those that are owed nothing have had their time.
     fn has_closed(&self) -> bool {
-        if self.hub.stopped_accepting_for().is_some_and(|since| since > front::CLOSING_PATIENCE) {
+        if self.hub.stopped_accepting_for().is_some_and(|since| since > frontend::CLOSING_PATIENCE) {
             self.hub.evict_all();
         }
         self.fronts.iter().all(Front::is_closed) && self.hub.connections().is_empty()
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -41,7 +41,7 @@
     }
 
     /// How long writing waits for a peer that takes nothing.
-    pub(super) fn set_write_patience(&mut self, patience: Duration) {
+    pub(super) fn set_write_timeout(&mut self, patience: Duration) {
         self.write_patience = patience;
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Nothing has come that was not read, and the other side has not closed.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn is_open_and_idle(&self) -> bool {
         matches!(self.stream.inner().peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -16,8 +16,8 @@
 
 use tracing::debug;
 
-use super::front::is_timeout;
-use super::lines::Buffer;
+use super::frontend::is_timeout;
+use super::lines::LinkReader;
 use super::stream::Conn;
 use super::{spawn, Hub};
 use crate::core::{Bytes, End, Handle, Input, ReplyDigest};
@@ -257,7 +257,7 @@
                 return (end, None, None);
             }
         };
-        let mut link = Buffer::new(conn.clone());
+        let mut link = LinkReader::new(conn.clone());
         // A routed call may have waited for the moment of a switch, and is told what is left.
         let patience = if fence.is_some() { ask.left() } else { ask.patience };
         let ended = match conn.write_all(&encode_ask(ask.handle, patience, &ask.body, fence)) {
@@ -307,14 +307,14 @@
                 None => return Err(End::Cancelled),
             }
             let Some(fence) = leg.fence else {
-                if !conn.is_quiet() {
+                if !conn.is_open_and_idle() {
                     self.drop_spoilt(&conn);
                     continue;
                 }
                 return Ok(Ready { conn, address, epoch, fence: None, before: None });
             };
             let now = self.leg(ask, &mut waits)?;
-            if !conn.is_quiet() {
+            if !conn.is_open_and_idle() {
                 self.drop_spoilt(&conn);
                 leg = now;
                 continue;
@@ -352,8 +352,8 @@
     }
 
     /// Reads up to the reply of a call: replies under other ids are nobody's, copies of earlier ones are not its own.
-    fn read_reply(&self, link: &mut Buffer, ask: &Ask) -> Result<Reply, End> {
-        link.until(ask.until());
+    fn read_reply(&self, link: &mut LinkReader, ask: &Ask) -> Result<Reply, End> {
+        link.set_deadline(ask.until());
         let mut replies = ReplyParser::default();
         let mut followed_strays = false;
         loop {
@@ -365,7 +365,7 @@
                     followed_strays = true;
                     self.hub.push(Input::StrayReply);
                 }
-                None => link.more()?,
+                None => link.read_more()?,
             }
         }
     }
@@ -409,7 +409,8 @@
     let (epoch, taken) = {
         let mut pool = lock(pool);
         pool.idle.retain(|(_, _, since)| since.elapsed() < IDLE);
-        let usable = |at: usize, pool: &Pool| pool.idle[at].1 == address && pool.idle[at].0.is_quiet();
+        let usable =
+            |at: usize, pool: &Pool| pool.idle[at].1 == address && pool.idle[at].0.is_open_and_idle();
         let at = (0..pool.idle.len()).rev().find(|at| !fresh && usable(*at, &pool));
         (pool.epoch, at.map(|at| pool.idle.remove(at).0))
     };
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::core::{Bytes, End, Handle};
 use crate::fleet::routes::Fence;
-use crate::net::lines::Lines;
+use crate::net::lines::LineDecoder;
 
 /// The longest reply.
 const MOST_REPLY: usize = 16 << 10;
@@ -21,9 +21,12 @@
 impl ReplyParser {
     /// The next reply: whose it is, how the call ended, and the body where it went well; none while it is not there
     /// whole.
-    pub fn next_reply(&mut self, lines: &mut Lines) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
+    pub fn next_reply(
+        &mut self,
+        lines: &mut LineDecoder,
+    ) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
         if self.head.is_none() {
-            let Some(line) = lines.line()? else { return Ok(None) };
+            let Some(line) = lines.next_line()? else { return Ok(None) };
             match parse_reply(&line)? {
                 (whose, _, Some(len)) => self.head = Some((whose, len)),
                 (whose, end, None) => return Ok(Some((whose, end, None))),
@@ -31,12 +34,12 @@
         }
         let Some((whose, len)) = self.head else { return Ok(None) };
         if self.body.is_none() {
-            self.body = lines.exact(len).map(Bytes::from);
+            self.body = lines.take_exact(len).map(Bytes::from);
         }
         if self.body.is_none() {
             return Ok(None);
         }
-        match lines.line()? {
+        match lines.next_line()? {
             None => Ok(None),
             Some(line) if line.is_empty() => {
                 self.head = None;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,11 +6,11 @@
 use hopwalk::core::{
     Answer, Bytes, Command, Handle, Key, KeyState, LinkId, Notice, Request, Succession, Verdict,
 };
+use hopwalk::net::decoder::MessageDecoder;
 use hopwalk::net::fields::{Message, Parsed};
-use hopwalk::net::front::Wire;
+use hopwalk::net::frontend::Wire;
 use hopwalk::net::handover::{parse, HandoverMessage, ReceivedMessage};
-use hopwalk::net::inlet::Inlet;
-use hopwalk::net::lines::{Lines, MOST};
+use hopwalk::net::lines::{LineDecoder, MAX_LINE};
 use hopwalk::net::vault::{encode_ask, ReplyParser};
 use hopwalk::net::{agent, http::Http, scgi, scgi::Scgi};
 use proptest::prelude::*;
@@ -94,10 +94,10 @@
 
 /// Reads one message that comes in pieces of a length.
 fn read(wire: impl Wire, bytes: &[u8], piece: usize) -> Message {
-    let mut inlet = Inlet::new(wire);
+    let mut decoder = MessageDecoder::new(wire);
     for piece in bytes.chunks(piece) {
-        inlet.room().extend(piece);
-        if let Some((message, taken)) = inlet.next_message().unwrap() {
+        decoder.buffer_mut().extend(piece);
+        if let Some((message, taken)) = decoder.next_message().unwrap() {
             assert_eq!(taken, bytes.len());
             return message;
         }
@@ -171,9 +171,9 @@
         let ask = encode_ask(handle, Duration::from_millis(1), &body, None);
         let head = format!("ask {handle} 1 {}", body.len());
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
-        let (mut lines, mut replies, mut read) = (Lines::new(MOST), ReplyParser::default(), Vec::new());
+        let (mut lines, mut replies, mut read) = (LineDecoder::new(MAX_LINE), ReplyParser::default(), Vec::new());
         for piece in reply.chunks(piece) {
-            lines.room().extend(piece);
+            lines.buffer_mut().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
         }
         prop_assert_eq!(read.len(), 1);
