--- a/src/decisions/keys.rs
+++ b/src/decisions/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: one run for all tries of a deduplicated request.
+//! Idempotency keys: all tries of a deduplicated request share one run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,131 +6,144 @@
 use super::{DecisionEngine, Phase, TICK};
 use crate::interface::*;
 
-/// The tries of one deduplicated request.
+/// The tries of one deduplicated request, which share its key.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Effect {
+pub(super) struct KeyGroup {
     pub(super) tries: Vec<RequestId>,
     pub(super) started: bool,
-    /// A forerunner never seen here, taken to have run in a part of this life now forgotten, unless it comes.
+    /// A try that another one repeats and that never arrived here. It is assumed to have run, and what was known
+    /// about it to be forgotten, unless it still arrives.
     unseen: Option<RequestId>,
+    /// The key's entry in the key table: the try that it was made for, and when it expires.
     pub(super) entry: Option<(RequestId, Duration)>,
-    /// When the first of its tries that was seen here came.
-    pub(super) first: Option<Duration>,
+    /// When the first try that was seen here arrived.
+    pub(super) first_arrival: Option<Duration>,
     forget_at: Duration,
 }
 
-impl Effect {
+impl KeyGroup {
+    /// Whether one of the tries was started, or must be assumed to have been.
     pub(super) fn ran(&self) -> bool {
         self.started || self.unseen.is_some()
     }
 }
 
-/// All of them, by the id that stands for each, and when to look whether they can be forgotten.
+/// All key groups, each under the id of one of its tries.
 #[derive(Debug, Default)]
-pub(super) struct Effects {
-    pub(super) all: BTreeMap<RequestId, Effect>,
-    pub(super) of: BTreeMap<RequestId, RequestId>,
-    pub(super) ends: BTreeSet<(Duration, RequestId)>,
+pub(super) struct KeyGroups {
+    pub(super) groups: BTreeMap<RequestId, KeyGroup>,
+    /// The group of each try.
+    pub(super) group_of: BTreeMap<RequestId, RequestId>,
+    /// When to check whether a group can be forgotten.
+    pub(super) checks: BTreeSet<(Duration, RequestId)>,
 }
 
-impl Effects {
-    pub(super) fn of(&self, id: RequestId) -> Option<&Effect> {
-        self.all.get(self.of.get(&id)?)
+impl KeyGroups {
+    pub(super) fn get(&self, id: RequestId) -> Option<&KeyGroup> {
+        self.groups.get(self.group_of.get(&id)?)
     }
 
-    /// Notes a try beside those that it repeats, and returns the id that stands for all of them.
-    pub(super) fn note(&mut self, id: RequestId, repeats: Option<RequestId>) -> RequestId {
-        let named = repeats.and_then(|r| self.of.get(&r).copied());
-        let own = self.of.get(&id).copied();
-        let effect = named.or(own).unwrap_or(id);
-        let merged = own.filter(|o| *o != effect).and_then(|o| self.all.remove(&o)).unwrap_or_default();
-        let e = self.all.entry(effect).or_default();
-        e.started |= merged.started;
-        e.unseen = e.unseen.or(merged.unseen).filter(|u| *u != id);
-        e.tries.extend(&merged.tries);
+    /// Adds a try to the group of the one that it repeats, and returns the id of that group.
+    pub(super) fn add(&mut self, id: RequestId, repeats: Option<RequestId>) -> RequestId {
+        let named = repeats.and_then(|r| self.group_of.get(&r).copied());
+        let own = self.group_of.get(&id).copied();
+        let group = named.or(own).unwrap_or(id);
+        let merged = own.filter(|o| *o != group).and_then(|o| self.groups.remove(&o)).unwrap_or_default();
+        let g = self.groups.entry(group).or_default();
+        g.started |= merged.started;
+        g.unseen = g.unseen.or(merged.unseen).filter(|u| *u != id);
+        g.tries.extend(&merged.tries);
         if let Some(r) = repeats.filter(|_| named.is_none()) {
-            e.tries.push(r);
-            e.unseen = Some(r);
+            g.tries.push(r);
+            g.unseen = Some(r);
         }
-        e.tries.retain(|t| *t != id);
-        e.tries.push(id);
-        self.of.extend(e.tries.iter().map(|t| (*t, effect)));
-        effect
+        g.tries.retain(|t| *t != id);
+        g.tries.push(id);
+        self.group_of.extend(g.tries.iter().map(|t| (*t, group)));
+        group
     }
 }
 
 impl DecisionEngine {
-    /// Keys: one run for all tries of a deduplicated request.
-    pub(super) fn note_effect(
+    /// Adds an arrived try to its key group, and the key to the key table unless a try with it has run.
+    pub(super) fn add_keyed_try(
         &mut self,
         a: &Arrival,
         arrived: Duration,
         window: Duration,
         actions: &mut Vec<Action>,
     ) {
-        let effect = self.effects.note(a.id, a.repeats);
-        let (e, patience) =
-            (self.effects.all.entry(effect).or_default(), self.s.classes[a.class].client_timeout);
-        e.first = Some(e.first.unwrap_or(arrived).min(arrived));
-        e.forget_at = e.forget_at.max(arrived + window * 2);
+        let group = self.key_groups.add(a.id, a.repeats);
+        let (g, client_timeout) =
+            (self.key_groups.groups.entry(group).or_default(), self.settings.classes[a.class].client_timeout);
+        g.first_arrival = Some(g.first_arrival.unwrap_or(arrived).min(arrived));
+        g.forget_at = g.forget_at.max(arrived + window * 2);
         let ends = arrived + window + TICK;
-        self.effects.ends.insert(((ends + TICK).min(arrived + patience * 2), effect));
-        if !e.ran() && ends > self.now {
-            self.memory += if e.entry.replace((a.id, ends)).is_none() { self.s.key_size() } else { 0 };
+        self.key_groups.checks.insert(((ends + TICK).min(arrived + client_timeout * 2), group));
+        if !g.ran() && ends > self.now {
+            self.memory += if g.entry.replace((a.id, ends)).is_none() { self.settings.key_size() } else { 0 };
             actions.push(Action::RememberKey { id: a.id, lifetime: ends - self.now });
         }
     }
 
-    pub(super) fn effect_ran(&self, id: RequestId) -> bool {
-        self.effects.of(id).is_some_and(Effect::ran)
+    /// Whether a try with the key of this request ran, or must be assumed to have run.
+    pub(super) fn key_ran(&self, id: RequestId) -> bool {
+        self.key_groups.get(id).is_some_and(KeyGroup::ran)
     }
 
-    /// Of the held tries of a key the newest runs, as it has the most time; before it one that repeats none
-    /// and can be in time: it could not be joined to another's run, and would fail.
-    pub(super) fn stands_for_key(&self, id: RequestId) -> bool {
-        let Some(e) = self.effects.of(id).filter(|e| !e.ran() && e.entry.is_some()) else { return false };
+    /// Whether this try is the one to start among the held tries with its key. The newest one is, as it has the
+    /// most time left. A try that repeats none and can be answered in time goes before it: it could not be joined
+    /// to the run of another try, and would fail.
+    pub(super) fn starts_for_key(&self, id: RequestId) -> bool {
+        let Some(g) = self.key_groups.get(id).filter(|g| !g.ran() && g.entry.is_some()) else { return false };
         let held = |t: &RequestId| Some((*t, self.requests.get(t).filter(|r| r.phase == Phase::Held)?));
-        let mut held = e.tries.iter().rev().filter_map(held);
-        let alone = held.clone().find(|(_, r)| !r.repeats && self.now <= self.latest_start(r));
-        alone.or_else(|| held.next()).is_some_and(|(t, _)| t == id)
+        let mut held = g.tries.iter().rev().filter_map(held);
+        let original = held.clone().find(|(_, r)| !r.is_repeat && self.now <= self.latest_start(r));
+        original.or_else(|| held.next()).is_some_and(|(t, _)| t == id)
     }
 
-    pub(super) fn effect_started(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(e) = self.effects.of.get(&id).and_then(|e| self.effects.all.get_mut(e)) else { return };
-        e.started = true;
-        let joins = |t: &RequestId| self.requests.get(t).is_some_and(|r| r.repeats && r.phase == Phase::Held);
-        let others: Vec<_> = e.tries.iter().copied().filter(joins).collect();
+    /// Records that a try was started, and joins the held repeats with its key to it.
+    pub(super) fn key_started(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(g) = self.key_groups.group_of.get(&id).and_then(|g| self.key_groups.groups.get_mut(g))
+        else {
+            return;
+        };
+        g.started = true;
+        let joins =
+            |t: &RequestId| self.requests.get(t).is_some_and(|r| r.is_repeat && r.phase == Phase::Held);
+        let others: Vec<_> = g.tries.iter().copied().filter(joins).collect();
         others.into_iter().for_each(|other| self.join(other, actions));
     }
 
-    /// A held try leaves unrun: its key is freed, unless another try still waits behind it.
+    /// Removes the key of a held try that ends without a run, unless another try with it still waits.
     pub(super) fn release_key(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let effect = self.effects.of.get(&id).and_then(|e| self.effects.all.get_mut(e));
-        let waits = |e: &Effect| e.tries.iter().any(|t| *t != id && self.requests.contains_key(t));
-        let Some(e) = effect.filter(|e| !e.ran() && !waits(e)) else { return };
-        if let Some((holder, _)) = e.entry.take() {
-            self.memory = self.memory.saturating_sub(self.s.key_size());
+        let group = self.key_groups.group_of.get(&id).and_then(|g| self.key_groups.groups.get_mut(g));
+        let waits = |g: &KeyGroup| g.tries.iter().any(|t| *t != id && self.requests.contains_key(t));
+        let Some(g) = group.filter(|g| !g.ran() && !waits(g)) else { return };
+        if let Some((holder, _)) = g.entry.take() {
+            self.memory = self.memory.saturating_sub(self.settings.key_size());
             actions.push(Action::ForgetKey(holder));
         }
     }
 
+    /// Removes expired keys, and forgets key groups that no later try can name.
     pub(super) fn expire_keys(&mut self) {
-        while let Some(&(at, effect)) = self.effects.ends.first().filter(|(at, _)| *at < self.now) {
-            self.effects.ends.remove(&(at, effect));
-            let Some(e) = self.effects.all.get_mut(&effect) else { continue };
-            // A try that is still here outlasts a short window. No repeat names what never ran and is gone.
-            if e.tries.iter().any(|t| self.requests.contains_key(t)) {
-                self.effects.ends.insert((self.now + TICK, effect));
+        while let Some(&(at, group)) = self.key_groups.checks.first().filter(|(at, _)| *at < self.now) {
+            self.key_groups.checks.remove(&(at, group));
+            let Some(g) = self.key_groups.groups.get_mut(&group) else { continue };
+            // A try that is still here may outlast a short window. No later try names one that never ran and is gone.
+            if g.tries.iter().any(|t| self.requests.contains_key(t)) {
+                self.key_groups.checks.insert((self.now + TICK, group));
                 continue;
             }
-            if e.entry.take_if(|(_, ends)| *ends + TICK < self.now).is_some() {
-                self.memory = self.memory.saturating_sub(self.s.key_size());
+            if g.entry.take_if(|(_, ends)| *ends + TICK < self.now).is_some() {
+                self.memory = self.memory.saturating_sub(self.settings.key_size());
             }
-            if e.entry.is_none() && (!e.ran() || e.forget_at <= at) {
-                let gone = self.effects.all.remove(&effect).unwrap_or_default();
-                gone.tries.iter().for_each(|id| _ = self.effects.of.remove(id));
+            if g.entry.is_none() && (!g.ran() || g.forget_at <= at) {
+                let gone = self.key_groups.groups.remove(&group).unwrap_or_default();
+                gone.tries.iter().for_each(|id| _ = self.key_groups.group_of.remove(id));
             } else {
-                self.effects.ends.insert((e.entry.map_or(e.forget_at, |(_, ends)| ends + TICK), effect));
+                self.key_groups.checks.insert((g.entry.map_or(g.forget_at, |(_, ends)| ends + TICK), group));
             }
         }
     }
--- a/src/decisions/limit.rs
+++ b/src/decisions/limit.rs
@@ -1,49 +1,52 @@
-//! The number of requests that run at the same time, found by hill climbing on the throughput.
+//! The limit of requests that run at the same time, found by hill climbing on the throughput.
 
 use std::time::Duration;
 
 use super::TICK;
 
-/// Work must have waited this long before a climb, since the core gauge looks back. Less overshoots.
-const CLIMB_EVERY: Duration = Duration::from_millis(600);
-/// Completions compared by the hill climb. Fewer is mostly noise, more is slow.
+/// Requests must have waited this long before a climb, since the gauge of the cores covers the recent past. A
+/// shorter time overshoots.
+const CLIMB_INTERVAL: Duration = Duration::from_millis(600);
+/// Completed runs per comparison of the throughput. Fewer give mostly noise; more make the climb slow.
 const COMPARE_COMPLETIONS: u32 = 60;
-/// A fall of throughput by this share steps the limit back. Smaller steps back on noise.
+/// A fall of the throughput by this share lowers the limit by one. A smaller share reacts to noise.
 const FALL_SHARE: f64 = 0.08;
 
-/// The running limit and the window of completions that it is judged by.
+/// The running limit, and the window of completed runs over which the throughput is measured.
 #[derive(Debug, Default)]
 pub(super) struct Limit {
     pub(super) slots: f64,
     climbed_at: Duration,
     window_from: Duration,
-    pub(super) done: u32,
+    pub(super) completed: u32,
     last_rate: f64,
 }
 
 impl Limit {
-    /// One running request for each core, from `now` on.
+    /// Starts with one running request per core at `now`.
     pub(super) fn new(cores: u32, now: Duration) -> Self {
         Self { slots: f64::from(cores), window_from: now, ..Self::default() }
     }
 
-    /// Climbs while cores idle and work waits for a slot; steps back when throughput falls with work held.
-    pub(super) fn look(&mut self, now: Duration, waits: bool, held: bool, idle: bool) {
+    /// Raises the limit while cores are idle and requests wait for a slot (`waits`). Lowers it when the throughput
+    /// falls although requests are held.
+    pub(super) fn update(&mut self, now: Duration, waits: bool, held: bool, idle: bool) {
         if !waits {
             self.climbed_at = now;
-        } else if idle && now >= self.climbed_at + CLIMB_EVERY {
+        } else if idle && now >= self.climbed_at + CLIMB_INTERVAL {
             self.climbed_at = now;
             self.slots += 1.0;
         }
-        let full = self.done >= COMPARE_COMPLETIONS;
+        let full = self.completed >= COMPARE_COMPLETIONS;
         if held && full {
-            let rate = f64::from(self.done) / now.saturating_sub(self.window_from).max(TICK).as_secs_f64();
+            let rate =
+                f64::from(self.completed) / now.saturating_sub(self.window_from).max(TICK).as_secs_f64();
             self.slots -= if rate < self.last_rate * (1.0 - FALL_SHARE) { 1.0 } else { 0.0 };
             self.last_rate = rate;
         }
         if full || !held {
-            // Throughput that fell for lack of work says nothing.
-            (self.window_from, self.done) = (now, 0);
+            // The throughput also falls when there is little work; such a window must not be compared.
+            (self.window_from, self.completed) = (now, 0);
         }
     }
 }
