--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,40 +1,42 @@
-//! The types through which a server and the decision module ([`crate::decisions`]) talk.
+//! The interface between a server and the decision module ([`crate::decisions`]).
 //!
-//! Times are [`Duration`]s on one monotonic clock of the host's choosing.
+//! A server starts the module with [`Settings`], reports what happens as [`Event`]s, and carries out the
+//! [`Action`]s that the module returns. Points in time are [`Duration`]s on one monotonic clock that the server
+//! chooses.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Identifies one request (one try) in this server's life; never used twice.
+/// Identifies one request (one try) while this server runs; never reused.
 pub type RequestId = u32;
 
-/// May a request of this class be run again?
+/// Whether a request of a class may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Running it again does no harm.
+    /// It may run any number of times.
     Idempotent,
-    /// It carries a key and must run once within its window.
+    /// It carries an idempotency key and must run only once within the key's window.
     Deduplicated,
-    /// It must never run twice, and nothing links its tries.
+    /// It must never run twice, and nothing identifies its tries as one request.
     AtMostOnce,
 }
 
-/// What can be done with running work.
+/// What can be done with a run in progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Preemption {
     /// It cannot be stopped.
     #[default]
     Off,
-    /// It can be stopped; what was done is lost.
+    /// It can be stopped, and its progress is lost.
     Drop,
-    /// It can be paused and taken up again.
+    /// It can be paused and resumed.
     Pause,
 }
 
-/// What the requests of this server call while they run.
+/// The dependency that requests call while they run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Dependency {
-    /// Nothing.
+    /// None.
     #[default]
     Off,
     /// One dependency that the whole fleet shares.
@@ -43,68 +45,70 @@
     Tier,
 }
 
-/// How the calls of a class stand, where the fleet routes them.
+/// Whether calls of a class may be made now, where the fleet routes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouteState {
-    /// They are made.
+    /// Calls are made.
     #[default]
     Open,
-    /// None may be made now; their requests may be answered without.
+    /// No call may be made now. Requests may go on without their calls.
     Skip,
-    /// None may be made now, and no request may be answered without.
+    /// No call may be made now, and no request may be answered without its call.
     Closed,
 }
 
 /// What the fleet's routes allow of a request's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// How often each is tried at most, whatever comes of it; the module keeps it from 1 to 10.
+    /// Upper bound of the tries of each call, whatever their outcomes. The module clamps it to 1..=10.
     pub max_tries: u8,
-    /// The request may be answered without.
+    /// The request may be answered without the call.
     pub may_skip: bool,
 }
 
-/// The free value that goes back to callers with every answer.
+/// What the load signal means, a number that is sent to callers with every answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Signal {
-    /// None may be sent.
+    /// No signal is sent.
     #[default]
     Off,
-    /// Callers send nothing of lower rank.
+    /// The lowest rank of the requests that callers should send.
     MinRank,
-    /// Each caller may have so many requests out here.
+    /// How many requests each caller may have in progress here.
     Tokens,
-    /// The chance that a caller that comes here does not pass by.
+    /// The probability with which a caller that picked this server uses it.
     Bias,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Answered within this time after its first try, a request earns its full worth.
+    /// A request that is answered within this time after its first try earns its full worth.
     pub target_latency: Duration,
-    /// The aim grows by this many times the work of the request.
+    /// The target latency grows by this many times the hinted work of the request.
     pub target_stretch: f64,
-    /// How long a client waits over all tries.
+    /// How long a client waits for an answer, over all its tries.
     pub client_timeout: Duration,
-    /// May it run again?
+    /// Whether its requests may run again.
     pub repeat: Repeat,
-    /// For deduplicated classes: a try can come again this long after it arrived.
+    /// For deduplicated classes: a try can be repeated this long after its arrival.
     pub window: Duration,
-    /// Worth of one request, or of one unit of its work.
+    /// Worth of one request, or of one unit of its work (see [`Settings::worth_by_work`]).
     pub worth: f64,
     /// Part of the worth that a late answer earns.
     pub late_value: f64,
-    /// Its requests may call what is below.
+    /// Its requests may call the dependency.
     pub makes_calls: bool,
-    /// Part of the worth that is left when a call is skipped; 0 forbids skipping.
+    /// Part of the worth that is left when a call is skipped; 0 forbids skipping calls.
     pub skip_worth: f64,
-    /// The site no longer has this class; only requests that came before, or just behind, are of it.
+    /// The site no longer has this class. Only requests that arrived before its removal, or soon after it, belong
+    /// to it.
     pub dropped: bool,
 }
 
 impl Class {
-    /// How its calls stand where the fleet says `told`: what is worth nothing without its call is not answered without it.
+    /// The route state of this class, given the one that the fleet reports. A request that is worth nothing without
+    /// its call is not answered without it.
     pub fn route_state(&self, reported: RouteState) -> RouteState {
         match reported {
             RouteState::Skip if self.skip_worth <= 0.0 => RouteState::Closed,
@@ -121,26 +125,26 @@
     pub quota_per_s: f64,
 }
 
-/// What a server is told when it starts.
+/// The settings of a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Cores of this server.
     pub cores: u32,
     /// Its memory in kilobytes.
     pub memory_kb: f64,
-    /// Memory of a running request over that of a held one.
+    /// Memory of a running request as a multiple of that of a held one.
     pub run_factor: f64,
-    /// Memory of one remembered key in kilobytes.
+    /// Memory of one key in the key table in kilobytes.
     pub key_kb: f64,
-    /// Servers in the list at this start.
+    /// Servers in the fleet at the start of this one.
     pub servers: u32,
-    /// Clients reach this tier through its callers; otherwise other servers call it.
+    /// Clients reach this tier through its callers; otherwise other tiers of servers call it.
     pub entry: bool,
-    /// Callers at this start.
+    /// Callers at the start of this server.
     pub callers: u32,
-    /// Callers close connections that are idle for this long; zero where it is not told.
+    /// Callers close connections that are idle for this long; zero where that is not known.
     pub idle_timeout: Duration,
-    /// It started just now and is not warm.
+    /// It has just started and is not warm yet.
     pub cold: bool,
     /// Share of its speed that a cold server has at least.
     pub cold_speed: f64,
@@ -150,48 +154,48 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of traffic over a tenant's share, as a part of its class's worth.
+    /// Worth of traffic over a tenant's share, as a part of the worth of its class.
     pub over_share_worth: f64,
-    /// Worth is counted for each unit of work instead of each request.
+    /// Worth is counted per unit of work instead of per request.
     pub worth_by_work: bool,
-    /// What can be done with running work.
+    /// What can be done with a run in progress.
     pub preemption: Preemption,
-    /// What is called while running.
+    /// The dependency that running requests call.
     pub dependency: Dependency,
-    /// This server's share of the calls that a shared dependency survives (a mean).
+    /// This server's share of the concurrent calls that a shared dependency survives (a mean).
     pub call_share: f64,
-    /// The time over which calls in hand are averaged.
+    /// The time over which concurrent calls are averaged.
     pub call_share_window: Duration,
-    /// A call given up stays with the dependency for this long.
+    /// An abandoned call still occupies the dependency for this long.
     pub call_linger: Duration,
-    /// How long the answer to a read can serve others; zero means never.
+    /// How long the answer to a read may be reused for repeats of it; zero means never.
     pub fresh_for: Duration,
-    /// What the free value means.
+    /// What the load signal means.
     pub signal: Signal,
-    /// How long callers keep it in mind.
+    /// How long callers apply a load signal.
     pub signal_lifetime: Duration,
-    /// Points that the operator takes off for each new connection.
+    /// Price of each new connection, in the points of the operator's rating.
     pub connect_price: f64,
-    /// Further tries bear a mark.
+    /// Callers mark further tries as retries.
     pub marks_retries: bool,
-    /// Advice to stay away is passed on.
+    /// Refusals carry a time for which the caller should stay away.
     pub sends_retry_after: bool,
-    /// The longest such advice that is heeded.
+    /// The longest such time that callers honour.
     pub max_retry_after: Duration,
-    /// The callers' list follows the health answer.
+    /// The list of servers that callers use follows the health checks.
     pub readiness: bool,
-    /// An answer may come this long after its due time.
+    /// An answer may be this late after its due time.
     pub answer_slack: Duration,
-    /// Arrivals later than this after the notice to leave must not run.
+    /// Requests that arrive later than this after the stop signal must not run.
     pub drain_grace: Duration,
-    /// Requests on the cores, per core, that a warm server survives.
+    /// Requests that need the cores at once, per core, that a warm server survives.
     pub max_load_per_core: f64,
-    /// The time over which that crowd is averaged.
+    /// The time over which that load is averaged.
     pub load_window: Duration,
 }
 
 impl Settings {
-    /// The classes that the site has now, with their places.
+    /// The classes that the site has now, with their indices.
     pub fn active_classes(&self) -> impl Iterator<Item = (usize, &Class)> {
         self.classes.iter().enumerate().filter(|(_, c)| !c.dropped)
     }
@@ -201,7 +205,7 @@
         (self.key_kb.max(0.0) * 1000.0).ceil() as u64
     }
 
-    /// Tells what makes these settings unusable, if anything does.
+    /// Checks whether the module can run with these settings.
     pub fn check(&self) -> Result<(), SettingsError> {
         let s = self;
         let usable = |x: f64| x.is_finite() && x >= 0.0;
@@ -240,7 +244,7 @@
     NoCores,
     /// Without a class no request can be judged.
     NoClasses,
-    /// A figure is missing, negative or not finite.
+    /// A number is missing, negative or not finite.
     BadFigure(&'static str),
 }
 
@@ -256,7 +260,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// A request that was read and now lies in the hold.
+/// A request that was read and is now held.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// Its id.
@@ -265,48 +269,48 @@
     pub class: usize,
     /// Its tenant, as an index into [`Settings::tenants`].
     pub tenant: usize,
-    /// It names what it is about, so that repeats of a read can be told.
+    /// It names the object that it reads, so that repeats of a read can be recognized.
     pub names_object: bool,
-    /// When its caller stops waiting, if that is passed on.
+    /// When its client stops waiting, if the caller sends that.
     pub due: Option<Duration>,
     /// Rough expected work, if hinted.
     pub hint: Option<Duration>,
     /// Memory while held.
     pub size_kb: f64,
-    /// Its rank in 0..1, lowest worth first.
+    /// Its rank by worth, from 0 up to but not including 1, lowest worth first.
     pub rank: f64,
     /// The number of its caller.
     pub caller: u32,
-    /// Time since it reached the machine.
+    /// Time since it reached this machine.
     pub age: Duration,
-    /// The request that this one repeats.
+    /// The request that this one repeats, if any.
     pub repeats: Option<RequestId>,
-    /// Marked as a further try.
+    /// The caller marked it as a further try.
     pub marked_retry: bool,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It went well.
+    /// It succeeded.
     Done,
     /// It failed; it may have had its effect.
     Error,
-    /// Sent back unseen; it never ran.
+    /// It was refused and never ran.
     Busy,
-    /// Given up; it may have had its effect.
+    /// It was abandoned after its timeout; it may have had its effect.
     TimedOut,
-    /// Could not be reached; it never ran.
+    /// The other side could not be reached; it never ran.
     Unreachable,
-    /// Broken off; it may have had its effect.
+    /// The connection broke; it may have had its effect.
     Reset,
-    /// Stopped, or ended at a call because nobody waits.
+    /// It was stopped, or ended at a call because nobody waits for it.
     Cancelled,
-    /// Nothing started, the request was over.
+    /// Nothing started, as the request was already over.
     NotStarted,
-    /// This server has no right to make the call now; it never ran.
+    /// This server has no right to make the call now (it holds no lease); the call never ran.
     Barred,
-    /// It belongs to an earlier version of the routes, and must not be made under a later one.
+    /// The call belongs to an earlier version of the routes, and must not be made under a later one.
     Stale,
 }
 
@@ -317,14 +321,14 @@
     }
 }
 
-/// What the server measures of itself; absent where it has no such gauge.
+/// The server's measurements of itself; `None` where it has no such gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Share of the cores busy in the recent past.
+    /// Share of the cores that was busy in the recent past.
     pub core_use: Option<f64>,
-    /// Everything that needs a core now.
+    /// Number of tasks that need a core now.
     pub on_cores: Option<f64>,
-    /// Share of the memory in use.
+    /// Share of the memory that is in use.
     pub memory_use: Option<f64>,
     /// Open connections.
     pub connections: Option<f64>,
@@ -335,18 +339,18 @@
 pub enum Event {
     /// A request was read.
     Arrived(Arrival),
-    /// Nobody waits for the request any more.
+    /// Nobody waits for the answer to the request any more.
     Withdrawn {
         /// The request.
         id: RequestId,
     },
-    /// A run or a join is over.
+    /// A run or a join ended.
     Finished {
         /// The request.
         id: RequestId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was started.
+        /// Time since it started.
         took: Duration,
     },
     /// A running request needs a call.
@@ -363,20 +367,20 @@
         /// Time since the call was made.
         took: Duration,
     },
-    /// How the calls of each class stand from now on, by the place of the class; further ones are open.
+    /// The route state of each class from now on, by the index of the class; further classes are open.
     RouteStates(Vec<RouteState>),
-    /// What the fleet's routes allow of a request's calls, in place of the module's own bounds.
+    /// What the fleet's routes allow of a request's calls, in place of the module's own limits.
     CallLimits {
         /// The request.
         id: RequestId,
-        /// By the version that it belongs to.
+        /// The limits by the version of the routes that the request belongs to.
         limits: CallLimits,
     },
-    /// The process is to leave and will be stopped.
+    /// The process received the stop signal and will be killed.
     Drain {
-        /// Time since it was told so.
+        /// Time since the signal.
         age: Duration,
-        /// When it is stopped.
+        /// When the process is killed.
         stop_at: Duration,
     },
     /// A timer set by [`Action::SetTimer`] fired.
@@ -388,60 +392,60 @@
     },
 }
 
-/// Something the server is to do, in the order given.
+/// Something that the server must do, in the order in which actions are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start a held request or take up a paused one.
+    /// Start a held request, or resume a paused one.
     Start(RequestId),
-    /// Turn a request away: it never ran.
+    /// Refuse a request, with the promise that it never ran.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the caller should stay away; zero is no advice.
+        /// How long the caller should stay away; zero where no time is sent.
         retry_after: Duration,
         /// Ask the caller not to try elsewhere.
         no_retry: bool,
     },
-    /// Answer with an error that promises nothing.
+    /// Answer with an error that leaves open whether the request ran.
     Fail(RequestId),
-    /// Stop running work.
+    /// Stop a run in progress.
     Preempt(RequestId),
     /// Make the call that a request waits for.
     Call {
         /// The request.
         id: RequestId,
-        /// Give the call up after this time.
+        /// Abandon the call after this time.
         timeout: Duration,
     },
-    /// Go on without the call.
+    /// Let the request go on without its call.
     SkipCall(RequestId),
-    /// Answer a held request with the result of the one it repeats.
+    /// Answer a held request with the result of the one that it repeats.
     Join(RequestId),
-    /// Put the request's key into the table.
+    /// Put the request's key into the key table.
     RememberKey {
         /// The request.
         id: RequestId,
-        /// For how long from now.
+        /// How long the key stays there, from now.
         lifetime: Duration,
     },
-    /// Take the request's key out of the table.
+    /// Remove the request's key from the key table.
     ForgetKey(RequestId),
     /// Set the answer to health checks.
     Health {
-        /// Good or not.
+        /// Whether the answer is a good one.
         healthy: bool,
     },
-    /// Set the free value sent to callers.
+    /// Set the load signal that is sent to callers.
     Signal(f64),
     /// Close connections idle for this long.
     TrimIdle(Duration),
-    /// Ask for a timer.
+    /// Set a timer.
     SetTimer {
-        /// Comes back in [`Event::Timer`].
+        /// Returned in [`Event::Timer`].
         token: u64,
         /// When it should fire, from now.
         after: Duration,
     },
-    /// A line for on-call.
+    /// Log a line for operators.
     Log(String),
 }
