--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads, checks and completes the configuration; no other module does.
 //!
-//! The platform's variables (`RELAY_*`) and JSON file, the simulator's start-up options and the files under
-//! `deploy/` all end up here. Keys that are not known are skipped; a message names the key it is about.
+//! [`Config`] is the configuration of the program, from the platform's variables (`RELAY_*`), its JSON file and the
+//! appliance's file. [`Site`] is the part of it that concerns the decision module, which the simulator passes alone.
+//! Unknown keys are ignored, and a [`ConfigError`] names the key that it is about.
 
 mod error;
 mod node;
@@ -21,191 +22,197 @@
 use crate::fleet::{driver, link};
 use crate::interface::{Class, Dependency, Preemption, Repeat, Settings, Signal, Tenant};
 
-use node::{flag, kilobytes, micros, number, parse_json, parsed, text, whole, Node};
+use node::{boolean, integer, kilobytes, micros, number, parse_json, parsed, string, Node};
 
 pub use error::{ConfigError, Problem};
 pub use routes::{Routes, Voter};
 
-/// The settings of the module and the names that go with them on the wire.
+/// The settings of the decision module, and the names that they have on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// What the module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
     /// The names of its classes, in their order.
     pub class_names: Vec<String>,
     /// The names of its tenants, in their order.
     pub tenant_names: Vec<String>,
-    /// The gauges, in the order in which they are measured.
+    /// The names of the gauges, in the order in which they are measured.
     pub gauges: Vec<String>,
 }
 
 impl Site {
-    /// Reads the settings object that the simulator and the platform hand over.
+    /// Reads the settings object that the simulator and the platform pass.
     pub fn parse(json: &str) -> Result<Self, ConfigError> {
         Self::read(&Node::root(&parse_json("options", json)?))
     }
 
     fn read(node: &Node) -> Result<Self, ConfigError> {
-        let (sp, rules, limits) = (node.at("specifics")?, node.at("rules")?, node.at("limits")?);
-        let calls = sp.at("class_calls")?.items()?;
-        let worth = sp.at("worth_without")?.items()?;
+        let (specifics, rules, limits) = (node.get("specifics")?, node.get("rules")?, node.get("limits")?);
+        let class_calls = specifics.get("class_calls")?.items()?;
+        let worth_without = specifics.get("worth_without")?.items()?;
         let (mut classes, mut class_names) = (Vec::new(), Vec::new());
-        for (at, p) in node.at("profiles")?.items()?.into_iter().enumerate() {
-            class_names.push(p.at("name")?.or(String::new(), text)?);
+        for (index, profile) in node.get("profiles")?.items()?.into_iter().enumerate() {
+            class_names.push(profile.get("name")?.optional(String::new(), string)?);
             classes.push(Class {
-                target_latency: p.at("promise_us")?.some(micros)?,
-                target_stretch: p.at("aim_stretch")?.or(0.0, number)?,
-                client_timeout: p.at("give_up_us")?.some(micros)?,
-                repeat: p.at("repeat")?.some(|node, value| {
-                    Ok(match text(node, value)?.as_str() {
+                target_latency: profile.get("promise_us")?.required(micros)?,
+                target_stretch: profile.get("aim_stretch")?.optional(0.0, number)?,
+                client_timeout: profile.get("give_up_us")?.required(micros)?,
+                repeat: profile.get("repeat")?.required(|node, value| {
+                    Ok(match string(node, value)?.as_str() {
                         "idempotent" => Repeat::Idempotent,
                         "deduplicated" => Repeat::Deduplicated,
                         _ => Repeat::AtMostOnce,
                     })
                 })?,
-                window: p.at("memory_span_us")?.or(Duration::ZERO, micros)?,
-                worth: p.at("worth")?.some(number)?,
-                late_value: p.at("late_value")?.or(0.0, number)?,
-                makes_calls: calls.get(at).and_then(|n| n.value.map(|v| flag(n, v))).unwrap_or(Ok(false))?,
+                window: profile.get("memory_span_us")?.optional(Duration::ZERO, micros)?,
+                worth: profile.get("worth")?.required(number)?,
+                late_value: profile.get("late_value")?.optional(0.0, number)?,
+                makes_calls: class_calls
+                    .get(index)
+                    .and_then(|n| n.value.map(|v| boolean(n, v)))
+                    .unwrap_or(Ok(false))?,
                 dropped: false,
-                skip_worth: worth.get(at).and_then(|n| n.value.map(|v| number(n, v))).unwrap_or(Ok(0.0))?,
+                skip_worth: worth_without
+                    .get(index)
+                    .and_then(|n| n.value.map(|v| number(n, v)))
+                    .unwrap_or(Ok(0.0))?,
             });
         }
         let (mut tenants, mut tenant_names) = (Vec::new(), Vec::new());
-        for t in node.at("tenants")?.items()? {
-            tenant_names.push(t.at("name")?.or(String::new(), text)?);
-            tenants.push(Tenant { quota_per_s: t.at("quota_per_s")?.or(0.0, number)? });
+        for tenant in node.get("tenants")?.items()? {
+            tenant_names.push(tenant.get("name")?.optional(String::new(), string)?);
+            tenants.push(Tenant { quota_per_s: tenant.get("quota_per_s")?.optional(0.0, number)? });
         }
         let mut gauges = Vec::new();
-        for gauge in sp.at("meters")?.items()? {
-            gauges.push(gauge.some(text)?);
+        for gauge in specifics.get("meters")?.items()? {
+            gauges.push(gauge.required(string)?);
         }
-        let word = |node: Node| node.or(String::new(), text);
+        let keyword = |node: Node| node.optional(String::new(), string);
         let settings = Settings {
-            cores: sp.at("cores")?.some(whole)?,
-            memory_kb: sp.at("memory_kb")?.some(kilobytes)?,
-            run_factor: sp.at("run_factor")?.some(number)?,
-            key_kb: sp.at("kb_per_key")?.or(0.0, kilobytes)?,
-            servers: node.at("servers")?.some(whole)?,
-            entry: node.at("tier")?.or(0, whole)? == 0,
-            callers: sp.at("senders")?.or(0, whole)?,
-            idle_timeout: sp.at("idle_us")?.or(Duration::ZERO, micros)?,
-            cold: sp.at("cold")?.or(false, flag)?,
-            cold_speed: rules.at("cold_from")?.or(0.0, number)?,
-            warm_up_time: rules.at("cold_us")?.or(Duration::ZERO, micros)?,
+            cores: specifics.get("cores")?.required(integer)?,
+            memory_kb: specifics.get("memory_kb")?.required(kilobytes)?,
+            run_factor: specifics.get("run_factor")?.required(number)?,
+            key_kb: specifics.get("kb_per_key")?.optional(0.0, kilobytes)?,
+            servers: node.get("servers")?.required(integer)?,
+            entry: node.get("tier")?.optional(0, integer)? == 0,
+            callers: specifics.get("senders")?.optional(0, integer)?,
+            idle_timeout: specifics.get("idle_us")?.optional(Duration::ZERO, micros)?,
+            cold: specifics.get("cold")?.optional(false, boolean)?,
+            cold_speed: rules.get("cold_from")?.optional(0.0, number)?,
+            warm_up_time: rules.get("cold_us")?.optional(Duration::ZERO, micros)?,
             classes,
             tenants,
-            over_share_worth: node.at("over_share_worth")?.or(1.0, number)?,
-            worth_by_work: word(node.at("counted_by")?)? == "work",
-            preemption: match word(sp.at("preemption")?)?.as_str() {
+            over_share_worth: node.get("over_share_worth")?.optional(1.0, number)?,
+            worth_by_work: keyword(node.get("counted_by")?)? == "work",
+            preemption: match keyword(specifics.get("preemption")?)?.as_str() {
                 "drop" => Preemption::Drop,
                 "pause" => Preemption::Pause,
                 _ => Preemption::Off,
             },
-            dependency: match word(sp.at("below")?)?.as_str() {
+            dependency: match keyword(specifics.get("below")?)?.as_str() {
                 "common" => Dependency::Shared,
                 "next_hop" => Dependency::Tier,
                 _ => Dependency::Off,
             },
-            call_share: sp.at("calls_out")?.or(0.0, number)?,
-            call_share_window: sp.at("share_span_us")?.or(Duration::ZERO, micros)?,
-            call_linger: sp.at("lingers_us")?.or(Duration::ZERO, micros)?,
-            fresh_for: sp.at("fresh_us")?.or(Duration::ZERO, micros)?,
-            signal: match word(sp.at("say")?)?.as_str() {
+            call_share: specifics.get("calls_out")?.optional(0.0, number)?,
+            call_share_window: specifics.get("share_span_us")?.optional(Duration::ZERO, micros)?,
+            call_linger: specifics.get("lingers_us")?.optional(Duration::ZERO, micros)?,
+            fresh_for: specifics.get("fresh_us")?.optional(Duration::ZERO, micros)?,
+            signal: match keyword(specifics.get("say")?)?.as_str() {
                 "min_rank" => Signal::MinRank,
                 "tokens" => Signal::Tokens,
                 "bias" => Signal::Bias,
                 _ => Signal::Off,
             },
-            signal_lifetime: sp.at("heeded_us")?.or(Duration::ZERO, micros)?,
-            connect_price: node.at("prices")?.at("handshake")?.or(0.0, number)?,
-            marks_retries: node.at("clients")?.at("marks_retry")?.or(false, flag)?,
-            sends_retry_after: limits.at("retry_after")?.or(false, flag)?,
-            max_retry_after: limits.at("max_retry_after_us")?.or(Duration::ZERO, micros)?,
-            readiness: sp.at("readiness")?.or(false, flag)?,
-            answer_slack: rules.at("answer_slack_us")?.some(micros)?,
-            drain_grace: rules.at("drain_grace_us")?.some(micros)?,
-            max_load_per_core: rules.at("fall_multiple")?.some(number)?,
-            load_window: rules.at("tip_after_us")?.some(micros)?,
+            signal_lifetime: specifics.get("heeded_us")?.optional(Duration::ZERO, micros)?,
+            connect_price: node.get("prices")?.get("handshake")?.optional(0.0, number)?,
+            marks_retries: node.get("clients")?.get("marks_retry")?.optional(false, boolean)?,
+            sends_retry_after: limits.get("retry_after")?.optional(false, boolean)?,
+            max_retry_after: limits.get("max_retry_after_us")?.optional(Duration::ZERO, micros)?,
+            readiness: specifics.get("readiness")?.optional(false, boolean)?,
+            answer_slack: rules.get("answer_slack_us")?.required(micros)?,
+            drain_grace: rules.get("drain_grace_us")?.required(micros)?,
+            max_load_per_core: rules.get("fall_multiple")?.required(number)?,
+            load_window: rules.get("tip_after_us")?.required(micros)?,
         };
         if let Err(e) = settings.check() {
-            return node.bad(Problem::Unusable(e));
+            return node.error(Problem::Unusable(e));
         }
         Ok(Self { settings, class_names, tenant_names, gauges })
     }
 }
 
-/// What the program as a whole is told.
+/// The configuration of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its name in the fleet.
+    /// The matcher's name in the fleet.
     pub name: String,
     /// Where callers connect.
     pub listen: SocketAddr,
-    /// The agent that runs the work; without one, the site's own application does.
+    /// The agent that runs requests; without one, the site's own application does.
     pub agent: Option<SocketAddr>,
-    /// Where operators call.
+    /// Where operators connect (the admin endpoint).
     pub admin: Option<SocketAddr>,
-    /// Where reports of being alive go.
+    /// The control plane, which receives lease reports.
     pub control: Option<SocketAddr>,
-    /// Where calls below are made.
+    /// The vault, through which calls to the dependency are made.
     pub vault: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// From the notice to leave to the kill.
+    /// Time from the stop signal to the kill.
     pub stop_after: Duration,
     /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// The module's part.
+    /// The part that concerns the decision module.
     pub site: Site,
-    /// The fronts and the appliance beside the platform's port.
+    /// The appliance, including the frontends beside the platform's port.
     pub appliance: Appliance,
-    /// The Unix socket through which a new version takes over from the one that runs.
+    /// The Unix socket through which a successor process takes over from this one.
     pub handover: Option<PathBuf>,
-    /// The file as it was read.
-    told: JsonValue,
+    /// The JSON document that was read.
+    document: JsonValue,
 }
 
-/// The part of a configuration that a running program takes up anew.
+/// The addresses that a running program takes over from a reloaded configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Links {
     /// The agent.
     pub agent: Option<SocketAddr>,
-    /// Where calls below are made.
+    /// The vault, through which calls to the dependency are made.
     pub vault: Option<SocketAddr>,
-    /// Where reports of being alive go.
+    /// The control plane, which receives lease reports.
     pub control: Option<SocketAddr>,
 }
 
-/// What `deploy/appliance.json` switches on; all of it is off where that file is absent.
+/// What the appliance's file (`deploy/appliance.json`) enables; without the file all of it is off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Appliance {
     /// Where SCGI callers connect.
     pub scgi_listen: Option<SocketAddr>,
     /// The site's own SCGI application, which runs requests where there is no agent.
     pub scgi_application: Option<SocketAddr>,
-    /// An SCGI service that takes the calls below.
+    /// An SCGI service that serves as the dependency in place of the vault.
     pub scgi_below: Option<SocketAddr>,
     /// The Unix socket of the terminal console.
     pub console: Option<PathBuf>,
-    /// Certificates.
+    /// How certificates are obtained.
     pub acme: Option<Acme>,
-    /// Where callers connect with HTTP under TLS, with that certificate.
+    /// Where callers connect with HTTP over TLS, which uses that certificate.
     pub tls_listen: Option<SocketAddr>,
     /// The fleet that this matcher is a member of.
     pub fleet: Option<Fleet>,
 }
 
-/// How a matcher meets the others of its fleet.
+/// How a matcher takes part in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The fleet's name: members of another one are not heard.
+    /// The fleet's name; messages from members of other fleets are ignored.
     pub name: String,
-    /// The address of this matcher's own socket (UDP).
+    /// The address of this matcher's socket (UDP).
     pub listen: SocketAddrV4,
-    /// Where the others reach it; also who it is.
+    /// The address at which other members reach this one; it also identifies this member.
     pub advertise: SocketAddrV4,
-    /// Members that are asked at the start, and again while they are not up.
+    /// Members that this one contacts at its start, and again while they are not up.
     pub seeds: Vec<SocketAddrV4>,
     /// The protocol period.
     pub period: Duration,
@@ -215,27 +222,27 @@
 
 impl Fleet {
     fn read(node: &Node) -> Result<Self, ConfigError> {
-        let listen: SocketAddrV4 = node.at("listen")?.some(parsed)?;
-        let advertise = node.at("advertise")?.or(listen, parsed)?;
+        let listen: SocketAddrV4 = node.get("listen")?.required(parsed)?;
+        let advertise = node.get("advertise")?.optional(listen, parsed)?;
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            return node.at("advertise")?.bad(Problem::NotOneAddress);
+            return node.get("advertise")?.error(Problem::NotOneAddress);
         }
-        let name = node.at("name")?.or(DEFAULT_FLEET.to_string(), text)?;
+        let name = node.get("name")?.optional(DEFAULT_FLEET.to_string(), string)?;
         if name.is_empty() || name.len() > MOST_NAME {
-            return node.at("name")?.bad(Problem::NameLength(MOST_NAME));
+            return node.get("name")?.error(Problem::NameLength(MOST_NAME));
         }
         let mut seeds = Vec::new();
-        for seed in node.at("seeds")?.items()? {
-            seeds.push(seed.some(parsed)?);
+        for seed in node.get("seeds")?.items()? {
+            seeds.push(seed.required(parsed)?);
         }
         if seeds.len() > MOST_SEEDS {
-            return node.at("seeds")?.bad(Problem::TooManySeeds(MOST_SEEDS));
+            return node.get("seeds")?.error(Problem::TooManySeeds(MOST_SEEDS));
         }
-        let period_ms = node.at("period_ms")?.or(DEFAULT_PERIOD_MS, whole)?;
+        let period_ms = node.get("period_ms")?.optional(DEFAULT_PERIOD_MS, integer)?;
         if !(50..=60_000).contains(&period_ms) {
-            return node.at("period_ms")?.bad(Problem::Period);
+            return node.get("period_ms")?.error(Problem::Period);
         }
-        let routes = node.at("routes")?;
+        let routes = node.get("routes")?;
         let routes = routes.value.map(|_| Routes::read(&routes)).transpose()?;
         Ok(Self {
             name,
@@ -251,51 +258,51 @@
 /// How certificates are ordered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acme {
-    /// The authority's directory.
+    /// The URL of the authority's directory.
     pub directory: String,
     /// The names that the certificate is for.
     pub domains: Vec<String>,
     /// How the authority reaches the operator, as a URL such as `mailto:…`.
     pub contact: Option<String>,
-    /// The folder that keeps the account's key and the certificate.
+    /// The folder that holds the account's key and the certificate.
     pub store: PathBuf,
-    /// Where the authority looks for http-01 challenges; from outside this must be port 80.
+    /// Where http-01 challenges are answered; the authority must reach this address at port 80.
     pub challenge_listen: SocketAddr,
-    /// The authority's own root certificates, where the public ones do not do.
+    /// The authority's own root certificates, where the public ones do not cover it.
     pub roots: Option<PathBuf>,
-    /// Wait after a first failure; later ones double it.
+    /// Wait after a first failure; each further failure doubles it.
     pub retry: Duration,
 }
 
-/// The file that switches the appliance on, unless `RELAY_APPLIANCE` names another.
+/// The appliance's file, unless `RELAY_APPLIANCE` names another.
 pub const APPLIANCE_FILE: &str = "deploy/appliance.json";
-/// Descriptors where no limit is told.
+/// Default of `limits.sockets`: file descriptors that the process may hold.
 const DEFAULT_SOCKETS: u32 = 1024;
-/// Wait after a first failed order where it is not told.
+/// Default of `acme.retry_ms`: the wait after a first failed order.
 const DEFAULT_RETRY_MS: u32 = 60_000;
-/// The fleet's name where it is not told.
+/// Default of `fleet.name`.
 const DEFAULT_FLEET: &str = "hopwalk";
-/// The fleet's protocol period where it is not told.
+/// Default of `fleet.period_ms`, the protocol period.
 const DEFAULT_PERIOD_MS: u32 = 1000;
-/// What is logged where `RELAY_LOG` does not say.
+/// Default of `RELAY_LOG`.
 const DEFAULT_LOG: &str = "info,openraft=off";
-/// Time from the notice to the kill where it is not told.
+/// Default of `stop_ms`: the time from the stop signal to the kill.
 const DEFAULT_STOP_MS: f64 = 3000.0;
 
 impl Appliance {
-    /// Reads the text of such a file.
+    /// Parses the text of an appliance's file.
     pub fn parse(json: &str) -> Result<Self, ConfigError> {
         let json = parse_json(APPLIANCE_FILE, json)?;
         let root = Node::root(&json);
-        let scgi = root.at("scgi")?;
-        let address = |key| scgi.at(key)?.or(None, |n, v| parsed(n, v).map(Some));
-        let console = root.at("console")?;
-        let acme = root.at("acme")?;
-        let tls_listen = root.at("tls")?.at("listen")?.or(None, |n, v| parsed(n, v).map(Some))?;
+        let scgi = root.get("scgi")?;
+        let address = |key| scgi.get(key)?.optional(None, |n, v| parsed(n, v).map(Some));
+        let console = root.get("console")?;
+        let acme = root.get("acme")?;
+        let tls_listen = root.get("tls")?.get("listen")?.optional(None, |n, v| parsed(n, v).map(Some))?;
         if tls_listen.is_some() && acme.value.is_none() {
             return Err(ConfigError::new("tls.listen", Problem::NoCertificate));
         }
-        let fleet = root.at("fleet")?;
+        let fleet = root.get("fleet")?;
         Ok(Self {
             fleet: fleet.value.map(|_| Fleet::read(&fleet)).transpose()?,
             tls_listen,
@@ -303,14 +310,14 @@
             scgi_application: address("application")?,
             scgi_below: address("below")?,
             console: match console.value {
-                Some(_) => Some(console.at("socket")?.some(text)?.into()),
+                Some(_) => Some(console.get("socket")?.required(string)?.into()),
                 None => None,
             },
             acme: acme.value.map(|_| Acme::read(&acme)).transpose()?,
         })
     }
 
-    /// Reads the file that `RELAY_APPLIANCE` names, or the one under `deploy/` if there is one.
+    /// Reads the file that `RELAY_APPLIANCE` names, or the one under `deploy/` if it exists.
     pub fn from_env() -> Result<Self, ConfigError> {
         match std::env::var("RELAY_APPLIANCE") {
             Ok(path) => Self::parse(&read_file("RELAY_APPLIANCE", &path)?),
@@ -322,8 +329,9 @@
     }
 }
 
-/// What follows `http://` leads to this machine. Without TLS anyone on the way could hand out certificates; a
-/// loopback has no way. A name that only begins like an address leads anywhere.
+/// Whether a URL leads to this machine, given what follows `http://` in it. Without TLS anyone on the network path
+/// could issue certificates; a loopback address has no such path. A name that only begins like an address may lead
+/// anywhere.
 fn is_loopback(rest: &str) -> bool {
     let place = rest.split(['/', '?', '#']).next().unwrap_or_default();
     let (host, port) = match place.rsplit_once(':') {
@@ -337,34 +345,34 @@
 
 fn read_file(key: &str, path: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path)
-        .map_err(|e| ConfigError::new(key, Problem::File { path: path.to_string(), said: e.to_string() }))
+        .map_err(|e| ConfigError::new(key, Problem::File { path: path.to_string(), reason: e.to_string() }))
 }
 
 impl Acme {
     fn read(node: &Node) -> Result<Self, ConfigError> {
-        let directory = node.at("directory")?.some(|n, v| {
-            let url = text(n, v)?;
+        let directory = node.get("directory")?.required(|n, v| {
+            let url = string(n, v)?;
             match url.starts_with("https://") || url.strip_prefix("http://").is_some_and(is_loopback) {
                 true => Ok(url),
-                false => n.bad(Problem::NotHttps),
+                false => n.error(Problem::NotHttps),
             }
         })?;
         let mut domains = Vec::new();
-        for domain in node.at("domains")?.items()? {
-            domains.push(domain.some(text)?);
+        for domain in node.get("domains")?.items()? {
+            domains.push(domain.required(string)?);
         }
         if domains.is_empty() {
-            return node.at("domains")?.bad(Problem::NoDomain);
+            return node.get("domains")?.error(Problem::NoDomain);
         }
-        let path = |n: &Node, v: &JsonValue| text(n, v).map(PathBuf::from);
-        let retry_ms = node.at("retry_ms")?.or(DEFAULT_RETRY_MS, whole)?;
+        let path = |n: &Node, v: &JsonValue| string(n, v).map(PathBuf::from);
+        let retry_ms = node.get("retry_ms")?.optional(DEFAULT_RETRY_MS, integer)?;
         Ok(Self {
             directory,
             domains,
-            contact: node.at("contact")?.or(None, |n, v| text(n, v).map(Some))?,
-            store: node.at("store")?.some(path)?,
-            challenge_listen: node.at("challenge_listen")?.some(parsed)?,
-            roots: node.at("roots")?.or(None, |n, v| path(n, v).map(Some))?,
+            contact: node.get("contact")?.optional(None, |n, v| string(n, v).map(Some))?,
+            store: node.get("store")?.required(path)?,
+            challenge_listen: node.get("challenge_listen")?.required(parsed)?,
+            roots: node.get("roots")?.optional(None, |n, v| path(n, v).map(Some))?,
             retry: Duration::from_millis(u64::from(retry_ms.max(1))),
         })
     }
@@ -388,7 +396,7 @@
                 return Err(ConfigError::new("scgi.below", Problem::ScgiWithoutFence));
             }
         }
-        // Processes of one server share this folder, and nobody else does.
+        // All processes of one matcher use this folder, and no others do.
         let name = config.name.replace(|c: char| !c.is_ascii_alphanumeric(), "_");
         config.handover = std::env::var_os("TMPDIR")
             .filter(|dir| !dir.is_empty())
@@ -400,19 +408,19 @@
     }
 
     /// Reads the environment and its files again, for a program that runs with this configuration. A file that
-    /// lacks what the one before had was most likely cut short or written by mistake, and is turned down whole.
+    /// lacks a key of the previous one was most likely truncated or written by mistake, and is rejected as a whole.
     pub fn reload(&self) -> Result<Self, ConfigError> {
         let new = Self::from_env()?;
         self.check_replacement(&new)?;
         Ok(new)
     }
 
-    /// Tells whether another configuration can take the place of this one: it must have all keys of it.
+    /// Checks that another configuration may replace this one: it must have all keys of this one.
     pub fn check_replacement(&self, new: &Self) -> Result<(), ConfigError> {
-        Node::root(&new.told).has_all_of(&self.told)
+        Node::root(&new.document).check_keys_of(&self.document)
     }
 
-    /// What the fleet's membership is told; nothing where this matcher has no part in one.
+    /// Options of the fleet's membership; `None` where this matcher is in no fleet.
     pub fn fleet(&self) -> Option<link::Options> {
         let fleet = self.appliance.fleet.as_ref()?;
         Some(link::Options {
@@ -427,7 +435,7 @@
         })
     }
 
-    /// What the fleet's routes are told; nothing where this matcher has no part in them.
+    /// Options of the fleet's routes; `None` where this matcher takes no part in them.
     pub fn routes(&self) -> Option<driver::Options> {
         let fleet = self.appliance.fleet.as_ref()?;
         let routes = fleet.routes.as_ref()?;
@@ -439,18 +447,18 @@
             name: self.name.clone(),
             fleet: fleet.name.clone(),
             voters: routes.voters.iter().map(|v| (v.name.clone(), v.address)).collect(),
-            keeps: routes.keeps.clone(),
+            keeps: routes.record.clone(),
             known,
-            fault: routes.fault,
+            fault: routes.clock_fault,
         })
     }
 
-    /// Where the links lead.
+    /// The addresses that a reload may change.
     pub fn links(&self) -> Links {
         Links { agent: self.agent, vault: self.vault, control: self.control }
     }
 
-    /// The configuration in lines, for people.
+    /// The configuration as names and values, for people.
     pub fn describe(&self) -> Vec<(String, String)> {
         let s = &self.site.settings;
         let address = |at: Option<SocketAddr>| at.map_or("off".to_string(), |at| at.to_string());
@@ -487,16 +495,16 @@
         lines
     }
 
-    /// Reads the JSON file; the variables win over what it says.
+    /// Parses the JSON file; the variables take precedence over it.
     pub fn parse(json: &str, vars: &HashMap<String, String>) -> Result<Self, ConfigError> {
         let json = parse_json("RELAY_CONFIG", json)?;
         let node = Node::root(&json);
-        let address = |key: &str| node.at(key)?.or(None, |n, v| parsed(n, v).map(Some));
+        let address = |key: &str| node.get(key)?.optional(None, |n, v| parsed(n, v).map(Some));
         let listen = match vars.get("RELAY_LISTEN") {
             Some(text) => text
                 .parse()
                 .map_err(|_| ConfigError::new("RELAY_LISTEN", Problem::InvalidAddress(text.clone())))?,
-            None => node.at("listen")?.some(parsed)?,
+            None => node.get("listen")?.required(parsed)?,
         };
         let admin = match vars.get("RELAY_ADMIN") {
             Some(text) => Some(
@@ -507,23 +515,23 @@
         };
         let name = match vars.get("RELAY_NAME") {
             Some(name) => name.clone(),
-            None => node.at("name")?.some(text)?,
+            None => node.get("name")?.required(string)?,
         };
         if name.is_empty() || name.contains(char::is_whitespace) {
             return Err(ConfigError::new("name", Problem::NotOneWord));
         }
-        let seed = node.at("seed")?.or(0, |n, v| {
-            let text = text(n, v)?;
-            u64::from_str_radix(&text, 16).or_else(|_| n.bad(Problem::NotHex))
+        let seed = node.get("seed")?.optional(0, |n, v| {
+            let text = string(n, v)?;
+            u64::from_str_radix(&text, 16).or_else(|_| n.error(Problem::NotHex))
         })?;
-        let stop_ms = node.at("stop_ms")?.or(DEFAULT_STOP_MS, number)?;
+        let stop_ms = node.get("stop_ms")?.optional(DEFAULT_STOP_MS, number)?;
         if stop_ms > 86_400e3 {
             return Err(ConfigError::new("stop_ms", Problem::TooLong));
         }
-        let sockets = node.at("limits")?.at("sockets")?.or(DEFAULT_SOCKETS, whole)? as usize;
-        let settings = node.at("settings")?;
+        let sockets = node.get("limits")?.get("sockets")?.optional(DEFAULT_SOCKETS, integer)? as usize;
+        let settings = node.get("settings")?;
         if settings.value.is_none() {
-            return settings.bad(Problem::Missing);
+            return settings.error(Problem::Missing);
         }
         let site = Site::read(&settings)?;
         for (at, class) in site.class_names.iter().enumerate() {
@@ -558,12 +566,12 @@
             site,
             appliance: Appliance::default(),
             handover: None,
-            told: json,
+            document: json,
         })
     }
 }
 
-/// What is to be logged, in the words of tracing's filter.
+/// What is logged, as a filter directive of `tracing`.
 pub fn log_filter() -> String {
     std::env::var("RELAY_LOG").unwrap_or_else(|_| DEFAULT_LOG.to_string())
 }
--- a/src/settings/routes.rs
+++ b/src/settings/routes.rs
@@ -1,4 +1,5 @@
-//! The section `fleet.routes`: who votes on the fleet's record, and where this matcher keeps its part of it.
+//! The section `fleet.routes`: which matchers vote on the fleet's record, and where this one stores the record if
+//! it votes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,13 +16,13 @@
 
 /// The keys of the section.
 const KEYS: [&str; 4] = ["folder", "listen", "voters", "lab_clock"];
-/// How many voters there may be: a majority of an even number outlives no more failures than of one less. One is for
-/// trying it out.
+/// How many voters there may be. An even number tolerates no more failures than the number below it. A single voter
+/// is for trials.
 const VOTERS: [usize; 3] = [1, 3, 5];
-/// Rates of a clock that runs wrong.
+/// Rates that a faulty clock may have.
 const RATES: std::ops::RangeInclusive<f64> = 0.5..=2.0;
 
-/// One voter on the fleet's record.
+/// A matcher that votes on the fleet's record.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Voter {
@@ -31,7 +32,7 @@
     pub address: SocketAddr,
 }
 
-/// A clock that runs wrong, for the lab only.
+/// A faulty clock, for the lab only.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct LabClock {
@@ -50,62 +51,62 @@
 /// How a matcher takes part in the fleet's routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Routes {
-    /// Where the record is kept, and the address of the own socket (TCP); a matcher that does not vote has neither.
-    pub keeps: Option<(PathBuf, SocketAddr)>,
-    /// Who votes: 1, 3 or 5.
+    /// The folder of the record, and the address of this matcher's socket (TCP); `None` unless this matcher votes.
+    pub record: Option<(PathBuf, SocketAddr)>,
+    /// The voters: 1, 3 or 5 matchers.
     pub voters: Vec<Voter>,
-    /// A clock that runs wrong, for the lab.
-    pub fault: Option<Fault>,
+    /// A faulty clock, for the lab.
+    pub clock_fault: Option<Fault>,
 }
 
-/// Reads what is at a place by serde.
+/// Deserializes the value of a node by serde.
 fn read<T: DeserializeOwned>(node: &Node) -> Result<T, ConfigError> {
-    let Some(value) = node.value else { return node.bad(Problem::Missing) };
-    // What was read as JSON can be written as such.
+    let Some(value) = node.value else { return node.error(Problem::Missing) };
+    // A value that was parsed as JSON can be written as JSON.
     let text = value.stringify().unwrap_or_default();
     serde_json::from_str(&text).or_else(|e| {
-        // The place is one in the text that was made here, and tells an operator nothing.
-        let said = e.to_string();
-        node.bad(Problem::InvalidSection(said.split(" at line ").next().unwrap_or_default().into()))
+        // The position refers to the text that was written here, and means nothing to an operator.
+        let reason = e.to_string();
+        node.error(Problem::InvalidSection(reason.split(" at line ").next().unwrap_or_default().into()))
     })
 }
 
 impl Routes {
-    /// Reads the section, which is there.
+    /// Reads the section, which must be present.
     pub(super) fn read(node: &Node) -> Result<Self, ConfigError> {
         let keys: std::collections::BTreeMap<String, serde::de::IgnoredAny> = read(node)?;
         if let Some(key) = keys.keys().find(|key| !KEYS.contains(&key.as_str())) {
             return Err(ConfigError::new(format!("{}.{key}", node.key), Problem::UnknownKey));
         }
-        let list = node.at("voters")?;
+        let list = node.get("voters")?;
         let mut voters: Vec<Voter> = Vec::new();
         for item in list.items()? {
             let voter: Voter = read(&item)?;
             if voter.name.is_empty() || voter.name.len() > MOST_NAME {
-                return item.at("name")?.bad(Problem::NameLength(MOST_NAME));
+                return item.get("name")?.error(Problem::NameLength(MOST_NAME));
             }
             if voter.address.ip().is_unspecified() || voter.address.port() == 0 {
-                return item.at("address")?.bad(Problem::NotOneAddress);
+                return item.get("address")?.error(Problem::NotOneAddress);
             }
             if voters.iter().any(|v| v.name == voter.name || v.address == voter.address) {
-                return item.bad(Problem::NotUnique);
+                return item.error(Problem::NotUnique);
             }
             voters.push(voter);
         }
         if !VOTERS.contains(&voters.len()) {
-            return list.bad(Problem::Voters(voters.len()));
+            return list.error(Problem::Voters(voters.len()));
         }
-        let (folder, listen) = (node.at("folder")?, node.at("listen")?);
-        let keeps = match (folder.value, listen.value) {
+        let (folder, listen) = (node.get("folder")?, node.get("listen")?);
+        let record = match (folder.value, listen.value) {
             (None, None) => None,
             _ => Some((read::<PathBuf>(&folder)?, read::<SocketAddr>(&listen)?)),
         };
-        if keeps.as_ref().is_some_and(|(folder, _)| folder.as_os_str().is_empty()) {
-            return folder.bad(Problem::Missing);
+        if record.as_ref().is_some_and(|(folder, _)| folder.as_os_str().is_empty()) {
+            return folder.error(Problem::Missing);
         }
-        let clock = node.at("lab_clock")?;
-        let fault = match clock.value.map(|_| read::<LabClock>(&clock)).transpose()? {
-            Some(c) if !RATES.contains(&c.rate) => return clock.at("rate")?.bad(Problem::Rate),
+        let clock = node.get("lab_clock")?;
+        let clock_fault = match clock.value.map(|_| read::<LabClock>(&clock)).transpose()? {
+            Some(c) if !RATES.contains(&c.rate) => return clock.get("rate")?.error(Problem::Rate),
             Some(c) => Some(Fault {
                 rate: c.rate,
                 step_at: Duration::from_millis(c.step_at_ms),
@@ -113,16 +114,17 @@
             }),
             None => None,
         };
-        Ok(Self { keeps, voters, fault })
+        Ok(Self { record, voters, clock_fault })
     }
 
-    /// Whether it fits a matcher of this name: a voter has a folder and an address, and nobody else has.
+    /// Checks that the section fits the matcher of this name: a voter has a folder and an address, and no other
+    /// matcher does.
     pub(super) fn check(&self, name: &str) -> Result<(), ConfigError> {
         let names: BTreeSet<&str> = self.voters.iter().map(|v| v.name.as_str()).collect();
-        let bad = |key: &str, problem| Err(ConfigError::new(format!("fleet.routes.{key}"), problem));
-        match (names.contains(name), &self.keeps) {
-            (true, None) => bad("folder", Problem::VoterWithoutRecord),
-            (false, Some(_)) => bad("folder", Problem::RecordWithoutVoter),
+        let error = |key: &str, problem| Err(ConfigError::new(format!("fleet.routes.{key}"), problem));
+        match (names.contains(name), &self.record) {
+            (true, None) => error("folder", Problem::VoterWithoutRecord),
+            (false, Some(_)) => error("folder", Problem::RecordWithoutVoter),
             _ => Ok(()),
         }
     }
@@ -135,21 +137,24 @@
 
     fn section(routes: &str) -> Result<Routes, ConfigError> {
         let json = parse_json("file", &format!(r#"{{"fleet":{{"routes":{routes}}}}}"#))?;
-        Routes::read(&Node::root(&json).at("fleet")?.at("routes")?)
+        Routes::read(&Node::root(&json).get("fleet")?.get("routes")?)
     }
 
     const ONE: &str = r#"[{"name":"m1","address":"127.0.0.1:7947"}]"#;
 
     #[test]
-    fn a_voter_keeps_the_record_and_others_do_not() {
+    fn a_voter_stores_the_record_and_others_do_not() {
         let own = section(&format!(r#"{{"folder":"r","listen":"127.0.0.1:1","voters":{ONE}}}"#)).unwrap();
         assert_eq!((own.voters[0].name.as_str(), own.check("m1")), ("m1", Ok(())));
-        assert_eq!(own.check("m2").unwrap_err().to_string(), "fleet.routes.folder: this matcher is no voter");
+        assert_eq!(
+            own.check("m2").unwrap_err().to_string(),
+            "fleet.routes.folder: this matcher is not a voter"
+        );
         let other = section(&format!(r#"{{"voters":{ONE}}}"#)).unwrap();
         assert_eq!(other.check("m2"), Ok(()));
         assert_eq!(other.check("m1").unwrap_err().problem, Problem::VoterWithoutRecord);
         let clock = format!(r#"{{"voters":{ONE},"lab_clock":{{"rate":1.5,"step_ms":-20}}}}"#);
-        let fault = section(&clock).unwrap().fault.unwrap();
+        let fault = section(&clock).unwrap().clock_fault.unwrap();
         assert_eq!((fault.rate, fault.step_ms, fault.step_at), (1.5, -20, Duration::ZERO));
     }
 
@@ -168,22 +173,22 @@
                 r#"{"voters":[{"name":"m1","address":"0.0.0.0:1"}]}"#.to_string(),
                 "fleet.routes.voters[0].address: must name one address and port",
             ),
-            (two.replace("\"b\"", "\"a\""), "fleet.routes.voters[1]: is missing or stands twice"),
+            (two.replace("\"b\"", "\"a\""), "fleet.routes.voters[1]: is missing or used twice"),
             (format!(r#"{{"folder":"r","voters":{ONE}}}"#), "fleet.routes.listen: is missing"),
             (
                 format!(r#"{{"folder":7,"listen":"127.0.0.1:1","voters":{ONE}}}"#),
                 "fleet.routes.folder: invalid",
             ),
-            (format!(r#"{{"votes":1,"voters":{ONE}}}"#), "fleet.routes.votes: is no key"),
+            (format!(r#"{{"votes":1,"voters":{ONE}}}"#), "fleet.routes.votes: is not a key"),
             (
                 format!(r#"{{"voters":{ONE},"lab_clock":{{"rate":9}}}}"#),
                 "fleet.routes.lab_clock.rate: must be 0.5 to 2",
             ),
         ];
-        for (text, said) in all {
+        for (text, expected) in all {
             let text = if text.starts_with('[') { format!(r#"{{"voters":{text}}}"#) } else { text };
             let error = section(&text).unwrap_err().to_string();
-            assert!(error.starts_with(said), "{text}: {error}");
+            assert!(error.starts_with(expected), "{text}: {error}");
         }
     }
 }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -240,8 +240,8 @@
 
 #[rstest]
 #[case("\"fall_multiple\": 8.0, ", "", "rules.fall_multiple: is missing")]
-#[case("\"cores\": 6", "\"cores\": 1.5", "specifics.cores: is no whole number of this size")]
-#[case("\"worth\": 10.0", "\"worth\": \"much\"", "profiles[2].worth: is no number")]
+#[case("\"cores\": 6", "\"cores\": 1.5", "specifics.cores: is not a whole number in range")]
+#[case("\"worth\": 10.0", "\"worth\": \"much\"", "profiles[2].worth: is not a number")]
 #[case("\"run_factor\": 16.0", "\"run_factor\": -1", "specifics.run_factor: is negative or not finite")]
 #[case("\"kb_per_key\": 117.75", "\"kb_per_key\": 1e300", "specifics.kb_per_key: is more than a petabyte")]
 #[case("\"run_factor\": 16.0", "\"run_factor\": null", "specifics.run_factor: is missing")]
@@ -264,9 +264,9 @@
 #[case(
     r#""name": "queue-prefs""#,
     r#""name": "queue-status""#,
-    "settings.profiles[1].name: is missing or stands twice"
+    "settings.profiles[1].name: is missing or used twice"
 )]
-#[case(r#""name": "queue-status", "#, "", "settings.profiles[0].name: is missing or stands twice")]
+#[case(r#""name": "queue-status", "#, "", "settings.profiles[0].name: is missing or used twice")]
 fn classes_of_the_program_need_names(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
     let site = SITE.replacen(from, to, 1);
     let json = format!(r#"{{"name":"n1","listen":"127.0.0.1:1","settings":{site}}}"#);
@@ -299,12 +299,12 @@
 #[case::no_calls_out(
     r#""below": "next_hop""#,
     r#""below": "common""#,
-    "specifics.calls_out: is missing or 0, and classes call what is below"
+    "specifics.calls_out: is missing or 0, and classes call the dependency"
 )]
 #[case::zero_calls_out(
     r#""below": "next_hop""#,
     r#""below": "common", "calls_out": 0"#,
-    "specifics.calls_out: is missing or 0, and classes call what is below"
+    "specifics.calls_out: is missing or 0, and classes call the dependency"
 )]
 fn values_that_no_operator_means_are_turned_down(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
     assert!(SITE.contains(from) && config(SITE).is_ok());
@@ -376,7 +376,7 @@
     let wrong = Appliance::parse(r#"{"scgi": {"listen": 4000}}"#).unwrap_err();
     assert_eq!(wrong.key, "scgi.listen");
     let help = miette::Diagnostic::help(&wrong).map(|help| help.to_string());
-    assert_eq!(help.as_deref(), Some("give a text, within quotes"));
+    assert_eq!(help.as_deref(), Some("give a string, within quotes"));
 }
 
 #[test]
--- a/tests/errors/main.rs
+++ b/tests/errors/main.rs
@@ -83,7 +83,7 @@
         InvalidAddress(x()),
         InvalidJson(JsonError::Deep),
         InvalidJson(JsonError::Syntax { place: x() }),
-        File { path: x(), said: x() },
+        File { path: x(), reason: x() },
         Unusable(NoCores),
         Unusable(NoClasses),
         Unusable(BadFigure("crowd")),
--- a/tests/program/main.rs
+++ b/tests/program/main.rs
@@ -182,7 +182,7 @@
 #[case(
     r#""meters""#,
     r#""meters": 3, "x""#,
-    "settings.specifics.meters: is no list\n  help: give a list: values within square brackets"
+    "settings.specifics.meters: is not a list\n  help: give a list: values within square brackets"
 )]
 #[case(
     r#""cold_from": 0.2"#,
@@ -269,7 +269,7 @@
 #[case(
     r#""promise_us": 1800000"#,
     r#""promise_us": "soon""#,
-    "settings.profiles[0].promise_us: is no number"
+    "settings.profiles[0].promise_us: is not a number"
 )]
 fn a_bad_file_at_a_hangup_is_told_and_changes_nothing(
     #[case] from: &str,
