--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's binary on small written transcripts.
+//! The simulator's adapter as a program, on short transcripts of its input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -28,48 +28,50 @@
     format!("submit who={who} id={id} tier_class=0 not_after_us=4000000 size_kb=20 standing=0.5 odd=1\n")
 }
 
-fn said(output: &Output) -> Vec<String> {
+fn output_lines(output: &Output) -> Vec<String> {
     assert!(output.status.success(), "{output:?}");
     let text = String::from_utf8(output.stdout.clone()).unwrap();
     text.lines().map(str::to_string).collect()
 }
 
 #[test]
-fn a_request_is_served_and_the_end_of_input_is_a_good_end() {
-    let out = said(&play(&(batch(1, 1_000, &[configure(4)]) + &batch(2, 2_000, &[submit(4, 9)]))));
+fn a_request_is_served_and_the_end_of_input_is_a_success() {
+    let out = output_lines(&play(&(batch(1, 1_000, &[configure(4)]) + &batch(2, 2_000, &[submit(4, 9)]))));
     assert!(out.contains(&"serve who=4 id=9".to_string()), "{out:?}");
     assert_eq!(out.iter().filter(|l| l.starts_with("ready ")).count(), 2);
 }
 
 #[test]
-fn instances_act_alike_together_and_apart() {
-    let both = said(&play(
+fn instances_behave_the_same_together_and_alone() {
+    let both = output_lines(&play(
         &(batch(1, 1_000, &[configure(1), configure(2)]) + &batch(2, 2_000, &[submit(2, 9), submit(1, 8)])),
     ));
     for (who, id) in [(1, 8), (2, 9)] {
-        let alone = said(&play(&(batch(1, 1_000, &[configure(who)]) + &batch(2, 2_000, &[submit(who, id)]))));
-        let mine: Vec<_> = both.iter().filter(|l| l.contains(&format!("who={who} "))).collect();
-        assert_eq!(mine, alone.iter().filter(|l| l.contains("who=")).collect::<Vec<_>>());
+        let alone =
+            output_lines(&play(&(batch(1, 1_000, &[configure(who)]) + &batch(2, 2_000, &[submit(who, id)]))));
+        let from_both: Vec<_> = both.iter().filter(|l| l.contains(&format!("who={who} "))).collect();
+        assert_eq!(from_both, alone.iter().filter(|l| l.contains("who=")).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn a_process_that_ends_and_begins_in_one_batch_forgets() {
+fn an_instance_that_ends_and_begins_in_one_batch_forgets_its_requests() {
     let again = [submit(1, 8), "down who=1\n".to_string(), configure(1)];
-    let out = said(&play(&(batch(1, 1_000, &[configure(1)]) + &batch(2, 2_000, &again))));
+    let out = output_lines(&play(&(batch(1, 1_000, &[configure(1)]) + &batch(2, 2_000, &again))));
     assert!(!out.iter().any(|l| l.contains("id=8")), "{out:?}");
     assert_eq!(out.iter().filter(|l| l.starts_with("status who=1")).count(), 2);
 }
 
 #[test]
 fn unknown_events_are_skipped() {
-    let odd = "gossip who=1 load=3\n".to_string();
-    let out = said(&play(&(batch(1, 1_000, &[configure(1)]) + &batch(2, 2_000, &[odd, submit(1, 8)]))));
+    let unknown = "gossip who=1 load=3\n".to_string();
+    let out =
+        output_lines(&play(&(batch(1, 1_000, &[configure(1)]) + &batch(2, 2_000, &[unknown, submit(1, 8)]))));
     assert!(out.contains(&"serve who=1 id=8".to_string()));
 }
 
 #[test]
-fn what_cannot_be_read_ends_the_adapter_with_one_message() {
+fn invalid_input_ends_the_adapter_with_one_message() {
     let no_cores = configure(1).replace("\"cores\": 2", "\"cores\": 0");
     let no_classes = configure(1).replace("\"profiles\": [{", "\"profiles\": [], \"unused\": [{");
     let no_json = "configure who=1 options={oops\n".to_string();
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn without_deadlines_a_marked_retry_is_served_and_answered_when_its_class_gives_up() {
+fn without_deadlines_a_marked_retry_is_served_and_answered_at_the_client_timeout_of_its_class() {
     let configure = configure(1).replace(
         "\"new_part\": {}",
         "\"clients\": {\"marks_retry\": true}, \"prices\": {\"handshake\": 0.02}, \"report\": {\"how\": \"off\"}",
@@ -95,7 +97,7 @@
     let retry =
         "submit who=1 id=8 tier_class=0 size_kb=20 standing=0.5 age_us=0 again_by_client=1\n".to_string();
     let fired = "timeout_fired who=1 name=0 gauge=core_use:0.95,on_cores:2\n".to_string();
-    let out = said(&play(
+    let out = output_lines(&play(
         &(batch(1, 1_000, &[configure])
             + &batch(2, 2_000, &[retry])
             + &batch(3, 3_900_000, std::slice::from_ref(&fired))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Feeds scripted events to the module and keeps what it did.
+//! A host of the decision module for tests ([`TestHost`]), its settings, and pseudo-random numbers ([`TestRng`]).
 #![allow(dead_code)]
 
 use hopwalk::interface::*;
@@ -6,10 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A small generator of numbers, the same for the same seed.
+/// A small pseudo-random number generator; the same seed gives the same numbers.
 pub struct TestRng(pub u64);
 
 impl TestRng {
+    /// A number from 0 up to but not including `sides`.
     pub fn roll(&mut self, sides: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -41,7 +42,7 @@
     }
 }
 
-/// Two classes, 0 below 1 in worth; nothing below, no tenants.
+/// Two classes, of which class 1 is worth more; no dependency and no tenants.
 pub fn settings() -> Settings {
     Settings {
         cores: 4,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Class 1 carries keys, and both classes call a shared dependency.
+/// Class 1 is deduplicated, and both classes call a shared dependency.
 pub fn keyed_settings() -> Settings {
     let mut s = settings();
     s.classes[1].repeat = Repeat::Deduplicated;
@@ -73,48 +74,49 @@
     s
 }
 
-pub struct Bench {
-    pub brain: DecisionEngine,
+/// Feeds scripted events to the module, on a clock that only the test moves, and records the actions that it returns.
+pub struct TestHost {
+    pub engine: DecisionEngine,
     pub now: Duration,
-    pub log: Vec<(Duration, Action)>,
+    pub actions: Vec<(Duration, Action)>,
     pub gauges: Gauges,
     pub settings: Settings,
     timers: BTreeSet<(Duration, u64)>,
     sizes: BTreeMap<RequestId, f64>,
-    over: BTreeSet<RequestId>,
+    finished: BTreeSet<RequestId>,
 }
 
-impl Bench {
+impl TestHost {
     pub fn new(settings: Settings) -> Self {
-        let brain = DecisionEngine::new(settings.clone(), 7, ms(0)).expect("usable settings");
-        let mut bench = Self {
-            brain,
+        let engine = DecisionEngine::new(settings.clone(), 7, ms(0)).expect("usable settings");
+        let mut host = Self {
+            engine,
             now: ms(0),
-            log: Vec::new(),
+            actions: Vec::new(),
             gauges: Gauges::default(),
             settings,
             timers: BTreeSet::new(),
             sizes: BTreeMap::new(),
-            over: BTreeSet::new(),
+            finished: BTreeSet::new(),
         };
-        bench.batch(Vec::new());
-        bench
+        host.batch(Vec::new());
+        host
     }
 
     pub fn batch(&mut self, events: Vec<Event>) {
         let mut actions = Vec::new();
         for event in events {
             if let Event::Finished { id, .. } = event {
-                self.over.insert(id);
+                self.finished.insert(id);
             }
-            self.brain.on_event(self.now, event, &mut actions);
+            self.engine.on_event(self.now, event, &mut actions);
         }
-        self.brain.decide(self.now, &mut actions);
+        self.engine.decide(self.now, &mut actions);
         for action in actions {
             if let Action::SetTimer { token, after } = action {
                 self.timers.insert((self.now + after, token));
             }
-            self.log.push((self.now, action));
+            self.actions.push((self.now, action));
         }
     }
 
@@ -183,39 +185,39 @@
         self.run_until((self.now + ms(by_ms)).as_millis() as u64);
     }
 
-    pub fn did(&self, action: &Action) -> bool {
-        self.log.iter().any(|(_, a)| a == action)
+    pub fn issued(&self, action: &Action) -> bool {
+        self.actions.iter().any(|(_, a)| a == action)
     }
 
-    pub fn starts(&self, ids: &[RequestId]) -> usize {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Start(id) if ids.contains(id))).count()
+    pub fn start_count(&self, ids: &[RequestId]) -> usize {
+        self.actions.iter().filter(|(_, a)| matches!(a, Action::Start(id) if ids.contains(id))).count()
     }
 
-    pub fn calls(&self, id: RequestId) -> usize {
-        self.log.iter().filter(|(_, a)| matches!(a, Action::Call { id: i, .. } if *i == id)).count()
+    pub fn call_count(&self, id: RequestId) -> usize {
+        self.actions.iter().filter(|(_, a)| matches!(a, Action::Call { id: i, .. } if *i == id)).count()
     }
 
-    /// Final answers given by an action.
-    pub fn answers(&self, id: RequestId) -> usize {
+    /// The number of final answers that actions gave to a request.
+    pub fn answer_count(&self, id: RequestId) -> usize {
         let answer = |a: &Action| match a {
             Action::Refuse { id: i, .. } | Action::Fail(i) => *i == id,
             _ => false,
         };
-        self.log.iter().filter(|(_, a)| answer(a)).count()
+        self.actions.iter().filter(|(_, a)| answer(a)).count()
     }
 
     pub fn running(&self) -> Vec<RequestId> {
-        let started = self.log.iter().filter_map(|(_, a)| match a {
+        let started = self.actions.iter().filter_map(|(_, a)| match a {
             Action::Start(id) => Some(*id),
             _ => None,
         });
-        started.filter(|id| !self.over.contains(id)).collect()
+        started.filter(|id| !self.finished.contains(id)).collect()
     }
 
-    /// Memory that held and running requests need now.
+    /// Memory that held and running requests need now, in kilobytes.
     pub fn memory_kb(&self) -> f64 {
         let running = self.running();
-        let held = |id: &RequestId| self.answers(*id) == 0 && !self.over.contains(id);
+        let held = |id: &RequestId| self.answer_count(*id) == 0 && !self.finished.contains(id);
         let need = |(id, kb): (&RequestId, &f64)| match running.contains(id) {
             true => kb * self.settings.run_factor,
             false => kb * f64::from(u8::from(held(id))),
--- a/tests/errors/main.rs
+++ b/tests/errors/main.rs
@@ -37,7 +37,7 @@
 fn a_help_that_is_missing_repeated_or_shared_is_found() {
     let found = |samples: Vec<Sample>| fault(&samples).unwrap_or_default();
     let one = |e: Bad| found(vec![("One", Box::new(e))]);
-    assert!(one(Bad::Silent).ends_with("no help") && one(Bad::Repeats).contains("says no more"));
+    assert!(one(Bad::Silent).ends_with("no help") && one(Bad::Repeats).contains("adds too little"));
     assert_eq!(one(Bad::Good), "");
     let shared = found(vec![("One", Box::new(Bad::Good)), ("Other", Box::new(Bad::Good))]);
     assert_eq!(shared, "Other and One have the same help");
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Long random but legal event sequences, with fixed seeds, against a plain checker of the rules.
+//! Checks the rules of the decision module on long random sequences of legal events with fixed seeds.
 
 mod common;
 
@@ -15,9 +15,10 @@
     AtCall,
     Calling,
     Joined,
-    Over,
+    Ended,
 }
 
+/// What the checker knows of one try.
 #[derive(Debug)]
 struct Try {
     class: usize,
@@ -30,19 +31,20 @@
     state: State,
     answered: bool,
     ran: bool,
-    unproved_call: bool,
-    freed_at: Duration,
+    call_may_have_run: bool,
+    ended_at: Duration,
 }
 
+/// Plays the server: generates events, carries out actions, and checks each of them against the rules.
 struct Checker {
-    s: Settings,
-    dice: TestRng,
+    settings: Settings,
+    rng: TestRng,
     now: Duration,
     tries: BTreeMap<RequestId, Try>,
-    table: BTreeMap<u64, (RequestId, Duration)>,
+    key_table: BTreeMap<u64, (RequestId, Duration)>,
     ran_keys: BTreeMap<u64, Duration>,
     timers: BTreeSet<(Duration, u64)>,
-    retire: Option<(Duration, Duration)>,
+    drain: Option<(Duration, Duration)>,
     with_due: bool,
     next_id: RequestId,
 }
@@ -55,25 +57,29 @@
     fn arrival(&mut self) -> Event {
         self.next_id += 1;
         let id = self.next_id;
-        let class = self.dice.roll(self.s.classes.len() as u64) as usize;
-        let repeat = self.s.classes[class].repeat;
-        // Tries of one key in one batch know each other; the scripted tests cover that, so keys differ here.
+        let class = self.rng.roll(self.settings.classes.len() as u64) as usize;
+        let repeat = self.settings.classes[class].repeat;
+        // Tries with one key in one batch name each other. The scripted tests cover that, so keys differ here.
         let now = self.now;
         let taken: BTreeSet<u64> = self.tries.values().filter(|t| t.read_at == now).map(|t| t.key).collect();
-        let mut key = self.dice.roll(400);
+        let mut key = self.rng.roll(400);
         while taken.contains(&key) {
-            key = self.dice.roll(400);
+            key = self.rng.roll(400);
         }
-        let age = ms(self.dice.roll(80));
+        let age = ms(self.rng.roll(80));
         let arrived = self.now.saturating_sub(age);
-        let span = ms(200 + self.dice.roll(3_000));
-        let due = if self.with_due { arrived + span } else { arrived + self.s.classes[class].client_timeout };
-        let alive = self.table.get(&key).filter(|(_, ends)| *ends >= arrived).map(|(id, _)| *id);
+        let span = ms(200 + self.rng.roll(3_000));
+        let due = if self.with_due {
+            arrived + span
+        } else {
+            arrived + self.settings.classes[class].client_timeout
+        };
+        let remembered = self.key_table.get(&key).filter(|(_, ends)| *ends >= arrived).map(|(id, _)| *id);
         let keyed = repeat == Repeat::Deduplicated;
-        let repeats = alive.filter(|_| keyed);
-        let size_kb = 5.0 + self.dice.roll(30) as f64;
-        let hint = self.s.worth_by_work.then(|| ms(20 + self.dice.roll(400)));
-        let fresh = Try {
+        let repeats = remembered.filter(|_| keyed);
+        let size_kb = 5.0 + self.rng.roll(30) as f64;
+        let hint = self.settings.worth_by_work.then(|| ms(20 + self.rng.roll(400)));
+        let new_try = Try {
             class,
             key,
             read_at: now,
@@ -84,23 +90,23 @@
             state: State::Held,
             answered: false,
             ran: false,
-            unproved_call: false,
-            freed_at: Duration::ZERO,
+            call_may_have_run: false,
+            ended_at: Duration::ZERO,
         };
-        self.tries.insert(id, fresh);
+        self.tries.insert(id, new_try);
         Event::Arrived(Arrival {
             id,
             class,
-            tenant: self.dice.roll(3) as usize,
+            tenant: self.rng.roll(3) as usize,
             names_object: false,
             due: self.with_due.then_some(due),
             hint,
             size_kb,
-            rank: (class as f64 + 0.5) / self.s.classes.len() as f64,
-            caller: self.dice.roll(u64::from(self.s.callers)) as u32,
+            rank: (class as f64 + 0.5) / self.settings.classes.len() as f64,
+            caller: self.rng.roll(u64::from(self.settings.callers)) as u32,
             age,
             repeats,
-            marked_retry: self.s.marks_retries && self.dice.roll(3) == 0,
+            marked_retry: self.settings.marks_retries && self.rng.roll(3) == 0,
         })
     }
 
@@ -108,28 +114,30 @@
         let mut events = Vec::new();
         while let Some(timer) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
             self.timers.remove(&timer);
-            let use_ = self.dice.roll(101) as f64 / 100.0;
+            let core_use = self.rng.roll(101) as f64 / 100.0;
             events.push(Event::Timer {
                 token: timer.1,
-                gauges: Gauges { core_use: Some(use_), ..Gauges::default() },
+                gauges: Gauges { core_use: Some(core_use), ..Gauges::default() },
             });
         }
-        let (now, took) = (self.now, ms(50 + self.dice.roll(300)));
-        for _ in 0..self.dice.roll(4) {
-            let step = self.dice.roll(7);
+        let (now, took) = (self.now, ms(50 + self.rng.roll(300)));
+        for _ in 0..self.rng.roll(4) {
+            let step = self.rng.roll(7);
             let running = self.ids(State::Running);
             match step {
-                0 | 1 => events.extend(self.dice.pick(&running).map(|id| {
-                    let outcome = if self.dice.roll(20) == 0 { Outcome::Error } else { Outcome::Done };
+                0 | 1 => events.extend(self.rng.pick(&running).map(|id| {
+                    let outcome = if self.rng.roll(20) == 0 { Outcome::Error } else { Outcome::Done };
                     self.end(id, now);
                     Event::Finished { id, outcome, took }
                 })),
                 2 => {
                     let ready: Vec<_> = running
                         .into_iter()
-                        .filter(|id| self.s.classes[self.tries[id].class].makes_calls)
+                        .filter(|id| self.settings.classes[self.tries[id].class].makes_calls)
                         .collect();
-                    if let (Some(id), true) = (self.dice.pick(&ready), self.s.dependency != Dependency::Off) {
+                    if let (Some(id), true) =
+                        (self.rng.pick(&ready), self.settings.dependency != Dependency::Off)
+                    {
                         let t = self.tries.get_mut(&id).unwrap();
                         if t.answered {
                             self.end(id, now);
@@ -142,7 +150,7 @@
                 }
                 3 => {
                     let calling = self.ids(State::Calling);
-                    if let Some(id) = self.dice.pick(&calling) {
+                    if let Some(id) = self.rng.pick(&calling) {
                         let all = [
                             Outcome::Done,
                             Outcome::Busy,
@@ -150,13 +158,10 @@
                             Outcome::Reset,
                             Outcome::Unreachable,
                         ];
-                        let outcome = if self.dice.roll(2) == 0 {
-                            Outcome::Done
-                        } else {
-                            self.dice.pick(&all).unwrap()
-                        };
+                        let outcome =
+                            if self.rng.roll(2) == 0 { Outcome::Done } else { self.rng.pick(&all).unwrap() };
                         let t = self.tries.get_mut(&id).unwrap();
-                        t.unproved_call |= outcome != Outcome::Done && !outcome.never_ran();
+                        t.call_may_have_run |= outcome != Outcome::Done && !outcome.never_ran();
                         t.state = if outcome == Outcome::Done { State::Running } else { State::AtCall };
                         events.push(Event::CallEnded { id, outcome, took });
                     }
@@ -165,21 +170,22 @@
                     let open: Vec<_> = self
                         .tries
                         .iter()
-                        .filter(|(_, t)| t.state != State::Over && !t.answered)
+                        .filter(|(_, t)| t.state != State::Ended && !t.answered)
                         .map(|(i, _)| *i)
                         .collect();
-                    // Not beside the end of a call: the module may answer that before it reads that the caller left.
+                    // Not in a batch with the end of a call: the module may answer that before it reads that the
+                    // caller left.
                     let quiet = !events.iter().any(|e| matches!(e, Event::CallEnded { .. }));
-                    let rare = self.dice.roll(4) == 0 && quiet;
-                    if let Some(id) = self.dice.pick(&open).filter(|_| rare) {
+                    let rare = self.rng.roll(4) == 0 && quiet;
+                    if let Some(id) = self.rng.pick(&open).filter(|_| rare) {
                         events.push(Event::Withdrawn { id });
                         self.answer(id);
-                        self.gone(id, &mut events);
+                        self.end_unless_running(id, &mut events);
                     }
                 }
                 5 => {
                     let joined = self.ids(State::Joined);
-                    events.extend(self.dice.pick(&joined).map(|id| {
+                    events.extend(self.rng.pick(&joined).map(|id| {
                         self.end(id, now);
                         Event::Finished { id, outcome: Outcome::Done, took }
                     }));
@@ -187,15 +193,15 @@
                 _ => {}
             }
         }
-        for _ in 0..self.dice.roll(3) {
+        for _ in 0..self.rng.roll(3) {
             let event = self.arrival();
             events.push(event);
         }
         events
     }
 
-    /// What the server does by itself once a request is answered or its caller is gone.
-    fn gone(&mut self, id: RequestId, events: &mut Vec<Event>) {
+    /// What the server does by itself once a request is answered or its caller has left.
+    fn end_unless_running(&mut self, id: RequestId, events: &mut Vec<Event>) {
         match self.tries[&id].state {
             State::Held | State::Joined => self.end(id, self.now),
             State::AtCall | State::Calling => {
@@ -212,7 +218,7 @@
 
     fn end(&mut self, id: RequestId, now: Duration) {
         let t = self.tries.get_mut(&id).unwrap();
-        (t.state, t.answered, t.freed_at) = (State::Over, true, now);
+        (t.state, t.answered, t.ended_at) = (State::Ended, true, now);
     }
 
     fn carry_out(&mut self, actions: Vec<Action>, later: &mut Vec<Event>) {
@@ -220,16 +226,16 @@
             match action {
                 Action::Start(id) => {
                     let t = self.tries.get_mut(&id).expect("known");
-                    let class = &self.s.classes[t.class];
+                    let class = &self.settings.classes[t.class];
                     assert_eq!(t.state, State::Held, "started twice: {t:?}");
-                    if let Some((at, _)) = self.retire {
-                        assert!(t.arrived <= at + self.s.drain_grace, "ran after the grace");
+                    if let Some((at, _)) = self.drain {
+                        assert!(t.arrived <= at + self.settings.drain_grace, "ran after the grace");
                     }
                     if class.repeat == Repeat::Deduplicated {
                         let before = self.ran_keys.get(&t.key).copied();
                         let within = before.is_some_and(|at| t.arrived <= at + class.window);
-                        assert!(!within, "effect twice: {t:?} after {before:?}");
-                        assert!(self.table.contains_key(&t.key), "started without a key");
+                        assert!(!within, "key run twice: {t:?} after {before:?}");
+                        assert!(self.key_table.contains_key(&t.key), "started without a key");
                         self.ran_keys.insert(t.key, t.arrived);
                     }
                     (t.state, t.ran) = (State::Running, true);
@@ -237,25 +243,24 @@
                 Action::Refuse { id, .. } => {
                     let t = &self.tries[&id];
                     assert!(!t.answered && !t.ran, "refused after a run or an answer: {t:?}");
-                    let keyed = self.s.classes[t.class].repeat == Repeat::Deduplicated;
+                    let keyed = self.settings.classes[t.class].repeat == Repeat::Deduplicated;
                     assert!(
                         !(keyed
                             && t.repeats
-                            && self
-                                .ran_keys
-                                .get(&t.key)
-                                .is_some_and(|a| { t.arrived <= *a + self.s.classes[t.class].window })),
-                        "refused though its effect ran"
+                            && self.ran_keys.get(&t.key).is_some_and(|a| {
+                                t.arrived <= *a + self.settings.classes[t.class].window
+                            })),
+                        "refused although a try with its key ran"
                     );
                     self.end(id, self.now);
                 }
                 Action::Fail(id) => {
                     assert!(!self.tries[&id].answered, "answered twice");
                     self.answer(id);
-                    self.gone(id, later);
+                    self.end_unless_running(id, later);
                 }
                 Action::Preempt(id) => {
-                    assert_ne!(self.s.preemption, Preemption::Off);
+                    assert_ne!(self.settings.preemption, Preemption::Off);
                     if self.tries[&id].state == State::Running && self.tries[&id].answered {
                         self.end(id, self.now);
                         later.push(Event::Finished { id, outcome: Outcome::Cancelled, took: ms(1) });
@@ -265,31 +270,31 @@
                     let t = self.tries.get_mut(&id).unwrap();
                     assert_eq!(t.state, State::AtCall);
                     assert!(!timeout.is_zero());
-                    let repeatable = self.s.classes[t.class].repeat == Repeat::Idempotent;
-                    assert!(repeatable || !t.unproved_call, "a call that may have run was repeated");
+                    let repeatable = self.settings.classes[t.class].repeat == Repeat::Idempotent;
+                    assert!(repeatable || !t.call_may_have_run, "a call that may have run was repeated");
                     t.state = State::Calling;
                 }
                 Action::SkipCall(id) => {
                     let t = self.tries.get_mut(&id).unwrap();
-                    assert!(self.s.classes[t.class].skip_worth > 0.0);
+                    assert!(self.settings.classes[t.class].skip_worth > 0.0);
                     t.state = State::Running;
                 }
                 Action::Join(id) => {
                     let t = self.tries.get_mut(&id).unwrap();
-                    assert!(t.repeats, "joined without a forerunner");
+                    assert!(t.repeats, "joined although it repeats no other");
                     t.state = State::Joined;
                 }
                 Action::RememberKey { id, lifetime } => {
-                    self.table.insert(self.tries[&id].key, (id, self.now + lifetime));
+                    self.key_table.insert(self.tries[&id].key, (id, self.now + lifetime));
                 }
                 Action::ForgetKey(id) => {
                     let key = self.tries[&id].key;
-                    if self.table.get(&key).is_some_and(|(holder, _)| *holder == id) {
-                        self.table.remove(&key);
+                    if self.key_table.get(&key).is_some_and(|(holder, _)| *holder == id) {
+                        self.key_table.remove(&key);
                     }
                 }
                 Action::Signal(x) => {
-                    assert_ne!(self.s.signal, Signal::Off);
+                    assert_ne!(self.settings.signal, Signal::Off);
                     assert!(x.is_finite() && x >= 0.0);
                 }
                 Action::SetTimer { token, after } => {
@@ -302,41 +307,45 @@
 
     fn check(&mut self) {
         let now = self.now;
-        self.table.retain(|_, (_, ends)| *ends + ms(100) >= now);
-        let keys = self.table.values().filter(|(_, ends)| *ends >= now).count() as f64 * self.s.key_kb;
+        self.key_table.retain(|_, (_, ends)| *ends + ms(100) >= now);
+        let keys =
+            self.key_table.values().filter(|(_, ends)| *ends >= now).count() as f64 * self.settings.key_kb;
         let need = |t: &Try| match t.state {
             State::Held | State::Joined => t.size_kb,
-            State::Over => 0.0,
-            _ => t.size_kb * self.s.run_factor,
+            State::Ended => 0.0,
+            _ => t.size_kb * self.settings.run_factor,
         };
         let memory = keys + self.tries.values().map(need).sum::<f64>();
-        assert!(memory <= self.s.memory_kb, "memory {memory} of {}", self.s.memory_kb);
+        assert!(memory <= self.settings.memory_kb, "memory {memory} of {}", self.settings.memory_kb);
         let running = self.ids(State::Running).len() as f64;
-        assert!(running <= f64::from(self.s.cores) * self.s.max_load_per_core, "crowd {running}");
-        if self.s.dependency == Dependency::Shared {
-            assert!(self.ids(State::Calling).len() as f64 <= self.s.call_share.max(1.0), "calls");
+        assert!(
+            running <= f64::from(self.settings.cores) * self.settings.max_load_per_core,
+            "load {running}"
+        );
+        if self.settings.dependency == Dependency::Shared {
+            assert!(self.ids(State::Calling).len() as f64 <= self.settings.call_share.max(1.0), "calls");
         }
         for (id, t) in &self.tries {
-            assert!(t.answered || now <= t.due + self.s.answer_slack, "lost {id} {t:?} at {now:?}");
+            assert!(t.answered || now <= t.due + self.settings.answer_slack, "lost {id} {t:?} at {now:?}");
         }
-        if self.retire.is_some_and(|(_, stop)| now >= stop) {
+        if self.drain.is_some_and(|(_, stop)| now >= stop) {
             assert!(self.tries.values().all(|t| t.answered), "unanswered at the stop");
         }
-        self.tries.retain(|_, t| t.state != State::Over || t.freed_at + ms(15_000) > now);
+        self.tries.retain(|_, t| t.state != State::Ended || t.ended_at + ms(15_000) > now);
     }
 }
 
-fn play(s: Settings, seed: u64, with_due: bool) -> (usize, usize) {
-    let mut brain = DecisionEngine::new(s.clone(), seed, ms(0)).expect("usable settings");
-    let mut c = Checker {
-        s,
-        dice: TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+fn play(settings: Settings, seed: u64, with_due: bool) -> (usize, usize) {
+    let mut engine = DecisionEngine::new(settings.clone(), seed, ms(0)).expect("usable settings");
+    let mut checker = Checker {
+        settings,
+        rng: TestRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
         now: ms(0),
         tries: BTreeMap::new(),
-        table: BTreeMap::new(),
+        key_table: BTreeMap::new(),
         ran_keys: BTreeMap::new(),
         timers: BTreeSet::new(),
-        retire: None,
+        drain: None,
         with_due,
         next_id: 0,
     };
@@ -344,32 +353,32 @@
     let mut later = Vec::new();
     for step in 0..300 {
         let mut events = std::mem::take(&mut later);
-        events.extend(c.events());
+        events.extend(checker.events());
         if step == 200 {
-            let stop = c.now + ms(3_000);
-            c.retire = Some((c.now, stop));
+            let stop = checker.now + ms(3_000);
+            checker.drain = Some((checker.now, stop));
             events.push(Event::Drain { age: ms(0), stop_at: stop });
         }
         arrived += events.iter().filter(|e| matches!(e, Event::Arrived(_))).count();
         let mut actions = Vec::new();
         for event in events {
-            brain.on_event(c.now, event, &mut actions);
+            engine.on_event(checker.now, event, &mut actions);
         }
-        brain.decide(c.now, &mut actions);
+        engine.decide(checker.now, &mut actions);
         started += actions.iter().filter(|a| matches!(a, Action::Start(_))).count();
-        c.carry_out(actions, &mut later);
-        c.check();
-        if c.retire.is_some_and(|(_, stop)| c.now >= stop) {
+        checker.carry_out(actions, &mut later);
+        checker.check();
+        if checker.drain.is_some_and(|(_, stop)| checker.now >= stop) {
             break;
         }
-        let jump = c.now + ms(1 + c.dice.roll(40));
-        c.now = c.timers.first().map_or(jump, |(at, _)| jump.min((*at).max(c.now)));
+        let jump = checker.now + ms(1 + checker.rng.roll(40));
+        checker.now = checker.timers.first().map_or(jump, |(at, _)| jump.min((*at).max(checker.now)));
     }
     (started, arrived)
 }
 
 #[test]
-fn the_rules_hold_on_random_legal_sequences_under_every_setting() {
+fn the_rules_hold_on_random_legal_sequences_under_all_settings() {
     let mut seed = 1;
     let (mut started, mut arrived) = (0, 0);
     for preemption in [Preemption::Off, Preemption::Drop, Preemption::Pause] {
@@ -398,12 +407,15 @@
                     s.classes.push(s.classes[1].clone());
                     s.classes[2].repeat = Repeat::AtMostOnce;
                     s.classes[2].late_value = 0.2;
-                    let (a, b) = play(s, seed, flag(3));
-                    started += a;
-                    arrived += b;
+                    let (new_started, new_arrived) = play(s, seed, flag(3));
+                    started += new_started;
+                    arrived += new_arrived;
                 }
             }
         }
     }
-    assert!(started * 4 > arrived, "the sequences must run work to mean anything: {started} of {arrived}");
+    assert!(
+        started * 4 > arrived,
+        "too few requests were started for the checks to mean anything: {started} of {arrived}"
+    );
 }
