--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -50,13 +50,15 @@
 const TRAFFIC_WEIGHT: f64 = 0.01;
 /// Every request is answered at least this long before the process is stopped.
 const STOP_MARGIN: Duration = Duration::from_millis(200);
-/// A try whose span is shorter than usual by this much is a retry. A lower value mistakes jitter for age.
+/// A try whose span, the share of the client's timeout that is left at its arrival, is shorter than usual by this
+/// much is a retry. A lower value mistakes jitter for age.
 const SPAN_TOLERANCE: f64 = 0.02;
 /// Votes that the usual span can gather (a majority vote), so that a storm of retries does not replace it. A higher
 /// value is slower to follow a real change.
 const SPAN_VOTES: u32 = 100;
-/// Estimates proved too early, per confirmed one, up to which a span longer than usual dates foreground requests too.
-/// Where callers cut off the first attempt, half of the estimates are too early.
+/// Estimates of the first try that were proved too early, per confirmed one, up to which the estimate from a longer
+/// span than usual is used for foreground requests too. Where callers cut off the first attempt, half of the
+/// estimates are too early.
 const MAX_WRONG_ESTIMATES: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/decisions/calls.rs
+++ b/src/decisions/calls.rs
@@ -30,8 +30,8 @@
 /// once, and each call beyond those only slows the others down. A lower value leaves its capacity unused, a higher
 /// one overloads a slow dependency.
 const MIN_CALL_SHARE: f64 = 0.2;
-/// Of the calls that may be in progress, this part is held back after each call in an overload; this many calls are
-/// released after each other call.
+/// After each call in an overload, this part of the calls that may be in progress is held back. After each other
+/// call, this fraction of one call is released.
 const HOLD_BACK_STEP: f64 = 0.05;
 /// Requests that may wait for a call or make one, per core. A higher value tolerates slower calls; a lower one
 /// saves memory and limits how many requests resume at once.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn where_repeats_of_a_key_show_cut_off_first_attempts_a_longer_span_dates_only_background() {
+fn where_repeats_of_a_key_show_cut_off_first_attempts_a_longer_span_counts_only_for_background() {
     let host = after_repeats(4_000);
     assert_eq!(
         (host.answer_count(40), host.answer_count(41)),
@@ -236,7 +236,7 @@
         "foreground is held, background is refused"
     );
     let host = after_repeats(6_000);
-    assert_eq!((host.answer_count(40), host.answer_count(41)), (1, 1), "the client timeout dates both");
+    assert_eq!((host.answer_count(40), host.answer_count(41)), (1, 1), "the longer span counts for both");
 }
 
 #[test]
