--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -133,7 +133,7 @@
     fn what_is_handed_over_is_read_as_it_was_said(
         r in request(),
         key in key(),
-        what in any::<u64>(),
+        digest in any::<u64>(),
         until in 0u64..u64::MAX / 2,
         open in any::<bool>(),
         result in prop::option::of(bytes(4096)),
