--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,4 +1,7 @@
-//! What goes into the reducer and what comes out of it.
+//! The reducer's inputs and effects, and the messages that they carry.
+//!
+//! [`Input`] is everything that can happen to the reducer, [`Effect`] everything that it asks of its surroundings.
+//! [`Notice`] and [`Command`] are the messages from and to the agent, [`Succession`] is the handover between two processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,21 +15,21 @@
 use crate::interface::Way;
 use crate::settings::Site;
 
-/// Bytes that are passed on unchanged.
+/// A body or result that is passed on unchanged.
 pub type Bytes = Arc<[u8]>;
 
-/// A connection of a caller, on whichever front.
+/// Identifies a client connection of any frontend.
 pub type ConnId = u64;
 
-/// The key of a request that must run once.
+/// An idempotency key: all tries of a request that must run once carry the same key.
 pub type Key = Arc<str>;
 
-/// A link to the agent, by its number: links are counted from 1 as they are opened, and no two have the same.
+/// Identifies a link to the agent. Links are numbered from 1 in the order in which they are opened; numbers are not reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
 impl LinkId {
-    /// Stands for an application that does the work: it needs no link.
+    /// Used where an application does the work in place of the agent, which needs no link.
     pub const NONE: Self = Self(0);
 }
 
@@ -36,7 +39,7 @@
     }
 }
 
-/// The 16 hexadecimal digits that name a try on every wire, kept as they came.
+/// The id of a try on every wire: 16 hexadecimal digits, kept exactly as received.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle([u8; 16]);
 
@@ -61,264 +64,268 @@
     }
 }
 
-/// A request as a front read it.
+/// A request as read by a frontend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Where its answer goes.
+    /// The connection that gets the answer.
     pub conn: ConnId,
-    /// Its name.
+    /// The id of this try.
     pub handle: Handle,
     /// The name of its class.
     pub class: String,
-    /// When it came to the machine.
+    /// When the request reached this machine.
     pub start: Duration,
-    /// How long its caller waits from then on.
+    /// How long the client waits, counted from `start`.
     pub timeout: Option<Duration>,
-    /// The number of its caller.
+    /// The number of the client.
     pub caller: u32,
-    /// The name of its tenant, where the site has any.
+    /// The name of the tenant, if the site has tenants.
     pub tenant: Option<Arc<str>>,
-    /// The work to expect on one core, where its caller tells.
+    /// The expected work on one core, if the client states it.
     pub cost: Option<Duration>,
-    /// Memory while held.
+    /// Memory that the request needs while it is held, in kilobytes.
     pub size_kb: f64,
-    /// Its rank in 0..1.
+    /// Priority rank in 0..1.
     pub rank: f64,
-    /// The key that all its tries share.
+    /// The idempotency key that all tries of the request share.
     pub key: Option<Key>,
-    /// What it is about, where it names that; its first bytes if it is long.
+    /// The object that the request names, if any; truncated if it is long.
     pub object: Option<Arc<str>>,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// Something that happened.
+/// An event that the reducer has to handle.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A request was read.
+    /// A frontend read a request.
     Request(Box<Request>),
-    /// A health check was read.
+    /// A frontend read a health check.
     HealthCheck {
-        /// Where the answer goes.
+        /// The connection that gets the answer.
         conn: ConnId,
-        /// The caller wants to know whether work gets done.
+        /// The client asks whether requests are actually being completed, not only whether the process is up.
         deep: bool,
     },
-    /// A front answered something that is no request by itself.
+    /// A frontend received input that is not a request, and answered it without the reducer.
     Rejected,
-    /// An answer could not be written whole.
+    /// An answer could not be written completely.
     AnswerWriteFailed(End),
-    /// The connections withheld what a rule forbids.
+    /// The network layer prevented a violation of a rule: it withheld an answer that no request was waiting for, or it
+    /// closed a connection without the answer that was owed to it.
     ViolationBlocked,
-    /// A reply from below was passed over: it is a copy of an earlier one of the request, or another request's.
+    /// A reply from the dependency was ignored: it is a copy of an earlier reply, or it belongs to another request.
     StrayReply,
-    /// The agent told something, or its link did.
+    /// The agent sent a notice, or a link to it reported one.
     Agent {
-        /// The link over which it came.
+        /// The link that delivered the notice.
         link: LinkId,
-        /// What was told.
+        /// The notice.
         notice: Notice,
     },
-    /// A call below ended.
+    /// A call to the dependency ended.
     CallEnded {
-        /// The request it was made for.
+        /// The request that the call was made for.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the attempt.
         attempt: u32,
-        /// How it ended.
+        /// How the call ended.
         end: End,
-        /// The reply, where it went well.
+        /// The reply, if the call succeeded.
         reply: Option<Bytes>,
-        /// What it went out under, if it went out and the fleet routes it.
+        /// The fence under which the call was sent, if it was sent and the fleet routes calls.
         fence: Option<Fence>,
     },
-    /// How the calls of the named classes stand, where the fleet routes them; those of others are open.
+    /// The route state of each named class, where the fleet routes calls. Classes that are not named are open.
     RouteStates(Vec<(String, Way)>),
-    /// What all routes that are in force from now on allow: at most as many as a table has.
+    /// The call limits of all routes that are in force from now on; at most one entry for each route of the table.
     CallLimits(Vec<routing::Allows>),
-    /// A call goes out by a route that allows something else than was known here when it was ordered.
+    /// A call is being sent under a route whose limits differ from those that were known when the call was ordered.
     CallRouteChanged {
-        /// The request it is for.
+        /// The request that the call is for.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the attempt.
         attempt: u32,
-        /// What that one allows; nothing for the module's own bounds.
+        /// The limits of that route; `None` for the decision module's own limits.
         limits: Option<routing::Allowed>,
     },
-    /// The process is to leave.
+    /// The process was asked to stop.
     Drain {
-        /// When it was told so.
+        /// When the signal was received.
         signalled_at: Duration,
     },
-    /// A word of the process that this one takes over from, or that takes over from it.
+    /// A message from the predecessor or the successor, or a change of their state.
     Succession(Succession),
-    /// Operators want callers kept away, or back again. What comes all the same is served as usual.
+    /// Operators want clients to stay away (`true`) or to return (`false`). Requests that arrive nevertheless are served
+    /// as usual.
     Standby(bool),
-    /// The configuration was read again: there may be other classes, and the links may have new addresses.
+    /// The configuration was reloaded: classes and link addresses may have changed.
     Reload {
-        /// The module's part of it.
+        /// The part of the configuration that the decision module needs.
         site: Box<Site>,
-        /// The time from a notice to leave to the kill.
+        /// The time between the stop signal and the kill.
         stop_after: Duration,
     },
-    /// The counters are to be printed.
+    /// The counters are to be logged.
     LogCounters,
-    /// Somebody at the console asks.
+    /// A client of the console or of the metrics sent a query.
     Query {
-        /// Comes back with the answer.
+        /// Returned with the result.
         ticket: u64,
-        /// What is asked.
+        /// What is queried.
         query: Query,
     },
 }
 
-/// A key, as a process hands it to the one that takes over.
+/// The state of a key, as handed over to the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyState {
     /// The key.
     pub key: Key,
-    /// A digest of the request that it stands for.
+    /// A digest of the request that the key stands for.
     pub digest: u64,
-    /// Until then no other try of it may be run.
+    /// No other try of the key may run until then.
     pub until: Duration,
-    /// Tries of it are still there, and one may have run or yet run.
+    /// The predecessor still has tries of the key, one of which may have run or may yet run.
     pub open: bool,
-    /// What its run made.
+    /// The result of its run.
     pub result: Option<Bytes>,
 }
 
-/// What two processes tell each other while the newer one takes over.
+/// A handover event: a message between predecessor and successor, or a change of the peer process's state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Succession {
-    /// Another process of this server ran before this one, and goes on until it has handed over and ended.
+    /// A predecessor is running; it goes on until it has handed over and ended.
     PredecessorRunning,
-    /// The new process is to decide from now on.
+    /// The successor asks for the keys, and decides from then on.
     HandoverRequested,
-    /// It has answered what was passed on to it.
+    /// The successor has answered a request that was forwarded to it.
     ForwardedAnswer {
-        /// Where the answer goes.
+        /// The connection of this process that gets the answer.
         conn: ConnId,
-        /// What it is.
+        /// The answer.
         answer: Answer,
     },
-    /// The new process is gone.
+    /// The successor process has ended.
     SuccessorExited,
-    /// The link to the new process broke, and it lives on.
+    /// The link to the successor broke while that process lives on.
     SuccessorDisconnected,
-    /// A key that the old process handed over.
+    /// A key that the predecessor handed over.
     Key(KeyState),
-    /// All keys were handed over.
+    /// The predecessor has handed over all keys.
     KeysComplete {
-        /// Operators want callers kept away.
+        /// Operators want clients to stay away.
         standby: bool,
     },
-    /// The last try of an open key is over.
+    /// The last try of an open key has ended in the predecessor.
     KeyResolved {
         /// The key.
         key: Key,
-        /// It was run.
+        /// A try of the key was run.
         ran: bool,
-        /// With this result.
+        /// The result of that run.
         result: Option<Bytes>,
     },
-    /// The old process is gone.
+    /// The predecessor process has ended.
     PredecessorExited,
-    /// The link to the old process broke, and it lives on.
+    /// The link to the predecessor broke while that process lives on.
     PredecessorDisconnected,
 }
 
-/// What the console may ask the reducer.
+/// A query that the reducer answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// How things are.
+    /// The current state.
     Status,
-    /// What was counted.
+    /// The counters.
     Counters,
 }
 
-/// What the agent tells.
+/// A notice: a message from the agent, or a report of its link.
 #[derive(Clone, Debug)]
 pub enum Notice {
-    /// The agent is up and listens.
+    /// The agent is up and accepts commands.
     Greeting {
-        /// It started cold.
+        /// The agent started cold.
         cold: bool,
-        /// It has been up for this long.
+        /// How long the agent has been up.
         uptime: Duration,
     },
-    /// The link is over: nothing more comes over it.
+    /// The link has ended: it delivers no further notices.
     Closed(LinkEnd),
-    /// Everything told before the [`Command::Sync`] of this link was read.
+    /// Every notice that the agent sent before it read the [`Command::Sync`] of this link has been received.
     Synced {
-        /// The link on which that was asked.
+        /// The link on which the acknowledgement was requested.
         requested_on: LinkId,
     },
-    /// Everything said before the [`Command::Acknowledge`] of this link and number was heard.
+    /// The agent has read every command that precedes the [`Command::Acknowledge`] with this link and number.
     Acknowledged {
-        /// The link on which that was asked.
+        /// The link on which the acknowledgement was requested.
         requested_on: LinkId,
-        /// The number of the question.
+        /// The number of the acknowledgement request.
         number: u64,
     },
-    /// Everything said on a link was heard, before it moves. For the link's keeper, not for the reducer.
+    /// The agent has read every command on a link that is about to move. This is for the link manager; the reducer ignores
+    /// it.
     MoveAcknowledged {
-        /// The link on which that was asked.
+        /// The link on which the acknowledgement was requested.
         requested_on: LinkId,
     },
-    /// The gauges.
+    /// Measured gauges.
     Sampled {
-        /// The ticket that asked for them.
+        /// The ticket of the [`Command::Sample`] that requested them.
         ticket: u64,
-        /// In the order of the settings.
+        /// The values, in the order of the settings.
         figures: Vec<f64>,
     },
-    /// A run is over.
+    /// A run has ended.
     Outcome {
         /// The request.
         handle: Handle,
-        /// How it ended.
+        /// How the run ended.
         end: End,
-        /// How long it took.
+        /// How long the run took.
         lasted: Option<Duration>,
-        /// What it made.
+        /// The result of the run.
         result: Option<Bytes>,
     },
-    /// A run waits for a call.
+    /// A run waits for a call to the dependency.
     CallNeeded {
         /// The request.
         handle: Handle,
-        /// The number of this notice.
+        /// The number of this notice, which identifies the call.
         cursor: u64,
         /// The body of the call.
         body: Bytes,
     },
-    /// A command was not carried out.
+    /// The agent did not carry out a command.
     Refusal {
-        /// Which.
+        /// The name of the command.
         command: String,
         /// The request.
         handle: Handle,
     },
 }
 
-/// How a link to the agent ended, and what became of the commands that were meant for it.
+/// How a link to the agent ended, and how far the commands on it got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// It broke. The commands up to the number `written` were written on it, or may have been; later ones were not.
+    /// The link broke. Commands up to number `written` were written, or may have been; later ones were not.
     Broken {
-        /// How.
+        /// How the link broke.
         end: End,
         /// The number of the last command that may have been written.
         written: u64,
     },
-    /// It was closed in good order. The agent has read the commands up to the number `read`; later ones were not written.
+    /// The link was closed after the agent had acknowledged it. The agent has read the commands up to number `read`; later
+    /// ones were not written.
     Clean {
         /// The number of the last command that was read.
         read: u64,
     },
 }
 
-/// What the agent is told.
+/// A message to the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Run a request.
@@ -327,50 +334,51 @@
         handle: Handle,
         /// The name of its class.
         class: Arc<str>,
-        /// Its body.
+        /// The request body.
         arg: Bytes,
-        /// How long its caller still waits.
+        /// How long the client still waits.
         timeout: Duration,
     },
-    /// Stop a run.
+    /// Pause or stop a run.
     Freeze {
         /// The request.
         handle: Handle,
     },
-    /// Go on with a paused run.
+    /// Resume a paused run.
     Thaw {
         /// The request.
         handle: Handle,
     },
-    /// The reply to the call that a run waits for.
+    /// Deliver the reply to the call that a run waits for.
     Deliver {
         /// The request.
         handle: Handle,
-        /// The notice that asked for the call. It is not on the wire.
+        /// The number of the notice that requested the call. It is not sent.
         cursor: u64,
         /// The reply.
         arg: Bytes,
     },
-    /// Go on without the call.
+    /// Continue a run without the call that it waits for.
     Forgo {
         /// The request.
         handle: Handle,
-        /// The notice that asked for the call.
+        /// The number of the notice that requested the call.
         cursor: u64,
     },
-    /// Tell the gauges.
+    /// Report the gauges.
     Sample {
-        /// Comes back with them.
+        /// Returned with the gauges.
         ticket: u64,
     },
-    /// Answer once everything before is told; once on each link.
+    /// Request a [`Notice::Synced`] after all earlier notices; sent once on each link.
     Sync,
-    /// Answer once everything said before on this link was heard. Questions are counted from 1 on each link.
+    /// Request a [`Notice::Acknowledged`] once all earlier commands on this link have been read. These requests are numbered
+    /// from 1 on each link.
     Acknowledge(u64),
 }
 
 impl Command {
-    /// The run that it is about, and its name on the wire.
+    /// The command's name on the wire and the run that it is about; `None` for a command that is about no run.
     pub fn name_and_handle(&self) -> Option<(&'static str, Handle)> {
         match self {
             Self::Launch { handle, .. } => Some(("launch", *handle)),
@@ -383,138 +391,138 @@
     }
 }
 
-/// What a caller is told.
+/// The content of an answer to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The result of the run.
+    /// The request succeeded with this result.
     Served(Bytes),
-    /// Turned away: it never ran.
+    /// The request was refused: this try never ran.
     Refused {
-        /// How long the caller should stay away; zero is no advice.
+        /// How long the client should wait before the next try; zero gives no advice.
         retry_after: Duration,
-        /// It should not try elsewhere.
+        /// The client should not try another matcher.
         no_retry: bool,
     },
-    /// Failed; it may have had its effect.
+    /// The request failed; it may have had its effect.
     Failed,
-    /// A good answer to a health check.
+    /// The health check succeeded.
     Healthy,
-    /// A bad one.
+    /// The health check failed.
     Unhealthy,
-    /// No such class is served here.
+    /// The class of the request is not served here.
     NoSuchClass,
-    /// The request cannot be taken as it is.
+    /// The request is invalid, for this reason.
     Invalid(&'static str),
 }
 
-/// An answer, the same on every front.
+/// An answer, in the form that all frontends share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// What is told.
+    /// The content of the answer.
     pub verdict: Verdict,
-    /// The free value.
+    /// The signal that the site's settings define, sent with every answer.
     pub signal: Option<f64>,
-    /// The connection is closed after it.
+    /// The connection is closed after the answer.
     pub close: bool,
 }
 
-/// Something to be done.
+/// An action that the reducer asks of its surroundings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a caller.
+    /// Send an answer to a client.
     Answer {
-        /// Where.
+        /// The connection that gets the answer.
         conn: ConnId,
-        /// What.
+        /// The answer.
         answer: Arc<Answer>,
     },
-    /// Tell the agent, on this link alone: where it is over, the command is dropped.
+    /// Send a command to the agent on this link only; if the link has ended, drop the command.
     Agent {
-        /// The link that it is meant for.
+        /// The link that the command is meant for.
         link: LinkId,
         /// The number of the command, counted from 1 on each link.
         number: u64,
-        /// What is said.
+        /// The command.
         command: Command,
     },
-    /// Make a call below.
+    /// Make a call to the dependency.
     Call {
-        /// The request it is for.
+        /// The request that the call is for.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the attempt.
         attempt: u32,
-        /// It must not be made again, unless it is proven not to have run.
+        /// The call must not be repeated, unless it is proven not to have run.
         at_most_once: bool,
-        /// It needs a connection that carried nothing before.
+        /// The call needs a connection on which nothing was sent before.
         fresh: bool,
-        /// The replies to earlier calls of the request: a copy of one is not the reply to this call.
+        /// Digests of the replies to earlier calls of the request: a copy of one of them is not the reply to this call.
         earlier: Arc<[ReplyDigest]>,
-        /// How long it is waited for.
+        /// How long the reply is awaited.
         timeout: Duration,
-        /// Its body.
+        /// The body of the call.
         body: Bytes,
-        /// What its route depends on, where the fleet routes calls.
+        /// What the route of the call depends on, where the fleet routes calls.
         route: Option<Box<routing::Call>>,
     },
-    /// Give up the call of a request.
+    /// Cancel the call of a request.
     CancelCall {
         /// The request.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// A request got its one answer, where the fleet routes calls: experiments count it.
+    /// Count a request that got its final answer for the running experiment, where the fleet routes calls.
     CountAnswer {
-        /// What the request's route depends on.
+        /// What the route of the request depends on.
         route: Box<routing::Call>,
-        /// How it was answered.
+        /// How the request was answered.
         kind: Kind,
     },
-    /// Close connections idle for this long.
+    /// Close client connections that have been idle for this long.
     TrimIdle(Duration),
-    /// The server leaves: members of its fleet are told, and what was counted is logged.
+    /// The drain has begun: notify the members of the fleet and log the counters.
     Draining,
-    /// Whether reports to the control plane say that callers may come.
+    /// Whether lease reports to the control plane are to say that this matcher is ready.
     ReportReadiness(bool),
-    /// Move the links to the addresses that the configuration names now.
+    /// Move the links to the addresses in the reloaded configuration.
     Relink,
     /// The agent is up: requests can be served.
     Ready,
-    /// Hand over to the process that takes over.
+    /// Hand over to the successor.
     HandOver {
         /// All keys.
         keys: Vec<KeyState>,
-        /// Operators want callers kept away.
+        /// Operators want clients to stay away.
         standby: bool,
     },
-    /// Pass a request on to it.
+    /// Forward a request to the successor.
     Forward(Box<Request>),
-    /// Tell it what came of a key.
+    /// Report to the successor what became of a key that was open when it was handed over.
     KeyResolved {
         /// The key.
         key: Key,
-        /// It was run.
+        /// A try of the key was run.
         ran: bool,
-        /// With this result.
+        /// The result of that run.
         result: Option<Bytes>,
     },
-    /// The keys are there: take callers.
+    /// All keys have been received: listen for clients.
     Listen,
-    /// There is no other process any more.
+    /// The peer process has ended.
     PeerExited,
-    /// This process cannot take over, and must not serve.
+    /// This process cannot take over and must exit without serving.
     AbortTakeover,
-    /// Take no new connections, and let those that are open end: the other process serves on.
+    /// Stop listening, and let open connections end: the successor serves from now on.
     YieldToSuccessor,
-    /// Take no new connections.
+    /// Stop listening.
     StopListening,
-    /// All is answered: end once the connections are closed.
+    /// Every request has been answered: exit once the connections are closed.
     Exit,
-    /// A line for on-call.
+    /// Write a line to the log.
     Log(String),
-    /// The answer to a query.
+    /// The result of a query.
     QueryResult {
-        /// The query's.
+        /// The ticket of the query.
         ticket: u64,
         /// Names and values.
         lines: Vec<(String, String)>,
