--- a/src/core/answer_deadlines.rs
+++ b/src/core/answer_deadlines.rs
@@ -17,7 +17,7 @@
 /// the module, and well within the slack that the rules allow.
 const OVERDUE: Duration = Duration::from_millis(20);
 /// Requests that one line of the log names at most.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED: usize = 8;
 
 /// Who is to give an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -93,12 +93,12 @@
     }
 
     /// The process that takes over is to answer this connection.
-    pub(super) fn is_passed_on(&self, conn: ConnId) -> bool {
+    pub(super) fn is_forwarded(&self, conn: ConnId) -> bool {
         self.owed.get(&conn).is_some_and(|owed| owed.owner == Owner::Successor)
     }
 
     /// Connections that the process that takes over is to answer, in the order in which they were opened.
-    pub(super) fn passed_on(&self) -> Vec<ConnId> {
+    pub(super) fn forwarded(&self) -> Vec<ConnId> {
         let passed_on = self.owed.iter().filter(|(_, owed)| owed.owner == Owner::Successor);
         let mut conns: Vec<_> = passed_on.map(|(conn, _)| *conn).collect();
         conns.sort_unstable();
@@ -118,13 +118,13 @@
 
 impl Core {
     /// Gives all answers that are still owed at their deadlines, and says in the log what their requests waited for.
-    pub(super) fn keep_deadlines(&mut self, now: Duration) {
+    pub(super) fn answer_overdue_requests(&mut self, now: Duration) {
         let mut named = Vec::new();
         let mut count = 0;
         while let Some((conn, owner)) = self.deadlines.expired(now) {
             count += 1;
             self.counters.overdue += 1;
-            if named.len() < MOST_NAMED {
+            if named.len() < MAX_NAMED {
                 named.push(self.describe_owed(conn, owner));
             }
             match owner {
@@ -152,20 +152,20 @@
 
     /// Nothing was ever said of the request to the agent, and no other try of its key was run.
     fn has_no_effect(&self, id: RequestId) -> bool {
-        let Some(live) = self.live.get(&id) else { return false };
-        let is_run = live.key.as_ref().is_some_and(|key| self.keys.run_of(key).is_some());
-        live.phase == Phase::Held && !is_run
+        let Some(request) = self.requests.get(&id) else { return false };
+        let is_run = request.key.as_ref().is_some_and(|key| self.keys.run_of(key).is_some());
+        request.phase == Phase::Held && !is_run
     }
 
     /// A request for the log: its id, where it is, and the last command that was said about it.
     fn describe_owed(&self, conn: ConnId, owner: Owner) -> String {
         let Owner::Here(id) = owner else { return format!("connection {conn} passed on") };
-        let Some(live) = self.live.get(&id) else { return format!("connection {conn} unknown") };
-        let command = match (&live.pending, live.is_orphan) {
+        let Some(request) = self.requests.get(&id) else { return format!("connection {conn} unknown") };
+        let command = match (&request.pending, request.is_orphan) {
             (Some(pending), _) => pending.describe(),
             (None, true) => "launch in doubt for good".to_string(),
             (None, false) => "none, or heard".to_string(),
         };
-        format!("{} {:?}, last command {command}", live.handle, live.phase)
+        format!("{} {:?}, last command {command}", request.handle, request.phase)
     }
 }
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -4,43 +4,43 @@
 
 use super::answer_deadlines::Owner;
 use super::types::*;
-use super::{keys, CallState, Core, Live, Phase, Said};
+use super::{keys, ActiveRequest, CallState, Core, Phase, SentCommands};
 use crate::interface::{Arrival, Event, Repeat};
 
 /// Callers that the module tells apart: it keeps notes on each, whatever numbers are sent.
-const MOST_CALLERS: u32 = 1024;
+const MAX_CALLERS: u32 = 1024;
 
 impl Core {
-    pub(super) fn arrived(&mut self, now: Duration, request: Request) {
+    pub(super) fn handle_request(&mut self, now: Duration, request: Request) {
         self.counters.requests_read += 1;
         let class = self.site.class_names.iter().position(|name| *name == request.class);
         let is_gone = |at: &usize| self.served_until.get(at).is_some_and(|until| *until < now);
         let class = class.filter(|at| !is_gone(at));
         let open_here = self.handles.contains_key(&request.handle);
-        if self.partner.yields && !open_here {
-            return self.pass_on(now, request);
+        if self.peer.has_taken_over && !open_here {
+            return self.forward(now, request);
         }
         let Some(class) = class else {
-            return self.turn_back(request.conn, Verdict::NoSuchClass);
+            return self.reject(request.conn, Verdict::NoSuchClass);
         };
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
         if keyed && request.key.is_none() {
-            return self.turn_back(request.conn, Verdict::Invalid("a request of this class needs a key"));
+            return self.reject(request.conn, Verdict::Invalid("a request of this class needs a key"));
         }
         // A handle names one run at the agent: taking it twice could hand one request the other's result.
         if open_here {
-            return self.turn_back(request.conn, Verdict::Invalid("this request id is in use"));
+            return self.reject(request.conn, Verdict::Invalid("this request id is in use"));
         }
         let start = request.start.min(now);
         let patience = request.timeout.unwrap_or(self.site.settings.classes[class].give_up);
         let due = start + patience;
-        let route = self.subject(&request, class, start);
+        let route = self.route_key(&request, class, start);
         let key = request.key.filter(|_| keyed);
         // One key stands for one request: the result of another one is nobody else's, and must not be served.
         let what = keys::digest(&request.class, &request.body);
         if key.as_ref().is_some_and(|k| self.keys.conflicts(k, what)) {
             self.counters.key_conflicts += 1;
-            return self.turn_back(request.conn, Verdict::Invalid("this key stands for another request"));
+            return self.reject(request.conn, Verdict::Invalid("this key stands for another request"));
         }
         if key.as_ref().is_some_and(|k| self.may_be_forgotten(now, k, start)) && now < due {
             self.counters.failed += 1;
@@ -49,7 +49,7 @@
             return self.answer(request.conn, Verdict::Failed);
         }
         if key.as_ref().is_some_and(|k| !self.keys.has_room_for(k))
-            || self.is_barred(start, class, key.as_ref())
+            || self.may_have_run_elsewhere(start, class, key.as_ref())
         {
             self.counters.refused += 1;
             let refusal = Verdict::Refused { retry_after: Duration::ZERO, no_retry: false };
@@ -64,7 +64,7 @@
         self.counters.repeats += u64::from(repeats.is_some());
         let conn = request.conn;
         self.handles.insert(request.handle, id);
-        let live = Live {
+        let active = ActiveRequest {
             conn: Some(conn),
             handle: request.handle,
             class,
@@ -78,10 +78,10 @@
             call: CallState::default(),
             route,
             pending: None,
-            said: Said::default(),
+            sent: SentCommands::default(),
             is_orphan: false,
         };
-        self.live.insert(id, live);
+        self.requests.insert(id, active);
         self.deadlines.owe(conn, due.max(now), Owner::Here(id));
         self.events.push_back(Event::Arrived(Arrival {
             id,
@@ -92,7 +92,7 @@
             hint: request.cost,
             size_kb: request.size_kb,
             standing: request.rank,
-            caller: request.caller % MOST_CALLERS,
+            caller: request.caller % MAX_CALLERS,
             age: now.saturating_sub(start),
             repeats,
             marked_retry: false,
@@ -120,7 +120,7 @@
         place.unwrap_or(names.len())
     }
 
-    fn turn_back(&mut self, conn: ConnId, verdict: Verdict) {
+    fn reject(&mut self, conn: ConnId, verdict: Verdict) {
         self.counters.rejected += 1;
         self.answer(conn, verdict);
     }
--- a/src/core/call_history.rs
+++ b/src/core/call_history.rs
@@ -9,7 +9,7 @@
 use super::End;
 
 /// Replies of one request that are remembered: it makes no further calls then.
-const MOST_REPLIES: usize = 1024;
+const MAX_REPLIES: usize = 1024;
 
 /// A digest of a reply that went well, by which a copy of it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 
     /// Whatever comes next below for this request can be told from what may still come for its earlier calls.
     pub(super) fn allows_call(&self) -> bool {
-        !self.owes_earlier && self.replies.len() < MOST_REPLIES
+        !self.owes_earlier && self.replies.len() < MAX_REPLIES
     }
 
     /// Replies of which copies may come.
--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -18,11 +18,11 @@
 use std::time::Duration;
 
 use super::types::*;
-use super::{Core, End, Live, Timer};
+use super::{ActiveRequest, Core, End, Timer};
 use crate::interface::RequestId;
 
-use pending::{About, Delivery, Violation};
-pub(super) use pending::{Pending, Said};
+use pending::{CommandContext, Delivery, Violation};
+pub(super) use pending::{PendingCommand, SentCommands};
 pub(super) use session::Connection;
 use session::Session;
 
@@ -33,7 +33,7 @@
 
 /// The way to whoever does the work.
 #[derive(Debug, Default)]
-pub(super) struct Outbox {
+pub(super) struct AgentLink {
     pub(super) connection: Connection,
     /// The newest link that was heard of.
     newest: LinkId,
@@ -42,13 +42,13 @@
 impl Core {
     /// An application does the work: commands reach it without a link.
     pub fn run_without_link(&mut self) {
-        self.outbox.connection = Connection::Direct;
+        self.agent_link.connection = Connection::Direct;
     }
 
     /// Says something on the link that is up: the one place that does. Returns how far it got; nothing where there is no
     /// link.
-    pub(super) fn say(&mut self, command: Command) -> Option<(LinkId, u64)> {
-        let (link, number) = match &mut self.outbox.connection {
+    pub(super) fn send_command(&mut self, command: Command) -> Option<(LinkId, u64)> {
+        let (link, number) = match &mut self.agent_link.connection {
             Connection::Down => {
                 self.counters.commands_without_link += 1;
                 return None;
@@ -61,28 +61,28 @@
     }
 
     /// Says something about a run, or notes it for the next link; unless a rule forbids it.
-    pub(super) fn say_of(&mut self, id: RequestId, command: Command) {
-        let Some(live) = self.live.get(&id) else { return };
-        let about = About {
-            said: live.said,
-            is_answered: live.conn.is_none(),
-            repeat: self.site.settings.classes[live.class].repeat,
-            cursor: live.call.cursor,
+    pub(super) fn send_run_command(&mut self, id: RequestId, command: Command) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let about = CommandContext {
+            said: request.sent,
+            is_answered: request.conn.is_none(),
+            repeat: self.site.settings.classes[request.class].repeat,
+            cursor: request.call.cursor,
         };
         if let Some(violation) = Violation::of(&command, &about) {
-            let handle = live.handle;
+            let handle = request.handle;
             return self.report_violation(violation, handle);
         }
-        let sent = self.say(command.clone());
-        if let (Connection::Up(session), Some((_, number))) = (&mut self.outbox.connection, sent) {
+        let sent = self.send_command(command.clone());
+        if let (Connection::Up(session), Some((_, number))) = (&mut self.agent_link.connection, sent) {
             session.await_acknowledgement(number, id);
         }
-        let Some(live) = self.live.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
         if sent.is_some() {
-            live.said.note(&command);
+            request.sent.note(&command);
         }
         let delivery = sent.map_or(Delivery::Unsent, |(link, number)| Delivery::Sent { link, number });
-        live.pending = Some(Pending { command, delivery });
+        request.pending = Some(PendingCommand { command, delivery });
     }
 
     fn report_violation(&mut self, violation: Violation, handle: Handle) {
@@ -91,44 +91,44 @@
     }
 
     /// Asks the agent to acknowledge what was said since the last time, one question at a time.
-    pub(super) fn ask_for_acknowledgement(&mut self) {
-        let Connection::Up(session) = &mut self.outbox.connection else { return };
+    pub(super) fn request_acknowledgement(&mut self) {
+        let Connection::Up(session) = &mut self.agent_link.connection else { return };
         if !session.is_to_ask() {
             return;
         }
-        let live = &self.live;
-        session.clean_up(2 * live.len() + SPARE_UNACKNOWLEDGED, |id| live.contains_key(&id));
+        let requests = &self.requests;
+        session.clean_up(2 * requests.len() + SPARE_UNACKNOWLEDGED, |id| requests.contains_key(&id));
         let question = session.next_question();
-        self.say(Command::Acknowledge(question));
+        self.send_command(Command::Acknowledge(question));
     }
 
     /// The agent has read all that was said on a link before a question.
     pub(super) fn acknowledged(&mut self, link: LinkId, question: u64) {
-        let Some(session) = self.outbox.connection.session_of(link) else { return };
+        let Some(session) = self.agent_link.connection.session_of(link) else { return };
         for (number, id) in session.acknowledged(question) {
-            if let Some(live) = self.live.get_mut(&id) {
-                live.pending.take_if(|pending| pending.delivery == Delivery::Sent { link, number });
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.pending.take_if(|pending| pending.delivery == Delivery::Sent { link, number });
             }
         }
     }
 
     /// All that the agent had told before this link is read.
     pub(super) fn synced(&mut self, now: Duration, link: LinkId) {
-        if self.outbox.connection.session_of(link).is_some() {
+        if self.agent_link.connection.session_of(link).is_some() {
             self.recover(now);
         }
     }
 
     /// A link is over.
     pub(super) fn link_closed(&mut self, now: Duration, link: LinkId, end: LinkEnd) {
-        self.outbox.newest = self.outbox.newest.max(link);
+        self.agent_link.newest = self.agent_link.newest.max(link);
         if let LinkEnd::Broken { .. } = end {
             self.counters.links_lost += 1;
         }
-        if self.outbox.connection.session_of(link).is_none() {
+        if self.agent_link.connection.session_of(link).is_none() {
             return;
         }
-        self.outbox.connection = Connection::Down;
+        self.agent_link.connection = Connection::Down;
         let (in_doubt, unsent) = self.settle_sent(now, link, end);
         if let LinkEnd::Broken { end, .. } = end {
             let word = end.as_str();
@@ -142,13 +142,13 @@
     /// how many wait for a link.
     fn settle_sent(&mut self, now: Duration, link: LinkId, end: LinkEnd) -> (usize, usize) {
         let (mut in_doubt, mut unsent) = (0, 0);
-        for (id, live) in &mut self.live {
-            let Some(pending) = &mut live.pending else { continue };
+        for (id, request) in &mut self.requests {
+            let Some(pending) = &mut request.pending else { continue };
             if let Delivery::Sent { link: sent_on, number } = pending.delivery {
                 if sent_on == link {
                     match end {
                         LinkEnd::Clean { read } if number <= read => {
-                            live.pending = None;
+                            request.pending = None;
                             continue;
                         }
                         LinkEnd::Broken { written, .. } if number <= written => {
@@ -161,9 +161,9 @@
                         }
                         // It was dropped: it is said again from here, if it is still wanted then.
                         LinkEnd::Clean { .. } | LinkEnd::Broken { .. } => {
-                            live.said.forget(&pending.command);
+                            request.sent.forget(&pending.command);
                             // Of a launch that repeats one, the earlier one may have been heard.
-                            pending.delivery = match pending.is_launch() && live.said.has_launched() {
+                            pending.delivery = match pending.is_launch() && request.sent.has_launched() {
                                 true => Delivery::InDoubt,
                                 false => Delivery::Unsent,
                             };
@@ -179,35 +179,36 @@
 
     /// The agent has greeted on a link: what was never written is said now, where it is still wanted.
     pub(super) fn link_greeted(&mut self, now: Duration, link: LinkId) {
-        if link <= self.outbox.newest {
+        if link <= self.agent_link.newest {
             self.counters.stale_notices += 1;
             return;
         }
-        self.outbox.newest = link;
-        if let Connection::Up(before) = &self.outbox.connection {
+        self.agent_link.newest = link;
+        if let Connection::Up(before) = &self.agent_link.connection {
             // Its end was not told yet: whatever was said on it may have been written.
             let end = LinkEnd::Broken { end: End::Broken, written: u64::MAX };
             let before = before.link;
             self.settle_sent(now, before, end);
         }
-        self.outbox.connection = Connection::Up(Session::new(link));
-        for id in self.ids_where(Pending::is_unsent) {
-            let Some(live) = self.live.get_mut(&id) else { continue };
-            let Some(pending) = live.pending.take() else { continue };
-            match (live.conn.is_some(), pending.is_launch()) {
+        self.agent_link.connection = Connection::Up(Session::new(link));
+        for id in self.ids_where(PendingCommand::is_unsent) {
+            let Some(request) = self.requests.get_mut(&id) else { continue };
+            let Some(pending) = request.pending.take() else { continue };
+            match (request.conn.is_some(), pending.is_launch()) {
                 // Proven: nothing of it was ever said.
                 (false, true) => self.run_ended(now, id, End::Unknown, None, None),
-                _ => self.say_of(id, pending.command),
+                _ => self.send_run_command(id, pending.command),
             }
         }
         // All that was told since the last link comes before the answer to this.
-        self.say(Command::Sync);
+        self.send_command(Command::Sync);
     }
 
     /// Requests whose last command stands so, in the order in which they came.
-    fn ids_where(&self, is_so: impl Fn(&Pending) -> bool) -> Vec<RequestId> {
-        let is_so = |live: &Live| live.pending.as_ref().is_some_and(&is_so);
-        let mut ids: Vec<_> = self.live.iter().filter(|(_, l)| is_so(l)).map(|(id, _)| *id).collect();
+    fn ids_where(&self, is_so: impl Fn(&PendingCommand) -> bool) -> Vec<RequestId> {
+        let is_so = |request: &ActiveRequest| request.pending.as_ref().is_some_and(&is_so);
+        let mut ids: Vec<_> =
+            self.requests.iter().filter(|(_, request)| is_so(request)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
--- a/src/core/delivery/pending.rs
+++ b/src/core/delivery/pending.rs
@@ -8,7 +8,7 @@
 
 /// The last command about a run, as long as nothing shows that it was heard.
 #[derive(Clone, Debug, PartialEq)]
-pub(in crate::core) struct Pending {
+pub(in crate::core) struct PendingCommand {
     pub(in crate::core) command: Command,
     pub(super) delivery: Delivery,
 }
@@ -24,7 +24,7 @@
     InDoubt,
 }
 
-impl Pending {
+impl PendingCommand {
     /// The command's name and how far it got, for the log.
     pub(in crate::core) fn describe(&self) -> String {
         let name = self.command.name_and_handle().map_or("none", |(name, _)| name);
@@ -55,14 +55,14 @@
 
 /// What was said about a run, for the rules that bind every command.
 #[derive(Clone, Copy, Debug, Default)]
-pub(in crate::core) struct Said {
+pub(in crate::core) struct SentCommands {
     /// Launches that were written.
     launches: u32,
     /// The notice that asked for the last call whose reply was written.
     replied: Option<u64>,
 }
 
-impl Said {
+impl SentCommands {
     /// A launch was written.
     pub(super) fn has_launched(self) -> bool {
         self.launches > 0
@@ -102,8 +102,8 @@
 }
 
 /// What the rules look at beside the command.
-pub(super) struct About {
-    pub(super) said: Said,
+pub(super) struct CommandContext {
+    pub(super) said: SentCommands,
     pub(super) is_answered: bool,
     pub(super) repeat: Repeat,
     /// The notice of the last call that the run asked for.
@@ -112,7 +112,7 @@
 
 impl Violation {
     /// The rule that a command breaks, if it breaks any.
-    pub(super) fn of(command: &Command, about: &About) -> Option<Self> {
+    pub(super) fn of(command: &Command, about: &CommandContext) -> Option<Self> {
         let said = about.said;
         match command {
             Command::Launch { .. } if about.is_answered => Some(Self::LaunchAfterAnswer),
--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use super::pending::Pending;
+use super::pending::PendingCommand;
 use crate::core::types::*;
-use crate::core::{Core, End, Live, Phase};
+use crate::core::{ActiveRequest, Core, End, Phase};
 use crate::interface::{Event, Outcome, Repeat, RequestId, Way};
 
 /// Runs that a line of the log names at most.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED: usize = 8;
 /// Runs of answered requests whose launch is in doubt that are waited for at most, for the sake of later tries.
-const MOST_ANSWERED_ORPHANS: usize = 1024;
+const MAX_ANSWERED_ORPHANS: usize = 1024;
 
 /// What is done about a command in doubt, once all that the agent told before the next link is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,34 +43,34 @@
     /// All that the agent told before this link is known: what is still in doubt is settled.
     pub(super) fn recover(&mut self, now: Duration) {
         let mut done = Vec::new();
-        for id in self.ids_where(Pending::is_in_doubt) {
-            let Some(live) = self.live.get(&id) else { continue };
-            let Some(pending) = &live.pending else { continue };
-            let repeat = self.site.settings.classes[live.class].repeat;
-            let recovery = Recovery::of(&pending.command, live.conn.is_none(), repeat);
-            done.push((live.handle, recovery));
+        for id in self.ids_where(PendingCommand::is_in_doubt) {
+            let Some(request) = self.requests.get(&id) else { continue };
+            let Some(pending) = &request.pending else { continue };
+            let repeat = self.site.settings.classes[request.class].repeat;
+            let recovery = Recovery::of(&pending.command, request.conn.is_none(), repeat);
+            done.push((request.handle, recovery));
             self.carry_out(now, id, recovery);
         }
         if !done.is_empty() {
-            let named: Vec<_> = done.iter().take(MOST_NAMED).map(|(h, r)| format!("{h} {r:?}")).collect();
+            let named: Vec<_> = done.iter().take(MAX_NAMED).map(|(h, r)| format!("{h} {r:?}")).collect();
             let text = format!("{} commands in doubt are settled: {}", done.len(), named.join(", "));
             self.effects.push(Effect::Log(text));
         }
     }
 
     fn carry_out(&mut self, now: Duration, id: RequestId, recovery: Recovery) {
-        let Some(live) = self.live.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
         match recovery {
             Recovery::Repeat => {
-                let Some(pending) = live.pending.take() else { return };
+                let Some(pending) = request.pending.take() else { return };
                 self.counters.commands_repeated += 1;
-                self.say_of(id, pending.command);
+                self.send_run_command(id, pending.command);
             }
             Recovery::AwaitRun => self.orphan(now, id),
             // A timer ends the wait (`reply_in_doubt`).
             Recovery::AwaitReply => {}
             Recovery::Abandon => {
-                let pending = live.pending.take();
+                let pending = request.pending.take();
                 if pending.is_some_and(|pending| pending.is_launch()) {
                     self.orphan_answered(now, id);
                 }
@@ -81,12 +81,12 @@
     /// A reply has been in doubt for so long that its run is taken to wait for it: its caller gets a failure, by which the
     /// run ends where it waits. Its slot and its memory are free once the agent tells so.
     pub(in crate::core) fn reply_in_doubt(&mut self, now: Duration, id: RequestId, cursor: u64) {
-        let is_it = |pending: &Pending| {
+        let is_it = |pending: &PendingCommand| {
             pending.is_in_doubt()
                 && matches!(pending.command, Command::Deliver { cursor: c, .. } if c == cursor)
         };
-        let Some(live) = self.live.get(&id) else { return };
-        if live.conn.is_some() && live.pending.as_ref().is_some_and(is_it) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.conn.is_some() && request.pending.as_ref().is_some_and(is_it) {
             self.events.push_back(Event::Withdrawn { id });
             self.fail(now, id);
         }
@@ -95,11 +95,11 @@
     /// The run may never have begun: the module's slot is free again, and the caller waits on, up to the deadline of its
     /// answer.
     fn orphan(&mut self, now: Duration, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        live.is_orphan = true;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.is_orphan = true;
         // Nothing more is said of it: the doubt is settled as far as it can be.
-        live.pending = None;
-        let took = now.saturating_sub(live.began);
+        request.pending = None;
+        let took = now.saturating_sub(request.began);
         self.counters.runs_orphaned += 1;
         self.events.push_back(Event::Finished { id, outcome: Outcome::Reset, took });
     }
@@ -107,38 +107,39 @@
     /// The same for an answered request: what its run may yet tell is for later tries of its key. Where it has none, or many
     /// are waited for already, the run is taken to be lost; its key stays taken.
     pub(in crate::core) fn orphan_answered(&mut self, now: Duration, id: RequestId) {
-        let waited_for = self.live.values().filter(|live| live.is_orphan && live.conn.is_none()).count();
-        let Some(live) = self.live.get_mut(&id) else { return };
-        if live.key.is_none() || waited_for > MOST_ANSWERED_ORPHANS {
+        let waited_for =
+            self.requests.values().filter(|request| request.is_orphan && request.conn.is_none()).count();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.key.is_none() || waited_for > MAX_ANSWERED_ORPHANS {
             return self.run_ended(now, id, End::Broken, None, None);
         }
-        live.body = Bytes::from([]);
-        if !live.is_orphan {
+        request.body = Bytes::from([]);
+        if !request.is_orphan {
             self.orphan(now, id);
         }
     }
 
     /// The run goes on without the call that it asks for, or its caller gets a failure: the module is not asked.
-    pub(in crate::core) fn go_without_call(&mut self, now: Duration, id: RequestId) {
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let (handle, cursor) = (live.handle, live.call.cursor);
-        match self.live.get(&id).is_some_and(|live| self.may_skip(live)) {
+    pub(in crate::core) fn continue_without_call(&mut self, now: Duration, id: RequestId) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (handle, cursor) = (request.handle, request.call.cursor);
+        match self.requests.get(&id).is_some_and(|request| self.may_skip(request)) {
             true => {
-                if let Some(live) = self.live.get_mut(&id) {
-                    live.phase = Phase::Running;
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.phase = Phase::Running;
                 }
-                self.say_of(id, Command::Forgo { handle, cursor });
+                self.send_run_command(id, Command::Forgo { handle, cursor });
             }
             false => self.fail(now, id),
         }
     }
 
     /// The request may be answered without its call.
-    fn may_skip(&self, live: &Live) -> bool {
-        let class = &self.site.settings.classes[live.class];
-        let way = self.way_of(live.class);
+    fn may_skip(&self, request: &ActiveRequest) -> bool {
+        let class = &self.site.settings.classes[request.class];
+        let way = self.route_state(request.class);
         class.skip_worth > 0.0
             && way != Way::Shut
-            && live.route.as_ref().is_none_or(|route| route.allows_skipping())
+            && request.route.as_ref().is_none_or(|route| route.allows_skipping())
     }
 }
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -9,9 +9,9 @@
 use crate::interface::RequestId;
 
 /// Keys remembered at most; beyond that, requests with new keys are turned away.
-const MOST_KEYS: usize = 50_000;
+const MAX_KEYS: usize = 50_000;
 /// Bytes of results kept at most; beyond that the oldest are dropped, but never their keys.
-const MOST_RESULT_BYTES: usize = 16 << 20;
+const MAX_RESULT_BYTES: usize = 16 << 20;
 /// A try is taken to have come within a window up to this long after its end.
 pub(super) const MARGIN: Duration = Duration::from_secs(1);
 
@@ -72,7 +72,7 @@
 
     /// Its key is known, or there is room for one more.
     pub fn has_room_for(&self, key: &Key) -> bool {
-        self.entries.len() < MOST_KEYS || self.is_known(key)
+        self.entries.len() < MAX_KEYS || self.is_known(key)
     }
 
     /// The key stands for something else: no try of what `what` is the digest of.
@@ -147,7 +147,7 @@
         self.result_bytes -= kept(Some(ran));
         ran.result = result;
         self.result_bytes += kept(Some(ran));
-        if self.result_bytes > MOST_RESULT_BYTES {
+        if self.result_bytes > MAX_RESULT_BYTES {
             self.drop_results();
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,16 +8,16 @@
 mod answers;
 mod arrivals;
 mod call_history;
+mod call_routes;
 mod calls;
 mod counters;
 mod delivery;
 mod end;
 mod error;
 pub mod keys;
-mod leaving;
-mod retune;
-mod routed;
+mod reload;
 mod runs;
+mod shutdown;
 mod succession;
 mod types;
 
@@ -33,25 +33,25 @@
 pub use call_history::ReplyDigest;
 use calls::CallState;
 pub use counters::Counters;
-use delivery::{Outbox, Pending, Said};
+use delivery::{AgentLink, PendingCommand, SentCommands};
 pub use end::End;
 pub use error::CoreError;
 use keys::Keys;
 pub use types::*;
 
 /// Gauges that were asked for are waited for this long; the module's clockwork must not stop without them.
-const SAMPLE_PATIENCE: Duration = Duration::from_millis(20);
+const SAMPLE_TIMEOUT: Duration = Duration::from_millis(20);
 /// Gauges older than this are no longer passed on.
-const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
+const SAMPLE_MAX_AGE: Duration = Duration::from_millis(500);
 /// Time between two looks for keys that can be forgotten.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Something that the reducer is to be woken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Module(u64),
-    SampleLate(u64),
-    CallLate(RequestId, u32),
+    SampleOverdue(u64),
+    CallOverdue(RequestId, u32),
     RunLost(RequestId),
     ReplyInDoubt(RequestId, u64),
     Sweep,
@@ -70,7 +70,7 @@
 
 /// A request whose answer or run is still open.
 #[derive(Debug)]
-struct Live {
+struct ActiveRequest {
     /// Where the answer goes; none once it was given.
     conn: Option<ConnId>,
     handle: Handle,
@@ -85,54 +85,54 @@
     began: Duration,
     call: CallState,
     /// What its route depends on, where the fleet routes calls.
-    route: Option<Box<routed::Subject>>,
+    route: Option<Box<call_routes::RouteKey>>,
     /// The last command about this run, until something shows that it was heard.
-    pending: Option<Pending>,
+    pending: Option<PendingCommand>,
     /// What was said about it so far.
-    said: Said,
+    sent: SentCommands,
     /// Its launch is in doubt for good, and the module was told that it is over.
     is_orphan: bool,
 }
 
 /// The reducer's state.
 pub struct Core {
-    brain: Brain,
+    engine: Brain,
     site: Site,
     seed: u64,
     stop_after: Duration,
     next_id: RequestId,
-    live: HashMap<RequestId, Live>,
+    requests: HashMap<RequestId, ActiveRequest>,
     handles: HashMap<Handle, RequestId>,
     keys: Keys,
     timers: BinaryHeap<Reverse<(Duration, Timer)>>,
     /// Events that carrying out actions gave rise to.
     events: VecDeque<Event>,
     /// The ticket of the gauges last asked for, and the timer tokens that wait for them.
-    ticket: u64,
-    waiting_ticks: Vec<u64>,
+    sample_ticket: u64,
+    waiting_timers: Vec<u64>,
     gauges: (Duration, Gauges),
-    greeted: bool,
-    outbox: Outbox,
+    has_agent_greeted: bool,
+    agent_link: AgentLink,
     /// The number of the last attempt at a call, over all requests: one that comes again under its name has others.
     last_attempt: u32,
     /// Each call below is answered on a connection of its own: no reply can be taken for that to another call.
-    tells_replies_apart: bool,
+    has_dedicated_call_connections: bool,
     /// Classes that the site has no more, and until when requests of them are taken.
     served_until: BTreeMap<usize, Duration>,
-    partner: succession::Partner,
+    peer: succession::PeerState,
     /// How the calls of each class stand, where the fleet routes them.
-    ways: Option<routed::Ways>,
+    routes: Option<call_routes::ClassRoutes>,
     healthy: bool,
     /// Operators want callers kept away.
     standby: bool,
     /// What reports to the control plane say: callers may come.
-    listed: bool,
+    reported_ready: bool,
     signal: Option<f64>,
     /// The answers that are owed, and until when.
     deadlines: AnswerDeadlines,
-    drain: Option<leaving::Drain>,
+    drain: Option<shutdown::Drain>,
     grace_over: bool,
-    left: bool,
+    has_exited: bool,
     counters: Counters,
     effects: Vec<Effect>,
 }
@@ -143,7 +143,7 @@
     /// # Errors
     /// [`CoreError`] where nothing can be decided with its settings.
     pub fn new(site: Site, seed: u64, stop_after: Duration, now: Duration) -> Result<Self, CoreError> {
-        let settings = leaving::with_grace_from_reading(site.settings.clone());
+        let settings = shutdown::with_grace_from_reading(site.settings.clone());
         let brain = Brain::new(settings, seed, now)?;
         let mut core = Self {
             brain,
@@ -151,33 +151,33 @@
             seed,
             stop_after,
             next_id: 1,
-            live: HashMap::new(),
+            requests: HashMap::new(),
             handles: HashMap::new(),
             keys: Keys::default(),
             timers: BinaryHeap::new(),
             events: VecDeque::new(),
-            ticket: 0,
-            waiting_ticks: Vec::new(),
+            sample_ticket: 0,
+            waiting_timers: Vec::new(),
             gauges: (Duration::ZERO, Gauges::default()),
-            greeted: false,
-            outbox: Outbox::default(),
+            has_agent_greeted: false,
+            agent_link: AgentLink::default(),
             last_attempt: 0,
-            tells_replies_apart: false,
+            has_dedicated_call_connections: false,
             served_until: BTreeMap::new(),
-            partner: succession::Partner::default(),
-            ways: None,
+            peer: succession::PeerState::default(),
+            routes: None,
             healthy: true,
             standby: false,
-            listed: true,
+            reported_ready: true,
             signal: None,
             deadlines: AnswerDeadlines::default(),
             drain: None,
             grace_over: false,
-            left: false,
+            has_exited: false,
             counters: Counters::default(),
             effects: Vec::new(),
         };
-        core.arm(now + SWEEP, Timer::Sweep);
+        core.arm(now + SWEEP_INTERVAL, Timer::Sweep);
         Ok(core)
     }
 
@@ -200,23 +200,23 @@
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Effect> {
         let mut actions = Vec::new();
         for input in inputs {
-            self.take(now, input, &mut actions);
-            self.settle_events(now, &mut actions);
+            self.handle_input(now, input, &mut actions);
+            self.process_events(now, &mut actions);
         }
         while self.next_armed().is_some_and(|at| at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
-            self.fire(now, timer, &mut actions);
-            self.settle_events(now, &mut actions);
+            self.handle_timer(now, timer, &mut actions);
+            self.process_events(now, &mut actions);
         }
-        self.keep_deadlines(now);
-        self.settle_events(now, &mut actions);
-        self.brain.decide(now, &mut actions);
-        self.settle_events(now, &mut actions);
-        self.leave_when_done();
-        self.ask_for_acknowledgement();
-        let listed = self.takes_callers() && (self.drain.is_none() || self.partner.yields);
-        if std::mem::replace(&mut self.listed, listed) != listed {
-            self.effects.push(Effect::ReportReadiness(listed));
+        self.answer_overdue_requests(now);
+        self.process_events(now, &mut actions);
+        self.engine.decide(now, &mut actions);
+        self.process_events(now, &mut actions);
+        self.exit_when_done();
+        self.request_acknowledgement();
+        let ready = self.accepts_clients() && (self.drain.is_none() || self.peer.has_taken_over);
+        if std::mem::replace(&mut self.reported_ready, ready) != ready {
+            self.effects.push(Effect::ReportReadiness(ready));
         }
         let effects = std::mem::take(&mut self.effects);
         self.counters.commands += effects.iter().filter(|e| matches!(e, Effect::Agent { .. })).count() as u64;
@@ -224,8 +224,8 @@
     }
 
     /// Whether callers are wanted here. While another process serves on, they are to hear of that one.
-    fn takes_callers(&self) -> bool {
-        (self.healthy || self.partner.yields) && !self.standby
+    fn accepts_clients(&self) -> bool {
+        (self.healthy || self.peer.has_taken_over) && !self.standby
     }
 
     fn arm(&mut self, at: Duration, timer: Timer) {
@@ -233,25 +233,25 @@
     }
 
     /// Carries out actions, and hands the module the events that they cause, until none is left.
-    fn settle_events(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn process_events(&mut self, now: Duration, actions: &mut Vec<Action>) {
         loop {
             for action in std::mem::take(actions) {
-                self.act(now, action);
+                self.perform(now, action);
             }
             let Some(event) = self.events.pop_front() else { return };
-            self.brain.on_event(now, event, actions);
+            self.engine.on_event(now, event, actions);
         }
     }
 
     // ---- Inputs -------------------------------------------------------------------------------------
 
-    fn take(&mut self, now: Duration, input: Input, actions: &mut Vec<Action>) {
+    fn handle_input(&mut self, now: Duration, input: Input, actions: &mut Vec<Action>) {
         match input {
-            Input::Request(request) => self.arrived(now, *request),
+            Input::Request(request) => self.handle_request(now, *request),
             // Deep or not, a check hears what the module set: it watches whether work gets done.
             Input::HealthCheck { conn, .. } => {
                 self.counters.checks += 1;
-                let good = self.takes_callers();
+                let good = self.accepts_clients();
                 let verdict = if good { Verdict::Healthy } else { Verdict::Unhealthy };
                 self.answer(conn, verdict);
             }
@@ -259,19 +259,21 @@
             Input::AnswerWriteFailed(end) => self.counters.unsent(end),
             Input::ViolationBlocked => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
-            Input::Agent { link, notice } => self.agent(now, link, notice),
+            Input::Agent { link, notice } => self.handle_notice(now, link, notice),
             Input::CallEnded { handle, attempt, end, reply, fence } => {
-                self.went_out(handle, fence);
+                self.note_sent_fence(handle, fence);
                 self.call_ended(now, handle, attempt, end, reply);
             }
-            Input::RouteStates(ways) => self.take_ways(ways),
-            Input::CallLimits(routes) => self.take_allows(routes),
-            Input::CallRouteChanged { handle, attempt, limits } => self.goes_by(handle, attempt, limits),
+            Input::RouteStates(ways) => self.set_route_states(ways),
+            Input::CallLimits(routes) => self.set_call_limits(routes),
+            Input::CallRouteChanged { handle, attempt, limits } => {
+                self.change_call_limits(handle, attempt, limits)
+            }
             Input::Drain { signalled_at } => {
                 self.hand_over_before_leaving();
                 self.drain(now, signalled_at);
             }
-            Input::Succession(word) => self.succession(now, word),
+            Input::Succession(word) => self.handle_succession(now, word),
             Input::Standby(on) => {
                 if std::mem::replace(&mut self.standby, on) != on {
                     let what = if on { "callers are kept away" } else { "callers are taken again" };
@@ -279,8 +281,8 @@
                 }
             }
             Input::Reload { site, stop_after } => {
-                self.retune(now, *site);
-                self.retune_stop(now, stop_after);
+                self.reload(now, *site);
+                self.move_stop(now, stop_after);
             }
             Input::Query { ticket, query } => {
                 let lines = match query {
@@ -295,7 +297,7 @@
             Input::LogCounters => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
         }
         if !self.events.is_empty() {
-            self.settle_events(now, actions);
+            self.process_events(now, actions);
         }
     }
 
@@ -306,20 +308,21 @@
     }
 
     fn status(&self) -> Vec<(String, String)> {
-        let in_phase = |phase| self.live.values().filter(|l| l.phase == phase).count().to_string();
+        let in_phase =
+            |phase| self.requests.values().filter(|request| request.phase == phase).count().to_string();
         let yes_no = |yes| if yes { "yes" } else { "no" }.to_string();
         let lines = [
             ("healthy", yes_no(self.healthy)),
             ("kept_away", yes_no(self.standby)),
             ("leaving", yes_no(self.drain.is_some())),
-            ("linked", yes_no(self.outbox.connection.is_up())),
+            ("linked", yes_no(self.agent_link.connection.is_up())),
             ("unanswered", self.deadlines.len().to_string()),
             ("held", in_phase(Phase::Held)),
             ("running", in_phase(Phase::Running)),
             ("at_call", in_phase(Phase::AtCall)),
             ("joined", in_phase(Phase::Joined)),
-            ("passed_on", self.deadlines.passed_on().len().to_string()),
-            ("awaited", self.partner.awaited().to_string()),
+            ("passed_on", self.deadlines.forwarded().len().to_string()),
+            ("awaited", self.peer.awaited().to_string()),
             ("keys", self.keys.len().to_string()),
             ("classes", self.site.class_names.len().to_string()),
             ("timers", self.timers.len().to_string()),
@@ -330,33 +333,35 @@
 
     // ---- Timers -------------------------------------------------------------------------------------
 
-    fn fire(&mut self, now: Duration, timer: Timer, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now: Duration, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::Module(token) => {
-                self.waiting_ticks.push(token);
-                self.ticket += 1;
-                if self.outbox.connection.is_up() {
-                    self.say(Command::Sample { ticket: self.ticket });
-                    self.arm(now + SAMPLE_PATIENCE, Timer::SampleLate(self.ticket));
+                self.waiting_timers.push(token);
+                self.sample_ticket += 1;
+                if self.agent_link.connection.is_up() {
+                    self.send_command(Command::Sample { ticket: self.sample_ticket });
+                    self.arm(now + SAMPLE_TIMEOUT, Timer::SampleOverdue(self.sample_ticket));
                 } else {
-                    self.tick_without_sample(now);
+                    self.deliver_timers_without_sample(now);
                 }
             }
-            Timer::SampleLate(ticket) => {
-                if ticket == self.ticket && !self.waiting_ticks.is_empty() {
+            Timer::SampleOverdue(ticket) => {
+                if ticket == self.sample_ticket && !self.waiting_timers.is_empty() {
                     self.counters.late_samples += 1;
-                    self.tick_without_sample(now);
+                    self.deliver_timers_without_sample(now);
                 }
             }
-            Timer::CallLate(id, attempt) => {
-                let is_out = |live: &&Live| live.call.is_out(attempt);
-                if let Some(handle) = self.live.get(&id).filter(is_out).map(|live| live.handle) {
+            Timer::CallOverdue(id, attempt) => {
+                let is_in_progress = |request: &&ActiveRequest| request.call.is_in_progress(attempt);
+                if let Some(handle) =
+                    self.requests.get(&id).filter(is_in_progress).map(|request| request.handle)
+                {
                     self.effects.push(Effect::CancelCall { handle, attempt });
                     self.call_ended(now, handle, attempt, End::Overdue, None);
                 }
             }
             Timer::RunLost(id) => {
-                if self.live.get(&id).is_some_and(|l| l.conn.is_none()) {
+                if self.requests.get(&id).is_some_and(|request| request.conn.is_none()) {
                     self.run_ended(now, id, End::Broken, None, None);
                 }
             }
@@ -364,57 +369,57 @@
             Timer::Sweep => {
                 let lateness = self.longest_wait();
                 self.keys.sweep(now, lateness);
-                self.hand_over_late(now);
+                self.hand_over_if_awaited(now);
                 // Requests that state a long wait and are answered at once leave their timers behind.
-                let live = &self.live;
+                let requests = &self.requests;
                 self.timers.retain(|Reverse((_, timer))| match timer {
-                    Timer::RunLost(id) | Timer::CallLate(id, _) | Timer::ReplyInDoubt(id, _) => {
-                        live.contains_key(id)
+                    Timer::RunLost(id) | Timer::CallOverdue(id, _) | Timer::ReplyInDoubt(id, _) => {
+                        requests.contains_key(id)
                     }
                     _ => true,
                 });
-                self.arm(now + SWEEP, Timer::Sweep);
+                self.arm(now + SWEEP_INTERVAL, Timer::Sweep);
             }
             Timer::DrainGrace => self.end_grace(),
         }
-        self.settle_events(now, actions);
+        self.process_events(now, actions);
     }
 
     /// Hands the module its timers although no new gauges came; old ones are no longer passed on.
-    fn tick_without_sample(&mut self, now: Duration) {
-        if now.saturating_sub(self.gauges.0) > SAMPLE_LIFETIME {
+    fn deliver_timers_without_sample(&mut self, now: Duration) {
+        if now.saturating_sub(self.gauges.0) > SAMPLE_MAX_AGE {
             self.gauges.1 = Gauges::default();
         }
-        self.tick();
+        self.deliver_timers();
     }
 
     /// Hands the module its timers, with the gauges as they are.
-    fn tick(&mut self) {
+    fn deliver_timers(&mut self) {
         let gauges = self.gauges.1;
-        let tokens = self.waiting_ticks.drain(..);
+        let tokens = self.waiting_timers.drain(..);
         self.events.extend(tokens.map(|token| Event::Timer { token, gauges }));
     }
 
     // ---- Actions ------------------------------------------------------------------------------------
 
-    fn act(&mut self, now: Duration, action: Action) {
+    fn perform(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Start(id) => self.start(now, id),
+            Action::Start(id) => self.start_run(now, id),
             Action::Refuse { id, retry_after, no_retry } => self.refuse(now, id, retry_after, no_retry),
             Action::Fail(id) => self.fail(now, id),
             Action::Preempt(id) => self.preempt(id),
-            Action::Call { id, give_up_after } => self.call(now, id, give_up_after),
+            Action::Call { id, give_up_after } => self.make_call(now, id, give_up_after),
             Action::SkipCall(id) => {
                 self.skip_call(id);
             }
             Action::Join(id) => self.join(now, id),
             Action::Remember { id, lifetime } => {
-                if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
+                if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
                     self.keys.remember(key, id, now + lifetime);
                 }
             }
             Action::Forget(id) => {
-                if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
+                if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
                     self.keys.forget(key, id);
                 }
             }
--- a/src/core/retune.rs
+++ b/src/core/reload.rs
@@ -12,7 +12,7 @@
 impl Core {
     /// Other settings for the same life. A class is known by its name and keeps its place: open requests are of
     /// it. One that is dropped is still served for as long as callers that learn late may bring tries of it.
-    pub(super) fn retune(&mut self, now: Duration, new: Site) {
+    pub(super) fn reload(&mut self, now: Duration, new: Site) {
         let before = std::mem::replace(&mut self.site, new);
         let (names, classes) = (&mut self.site.class_names, &mut self.site.settings.classes);
         let told: Vec<_> = names.drain(..).zip(classes.drain(..)).collect();
@@ -32,8 +32,8 @@
                 continue;
             }
             // The place of one that is gone for good serves again: names may come and go for ever.
-            let live = &self.live;
-            let is_free = |at: &usize| live.values().all(|l| l.class != *at);
+            let requests = &self.requests;
+            let is_free = |at: &usize| requests.values().all(|request| request.class != *at);
             let gone = self.served_until.iter().filter(|(_, until)| **until < now).map(|(at, _)| *at);
             match gone.into_iter().find(is_free) {
                 Some(at) => {
@@ -68,8 +68,8 @@
                 tenants.push(tenant);
             }
         }
-        self.brain.retune(self.module_settings(), &fresh);
-        self.tell_ways();
+        self.engine.retune(self.module_settings(), &fresh);
+        self.report_route_states();
         self.effects.push(Effect::Relink);
     }
 }
--- a/src/core/leaving.rs
+++ b/src/core/shutdown.rs
@@ -18,7 +18,7 @@
 /// The kill comes at the earliest this long after the deployment's longest deadline has gone by since the notice, ...
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// ... which counts as no more than this.
-const MOST_DEADLINE: Duration = Duration::from_secs(3);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
 
 /// What counts from the sending of a signal is taken to be so much shorter where it is counted from the reading.
 fn from_reading(span: Duration) -> Duration {
@@ -33,7 +33,7 @@
 /// The time from a notice to the earliest kill: as the configuration tells it, or as the site's deadlines allow it.
 fn earliest_kill(stop_after: Duration, site: &Site) -> Duration {
     let deadlines = site.settings.kept_classes().map(|(_, class)| class.give_up);
-    let longest = deadlines.max().map_or(MOST_DEADLINE, |longest| longest.min(MOST_DEADLINE));
+    let longest = deadlines.max().map_or(MAX_DEADLINE, |longest| longest.min(MAX_DEADLINE));
     stop_after.min(longest + KILL_AFTER_DEADLINE)
 }
 
@@ -55,7 +55,7 @@
         let noticed = noticed.min(now);
         let kill_after = earliest_kill(self.stop_after, &self.site);
         let until_close = kill_after.saturating_sub(CLOSE_TIME);
-        if self.partner.yields {
+        if self.peer.has_taken_over {
             // No notice to leave the fleet: another process serves on. What is here ends, the rest is passed on.
             self.grace_over = true;
             self.arm(noticed + until_close, Timer::DrainGrace);
@@ -76,7 +76,7 @@
     }
 
     /// Other settings may let the kill come earlier. While leaving, nothing moves it later.
-    pub(super) fn retune_stop(&mut self, now: Duration, stop_after: Duration) {
+    pub(super) fn move_stop(&mut self, now: Duration, stop_after: Duration) {
         self.stop_after = stop_after;
         let Some(drain) = self.drain else { return };
         let stop = drain.noticed + from_reading(earliest_kill(stop_after, &self.site));
@@ -100,17 +100,18 @@
         self.effects.push(Effect::StopListening);
         if !self.deadlines.is_empty() {
             let owed = self.deadlines.len();
-            let orphans = self.live.values().filter(|live| live.is_orphan && live.conn.is_some()).count();
+            let orphans =
+                self.requests.values().filter(|request| request.is_orphan && request.conn.is_some()).count();
             self.effects.push(Effect::Log(format!(
                 "the grace is over: {owed} answers owed, {orphans} of them by runs whose launch is in doubt, {} by another process",
-                self.deadlines.passed_on().len()
+                self.deadlines.forwarded().len()
             )));
         }
     }
 
     /// Leaves once the grace is over and all that was read is answered.
-    pub(super) fn leave_when_done(&mut self) {
-        if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.left, true) {
+    pub(super) fn exit_when_done(&mut self) {
+        if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.has_exited, true) {
             self.effects.push(Effect::Exit);
         }
     }
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -11,7 +11,7 @@
 use super::answer_deadlines::Owner;
 use super::keys::MARGIN;
 use super::types::*;
-use super::{leaving, Core, SWEEP};
+use super::{shutdown, Core, SWEEP_INTERVAL};
 use crate::interface::{Repeat, RequestId, Settings};
 
 /// Why a new process does not get the keys at once.
@@ -20,93 +20,95 @@
 
 /// What a reducer knows of the other process.
 #[derive(Default)]
-pub(super) struct Partner {
+pub(super) struct PeerState {
     /// Requests here that wait for a run of the old process, by the id that stands for it.
-    waits: HashMap<RequestId, Vec<RequestId>>,
+    waiters: HashMap<RequestId, Vec<RequestId>>,
     /// The keys of these runs. The table of keys may forget one before the old process tells of its end.
-    open: HashMap<Key, RequestId>,
+    open_keys: HashMap<Key, RequestId>,
     /// A new process decides: what comes is passed on to it.
-    pub(super) yields: bool,
+    pub(super) has_taken_over: bool,
     /// The process that decides lives on, but nothing can be passed on to it any more.
-    lost: bool,
+    is_unreachable: bool,
     /// The old process has handed all keys over.
-    complete: bool,
+    has_all_keys: bool,
     /// Two processes live that may call below: each keeps to half of the server's share.
-    pub(super) halves: bool,
+    pub(super) is_running: bool,
     /// The new process went away: tries that came up to then may repeat what it ran, and nobody here knows of.
     barred_until: Duration,
     /// The next new process asked for the keys while some are missing here that the one before ran.
-    is_awaited: bool,
+    successor_waits: bool,
 }
 
-impl Partner {
+impl PeerState {
     /// This process is to take over, and the keys of the one before are not here yet.
     fn awaits_keys(&self) -> bool {
-        self.halves && !self.yields && !self.complete
+        self.is_running && !self.has_taken_over && !self.has_all_keys
     }
 
     /// Runs of the old process that it has not told the end of.
     pub(super) fn awaited(&self) -> usize {
-        self.waits.len()
+        self.waiters.len()
     }
 }
 
 impl Core {
-    pub(super) fn succession(&mut self, now: Duration, word: Succession) {
+    pub(super) fn handle_succession(&mut self, now: Duration, word: Succession) {
         match word {
             Succession::Key(state) => {
                 let id = self.new_id();
                 if state.open {
-                    self.partner.waits.insert(id, Vec::new());
-                    if let Some(before) = self.partner.open.insert(state.key.clone(), id) {
-                        self.partner.waits.remove(&before);
+                    self.peer.waiters.insert(id, Vec::new());
+                    if let Some(before) = self.peer.open_keys.insert(state.key.clone(), id) {
+                        self.peer.waiters.remove(&before);
                     }
                 }
                 let until = self.plausible_end(now, state.until);
                 self.keys.import(KeyState { until, ..state }, id);
             }
             Succession::KeysComplete { standby } => {
-                self.partner.complete = true;
+                self.peer.has_all_keys = true;
                 // A drain ends when operators say so, not with a new version.
                 self.standby |= standby;
                 self.effects.push(Effect::Listen);
             }
-            Succession::KeyResolved { key, ran, result } => self.settled(now, &key, ran, result),
+            Succession::KeyResolved { key, ran, result } => {
+                self.resolve_predecessor_key(now, &key, ran, result)
+            }
             // Some keys are missing here, and it runs them: it decides, and this process does not.
-            Succession::PredecessorDisconnected if !self.partner.complete => {
+            Succession::PredecessorDisconnected if !self.peer.has_all_keys => {
                 self.effects.push(Effect::AbortTakeover)
             }
             Succession::PredecessorDisconnected => self.end_waits(now),
-            Succession::PredecessorRunning => self.halve_calls(true),
+            Succession::PredecessorRunning => self.set_call_share_halved(true),
             Succession::PredecessorExited => {
-                self.halve_calls(false);
+                self.set_call_share_halved(false);
                 self.end_waits(now);
                 self.effects.push(Effect::PeerExited);
             }
             Succession::HandoverRequested => {
-                self.partner.is_awaited = true;
+                self.peer.successor_waits = true;
                 match self.lacks_keys(now) && self.drain.is_none() {
                     true => self.effects.push(Effect::Log(LACKS_KEYS.into())),
                     false => self.hand_over(),
                 }
             }
             Succession::ForwardedAnswer { conn, answer } => {
-                if self.deadlines.is_passed_on(conn) {
-                    self.give(conn, Answer { close: true, ..answer });
+                if self.deadlines.is_forwarded(conn) {
+                    self.send_answer(conn, Answer { close: true, ..answer });
                 }
             }
             // Nothing was handed over to it.
-            Succession::SuccessorDisconnected | Succession::SuccessorExited if !self.partner.yields => {
-                self.partner.is_awaited = false;
+            Succession::SuccessorDisconnected | Succession::SuccessorExited if !self.peer.has_taken_over => {
+                self.peer.successor_waits = false;
             }
             // It runs keys that nobody here hears of: nothing may begin here until it is gone.
-            Succession::SuccessorDisconnected => self.give_up_partner(),
+            Succession::SuccessorDisconnected => self.abandon_successor(),
             Succession::SuccessorExited => {
-                (self.partner.yields, self.partner.lost) = (false, false);
-                self.halve_calls(false);
-                self.fail_passed_on();
+                (self.peer.has_taken_over, self.peer.is_unreachable) = (false, false);
+                self.set_call_share_halved(false);
+                self.fail_forwarded();
                 let windows = self.site.settings.classes.iter().map(|c| c.window);
-                self.partner.barred_until = now + windows.max().unwrap_or_default();
+                self.peer.barred_until = now + windows.max().unwrap_or_default();
                 self.effects.push(Effect::PeerExited);
             }
         }
@@ -114,16 +116,16 @@
 
     /// A process that went away may have run keys that are unknown here, and tries of them may come, or be read, yet.
     fn lacks_keys(&self, now: Duration) -> bool {
-        let until = self.partner.barred_until;
+        let until = self.peer.barred_until;
         !until.is_zero() && now <= until + self.longest_wait()
     }
 
     /// Hands all keys to a new process, which decides from then on.
     fn hand_over(&mut self) {
-        self.partner.is_awaited = false;
-        self.partner.yields = true;
-        self.halve_calls(true);
-        let awaited = &self.partner.open;
+        self.peer.successor_waits = false;
+        self.peer.has_taken_over = true;
+        self.set_call_share_halved(true);
+        let awaited = &self.peer.open_keys;
         let is_open = |key: &KeyState| key.open || awaited.contains_key(&key.key);
         let keys =
             self.keys.export().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
@@ -131,15 +133,15 @@
     }
 
     /// Hands over to a process that waits for the keys, once none are missing any more.
-    pub(super) fn hand_over_late(&mut self, now: Duration) {
-        if self.partner.is_awaited && !self.lacks_keys(now) {
+    pub(super) fn hand_over_if_awaited(&mut self, now: Duration) {
+        if self.peer.successor_waits && !self.lacks_keys(now) {
             self.hand_over();
         }
     }
 
     /// A process that leaves takes its keys along: one that waits for them has those that are known at least.
     pub(super) fn hand_over_before_leaving(&mut self) {
-        if self.partner.is_awaited {
+        if self.peer.successor_waits {
             self.hand_over();
         }
     }
@@ -149,7 +151,7 @@
     fn plausible_end(&self, now: Duration, until: Duration) -> Duration {
         let windows = self.site.settings.classes.iter().map(|class| class.window);
         let latest = now + windows.max().unwrap_or_default() + MARGIN;
-        let is_stale = until + self.longest_wait() + 2 * SWEEP < now;
+        let is_stale = until + self.longest_wait() + 2 * SWEEP_INTERVAL < now;
         if is_stale {
             return latest;
         }
@@ -157,44 +159,44 @@
     }
 
     /// The dependency survives the shares of all servers: two processes of one server have one share together.
-    fn halve_calls(&mut self, halves: bool) {
-        if std::mem::replace(&mut self.partner.halves, halves) != halves {
-            self.brain.retune(self.module_settings(), &[]);
+    fn set_call_share_halved(&mut self, is_halved: bool) {
+        if std::mem::replace(&mut self.peer.is_running, is_halved) != is_halved {
+            self.engine.retune(self.module_settings(), &[]);
         }
     }
 
     /// The settings as they hold for this process's module.
     pub(super) fn module_settings(&self) -> Settings {
-        let mut settings = leaving::with_grace_from_reading(self.site.settings.clone());
-        settings.call_share *= if self.partner.halves { 0.5 } else { 1.0 };
+        let mut settings = shutdown::with_grace_from_reading(self.site.settings.clone());
+        settings.call_share *= if self.peer.is_running { 0.5 } else { 1.0 };
         settings
     }
 
     /// What the old process had open has ended, or ends unheard: the keys stay taken.
     fn end_waits(&mut self, now: Duration) {
-        let unheard: Vec<_> = self.partner.open.drain().map(|(key, _)| key).collect();
-        let mut waiters: Vec<_> = self.partner.waits.drain().flat_map(|(_, waiters)| waiters).collect();
+        let unheard: Vec<_> = self.peer.open_keys.drain().map(|(key, _)| key).collect();
+        let mut waiters: Vec<_> = self.peer.waiters.drain().flat_map(|(_, waiters)| waiters).collect();
         waiters.sort_unstable();
         waiters.into_iter().for_each(|id| self.end_join(now, id, None));
-        unheard.iter().for_each(|key| self.settle_key(key));
+        unheard.iter().for_each(|key| self.report_resolved_key(key));
     }
 
     /// The process that decides is asked nothing any more; what it was asked gets an answer here.
-    pub(super) fn give_up_partner(&mut self) {
-        self.partner.lost = self.partner.yields;
-        self.fail_passed_on();
+    pub(super) fn abandon_successor(&mut self) {
+        self.peer.is_unreachable = self.peer.has_taken_over;
+        self.fail_forwarded();
     }
 
     /// What was passed on may have run there, and its answer will not come.
-    fn fail_passed_on(&mut self) {
-        for conn in self.deadlines.passed_on() {
+    fn fail_forwarded(&mut self) {
+        for conn in self.deadlines.forwarded() {
             self.answer(conn, Verdict::Failed);
         }
     }
 
     /// Passes a request on to the process that decides now.
-    pub(super) fn pass_on(&mut self, now: Duration, request: Request) {
-        if self.partner.lost || self.deadlines.has_ended(now) {
+    pub(super) fn forward(&mut self, now: Duration, request: Request) {
+        if self.peer.is_unreachable || self.deadlines.has_ended(now) {
             self.counters.refused += 1;
             let refusal = Verdict::Refused { retry_after: Duration::ZERO, no_retry: false };
             return self.answer(request.conn, refusal);
@@ -209,30 +211,30 @@
 
     /// A request with a key must not be run while a process that went away may have run another try of it.
     /// What counts is when a try came, however late it is read.
-    pub(super) fn is_barred(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
+    pub(super) fn may_have_run_elsewhere(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
         let is_unknown = key.is_none_or(|k| self.keys.run_of(k).is_none());
-        keyed && is_unknown && (start <= self.partner.barred_until || self.partner.awaits_keys())
+        keyed && is_unknown && (start <= self.peer.barred_until || self.peer.awaits_keys())
     }
 
     /// Has a request wait for a run of the old process; false if that is not one.
-    pub(super) fn wait_for_partner(&mut self, run: RequestId, id: RequestId) -> bool {
-        self.partner.waits.get_mut(&run).map(|waiters| waiters.push(id)).is_some()
+    pub(super) fn join_predecessor_run(&mut self, run: RequestId, id: RequestId) -> bool {
+        self.peer.waiters.get_mut(&run).map(|waiters| waiters.push(id)).is_some()
     }
 
     /// The last try of a key has left: the process that decides is told what came of it, unless a process before this one
     /// has yet to tell.
-    pub(super) fn settle_key(&mut self, key: &Key) {
-        let is_awaited = self.partner.open.contains_key(key);
-        if self.partner.yields && !is_awaited && !self.keys.is_open(key) {
+    pub(super) fn report_resolved_key(&mut self, key: &Key) {
+        let is_awaited = self.peer.open_keys.contains_key(key);
+        if self.peer.has_taken_over && !is_awaited && !self.keys.is_open(key) {
             let (ran, result) = (self.keys.run_of(key).is_some(), self.keys.result(key));
             self.effects.push(Effect::KeyResolved { key: key.clone(), ran, result });
         }
     }
 
-    fn settled(&mut self, now: Duration, key: &Key, ran: bool, result: Option<Bytes>) {
-        let Some(run) = self.partner.open.remove(key) else { return };
-        let Some(waiters) = self.partner.waits.remove(&run) else { return };
+    fn resolve_predecessor_key(&mut self, now: Duration, key: &Key, ran: bool, result: Option<Bytes>) {
+        let Some(run) = self.peer.open_keys.remove(key) else { return };
+        let Some(waiters) = self.peer.waiters.remove(&run) else { return };
         match ran {
             true => self.keys.end_run(key, run, result.clone()),
             false => self.keys.cancel_run(key, run),
@@ -240,11 +242,15 @@
         for id in waiters {
             if !ran {
                 // Nothing of this key ever ran: these tries are free to go elsewhere, or to come again.
-                self.settle(now, id, Verdict::Refused { retry_after: Duration::ZERO, no_retry: false });
+                self.answer_request(
+                    now,
+                    id,
+                    Verdict::Refused { retry_after: Duration::ZERO, no_retry: false },
+                );
             }
             self.end_join(now, id, result.clone());
         }
         // This process may have handed over meanwhile, and the next one awaits the same run.
-        self.settle_key(key);
+        self.report_resolved_key(key);
     }
 }
