--- a/src/core/answers.rs
+++ b/src/core/answers.rs
@@ -83,7 +83,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(conn) = request.conn.take() else { return };
         let class = &self.site.class_names[request.class];
-        self.effects.extend(request.route.as_ref().map(|r| r.counted(now, class, &verdict)));
+        self.effects.extend(request.route.as_ref().map(|r| r.count_effect(now, class, &verdict)));
         match &verdict {
             Verdict::Served(_) => self.counters.served += 1,
             Verdict::Refused { .. } => self.counters.refused += 1,
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -46,7 +46,7 @@
         if key.as_ref().is_some_and(|k| self.may_be_forgotten(now, k, start)) && now < due {
             self.counters.failed += 1;
             let class = &self.site.class_names[class];
-            self.effects.extend(route.map(|r| r.counted(now, class, &Verdict::Failed)));
+            self.effects.extend(route.map(|r| r.count_effect(now, class, &Verdict::Failed)));
             return self.answer(request.conn, Verdict::Failed);
         }
         if key.as_ref().is_some_and(|k| !self.keys.has_room_for(k))
@@ -55,7 +55,7 @@
             self.counters.refused += 1;
             let refusal = Verdict::Refused { retry_after: Duration::ZERO, no_retry: false };
             let class = &self.site.class_names[class];
-            self.effects.extend(route.map(|r| r.counted(now, class, &refusal)));
+            self.effects.extend(route.map(|r| r.count_effect(now, class, &refusal)));
             return self.answer(request.conn, refusal);
         }
         let tenant = self.tenant(request.tenant.as_deref());
--- a/src/core/call_history.rs
+++ b/src/core/call_history.rs
@@ -1,22 +1,22 @@
-//! What earlier calls of a request leave behind below.
+//! The replies to earlier calls of a request, which may still arrive late or again.
 //!
-//! A reply from below names its request and not its call, and it may come late, twice and over any connection. So a request
-//! remembers what may still come for its earlier calls. A further call is made only where each of their replies is known:
-//! then a copy of one is told by its content, and everything else is the reply to the call that is out.
+//! A reply from the dependency names its request but not its call, and it may arrive late, twice and over any connection. So
+//! each request records the replies to its earlier calls. A further call is made only if all of these replies are known:
+//! then a copy is recognised by its content, and any other reply belongs to the call in progress.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::End;
 
-/// Replies of one request that are remembered: it makes no further calls then.
+/// Maximum number of replies that are recorded for a request; after that, it makes no further calls.
 const MAX_REPLIES: usize = 1024;
 
-/// A digest of a reply that went well, by which a copy of it is told.
+/// A digest of a successful reply, used to recognise copies of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyDigest(u64);
 
 impl ReplyDigest {
-    /// Of a reply's bytes.
+    /// Returns the digest of a reply.
     pub fn of(reply: &[u8]) -> Self {
         let mut hasher = DefaultHasher::new();
         reply.hash(&mut hasher);
@@ -27,48 +27,49 @@
 /// The replies to the calls of one request so far.
 #[derive(Debug, Default)]
 pub(super) struct CallHistory {
-    /// Replies that went well.
+    /// Digests of the successful replies.
     replies: Vec<ReplyDigest>,
-    /// Other ends that the service told.
-    told: Vec<End>,
-    /// An attempt at an earlier call ended without a reply that is known to be its own.
-    owes_earlier: bool,
-    /// The same for the call at which the run is.
-    owes_current: bool,
+    /// Other ends that the dependency reported by a status line.
+    statuses: Vec<End>,
+    /// An attempt at an earlier call ended without a reply that is known to belong to it.
+    misses_earlier_reply: bool,
+    /// The same for the current call of the run.
+    misses_current_reply: bool,
 }
 
 impl CallHistory {
-    /// The run asks for its next call.
+    /// Records that the run requests its next call.
     pub(super) fn begin_call(&mut self) {
-        self.owes_earlier |= std::mem::take(&mut self.owes_current);
+        self.misses_earlier_reply |= std::mem::take(&mut self.misses_current_reply);
     }
 
-    /// Whatever comes next below for this request can be told from what may still come for its earlier calls.
+    /// Whether the reply to another call can be distinguished from the replies that may still arrive for earlier calls.
     pub(super) fn allows_call(&self) -> bool {
-        !self.owes_earlier && self.replies.len() < MAX_REPLIES
+        !self.misses_earlier_reply && self.replies.len() < MAX_REPLIES
     }
 
-    /// Replies of which copies may come.
+    /// Replies of which copies may still arrive.
     pub(super) fn replies(&self) -> &[ReplyDigest] {
         &self.replies
     }
 
-    /// An attempt was given up.
-    pub(super) fn gave_up(&mut self) {
-        self.owes_current = true;
+    /// Records that an attempt was cancelled.
+    pub(super) fn abandoned(&mut self) {
+        self.misses_current_reply = true;
     }
 
-    /// An attempt brought a reply that went well.
+    /// Records the successful reply to an attempt.
     pub(super) fn replied(&mut self, reply: &[u8]) {
         self.replies.push(ReplyDigest::of(reply));
     }
 
-    /// An attempt ended in another way. Returns whether that end is known to be its own, and no copy of an earlier one.
+    /// Records that an attempt ended in another way. Returns whether this end is known to belong to the attempt, rather than
+    /// being a copy of an earlier one.
     pub(super) fn ended(&mut self, end: End) -> bool {
-        let is_repeated = self.told.contains(&end);
-        self.owes_current |= is_repeated || end.may_leave_late_reply();
+        let is_repeated = self.statuses.contains(&end);
+        self.misses_current_reply |= is_repeated || end.may_leave_late_reply();
         if end.is_service_status() && !is_repeated {
-            self.told.push(end);
+            self.statuses.push(end);
         }
         !is_repeated
     }
--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -1,4 +1,5 @@
-//! What the reducer keeps of requests whose calls the fleet routes. Nothing of it is there where routes are off.
+//! The fleet's routes, as far as the reducer needs them: the state and the call limits of each class, and what the route of
+//! each request depends on. None of it exists where routes are off.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,63 +12,65 @@
 use crate::fleet::routing::{Allowed, Allows, Call};
 use crate::interface::{self, Event, RequestId, Way};
 
-/// What the fleet says of the calls of each class, by its name.
+/// What the fleet reports about the calls of each class, by the name of the class.
 #[derive(Debug, Default)]
 pub(super) struct ClassRoutes {
-    stand: HashMap<String, Way>,
-    allow: HashMap<String, LimitsOfClass>,
+    states: HashMap<String, Way>,
+    limits: HashMap<String, LimitsOfClass>,
 }
 
-/// What the routes of a class allow.
+/// The call limits of a class.
 #[derive(Debug, Default)]
 struct LimitsOfClass {
-    all: Option<Allowed>,
+    /// The limits of the class's own route.
+    default: Option<Allowed>,
+    /// The limits of routes for single tenants, by the name of the tenant.
     tenants: HashMap<String, Allowed>,
 }
 
 impl ClassRoutes {
-    /// The tenant's own route, else the class's.
-    fn allowed(&self, class: &str, tenant: Option<&str>) -> Option<Allowed> {
-        let of = self.allow.get(class)?;
-        tenant.and_then(|tenant| of.tenants.get(tenant)).copied().or(of.all)
+    /// The call limits of the tenant's own route or, if it has none, of the class's route.
+    fn limits(&self, class: &str, tenant: Option<&str>) -> Option<Allowed> {
+        let limits = self.limits.get(class)?;
+        tenant.and_then(|tenant| limits.tenants.get(tenant)).copied().or(limits.default)
     }
 }
 
-/// What a request's route depends on.
+/// What the route of a request depends on, and what is known of it.
 #[derive(Debug)]
 pub(super) struct RouteKey {
     tenant: Option<Arc<str>>,
-    /// What draws its arm: its object, else its key, else its own name.
+    /// What the experiment arm is drawn from: the request's object, or else its key, or else its handle.
     subject: Vec<u8>,
-    /// What a call of it went out under last.
-    tried: Option<Fence>,
-    /// What its route allows, as the module was told.
-    allowed: Option<Allowed>,
-    /// Served by then, it was served within its aim.
-    aim: Duration,
+    /// The fence under which a call of the request was last sent.
+    last_fence: Option<Fence>,
+    /// The call limits of the route, as reported to the decision module.
+    limits: Option<Allowed>,
+    /// The request must be served by then to count as served in time.
+    target_time: Duration,
 }
 
 impl RouteKey {
-    /// Its route lets its request be answered without a call.
+    /// Whether the route allows the request to be answered without its call.
     pub(super) fn allows_skipping(&self) -> bool {
-        self.allowed.is_none_or(|allowed| allowed.without)
+        self.limits.is_none_or(|limits| limits.without)
     }
 
-    /// For a call of its request, which is of this class.
+    /// Describes a call of the request, which is of this class, to the fleet's routing.
     pub(super) fn call(&self, class: &str) -> Call {
         Call {
             class: class.to_string(),
             tenant: self.tenant.as_deref().map(str::to_string),
             subject: self.subject.clone(),
-            tried: self.tried,
-            allowed: self.allowed,
+            tried: self.last_fence,
+            allowed: self.limits,
         }
     }
 
-    /// How its request is counted that is answered now.
-    pub(super) fn counted(&self, now: Duration, class: &str, verdict: &Verdict) -> Effect {
+    /// The effect that counts the request for an experiment, answered now with this verdict.
+    pub(super) fn count_effect(&self, now: Duration, class: &str, verdict: &Verdict) -> Effect {
         let kind = match verdict {
-            Verdict::Served(_) if now <= self.aim => Kind::Served,
+            Verdict::Served(_) if now <= self.target_time => Kind::Served,
             Verdict::Served(_) => Kind::Late,
             Verdict::Refused { .. } => Kind::TurnedAway,
             _ => Kind::Failed,
@@ -76,13 +79,13 @@
     }
 }
 
-/// As the module hears it.
-fn told(id: RequestId, Allowed { tries, without }: Allowed) -> Event {
+/// The event that reports the call limits of a request to the decision module.
+fn limits_event(id: RequestId, Allowed { tries, without }: Allowed) -> Event {
     Event::Allowed { id, allowed: interface::Allowed { tries, without } }
 }
 
 impl Core {
-    /// What the route of a request depends on that came at `start`; nothing where routes are off.
+    /// What the route of a request that arrived at `start` depends on; `None` where routes are off.
     pub(super) fn route_key(
         &self,
         request: &Request,
@@ -95,79 +98,88 @@
             (None, None) => request.handle.to_string().into_bytes(),
         };
         let class = &self.site.settings.classes[class];
-        let more = request.cost.unwrap_or_default().as_secs_f64() * class.wanted_stretch.max(0.0);
-        let more = Duration::try_from_secs_f64(more).unwrap_or_default();
-        let aim = start + (class.wanted + more).min(class.give_up);
-        Some(Box::new(RouteKey { tenant: request.tenant.clone(), subject, tried: None, allowed: None, aim }))
+        let extra = request.cost.unwrap_or_default().as_secs_f64() * class.wanted_stretch.max(0.0);
+        let extra = Duration::try_from_secs_f64(extra).unwrap_or_default();
+        let target_time = start + (class.wanted + extra).min(class.give_up);
+        Some(Box::new(RouteKey {
+            tenant: request.tenant.clone(),
+            subject,
+            last_fence: None,
+            limits: None,
+            target_time,
+        }))
     }
 
-    /// Notes what a call went out under, whatever came of it: a later one must not go out under another.
+    /// Records the fence under which a call was sent, however the call ended: a later call of the request must not be sent
+    /// under another one.
     pub(super) fn note_sent_fence(&mut self, handle: Handle, fence: Option<Fence>) {
         let request = self.handles.get(&handle).and_then(|id| self.requests.get_mut(id));
         if let (Some(fence), Some(route)) = (fence, request.and_then(|request| request.route.as_mut())) {
-            route.tried = Some(fence);
+            route.last_fence = Some(fence);
         }
     }
 
-    pub(super) fn set_route_states(&mut self, ways: Vec<(String, Way)>) {
-        self.routes.get_or_insert_default().stand = ways.into_iter().collect();
+    pub(super) fn set_route_states(&mut self, states: Vec<(String, Way)>) {
+        self.routes.get_or_insert_default().states = states.into_iter().collect();
         self.report_route_states();
     }
 
-    /// Other routes are in force. Requests whose call waits here go by them, if none of theirs went out.
+    /// Takes over the call limits of new routes. They hold also for requests whose call waits in this process and that have
+    /// not sent a call yet.
     pub(super) fn set_call_limits(&mut self, routes: Vec<Allows>) {
-        let allow = &mut self.routes.get_or_insert_default().allow;
-        allow.clear();
+        let by_class = &mut self.routes.get_or_insert_default().limits;
+        by_class.clear();
         for Allows { class, tenant, allowed } in routes {
-            let of = allow.entry(class).or_default();
+            let limits = by_class.entry(class).or_default();
             match tenant {
-                Some(tenant) => drop(of.tenants.insert(tenant, allowed)),
-                None => of.all = Some(allowed),
+                Some(tenant) => drop(limits.tenants.insert(tenant, allowed)),
+                None => limits.default = Some(allowed),
             }
         }
-        let wait = |request: &ActiveRequest| request.phase == Phase::AtCall && request.call.began.is_none();
+        let is_waiting =
+            |request: &ActiveRequest| request.phase == Phase::AtCall && request.call.began.is_none();
         let waiting: Vec<_> =
-            self.requests.iter().filter(|(_, request)| wait(request)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, request)| is_waiting(request)).map(|(id, _)| *id).collect();
         waiting.into_iter().for_each(|id| self.update_call_limits(id));
     }
 
-    /// Tells the module what the routes allow of a request of which no call went out yet: one that did has
-    /// its version.
+    /// Reports the current call limits of a request to the decision module, if no call of it was sent yet. A request that has
+    /// sent a call keeps the version of the routes under which it was sent.
     pub(super) fn update_call_limits(&mut self, id: RequestId) {
-        let (Some(ways), Some(request)) = (&self.routes, self.requests.get_mut(&id)) else { return };
-        let Some(route) = request.route.as_mut().filter(|route| route.tried.is_none()) else { return };
-        let allowed = ways.allowed(&self.site.class_names[request.class], route.tenant.as_deref());
-        if allowed.is_some() && route.allowed != allowed {
-            route.allowed = allowed;
-            self.events.extend(allowed.map(|allowed| told(id, allowed)));
+        let (Some(routes), Some(request)) = (&self.routes, self.requests.get_mut(&id)) else { return };
+        let Some(route) = request.route.as_mut().filter(|route| route.last_fence.is_none()) else { return };
+        let limits = routes.limits(&self.site.class_names[request.class], route.tenant.as_deref());
+        if limits.is_some() && route.limits != limits {
+            route.limits = limits;
+            self.events.extend(limits.map(|limits| limits_event(id, limits)));
         }
     }
 
-    /// A call goes out by another version than the module was told of: its request is of that one from here
-    /// on.
-    pub(super) fn change_call_limits(&mut self, handle: Handle, attempt: u32, allowed: Option<Allowed>) {
+    /// Handles a call that is sent under another version of the routes than was reported to the decision module: from here
+    /// on, the limits of that version hold for its request.
+    pub(super) fn change_call_limits(&mut self, handle: Handle, attempt: u32, limits: Option<Allowed>) {
         let Some(&id) = self.handles.get(&handle) else { return };
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.call.attempt == attempt)
         else {
             return;
         };
-        if let (Some(route), Some(allowed)) = (request.route.as_mut(), allowed) {
-            route.allowed = Some(allowed);
-            self.events.push_back(told(id, allowed));
+        if let (Some(route), Some(limits)) = (request.route.as_mut(), limits) {
+            route.limits = Some(limits);
+            self.events.push_back(limits_event(id, limits));
         }
     }
 
-    /// How the calls of a class stand.
+    /// The route state of a class.
     pub(super) fn route_state(&self, class: usize) -> Way {
-        let stand = self.routes.as_ref().and_then(|ways| ways.stand.get(&self.site.class_names[class]));
-        stand.copied().unwrap_or_default()
+        let state = self.routes.as_ref().and_then(|routes| routes.states.get(&self.site.class_names[class]));
+        state.copied().unwrap_or_default()
     }
 
-    /// Tells the module how the calls of its classes stand, where the fleet routes them.
+    /// Reports the route states of all classes to the decision module, where the fleet routes calls.
     pub(super) fn report_route_states(&mut self) {
-        let Some(ways) = &self.routes else { return };
+        let Some(routes) = &self.routes else { return };
         let names = self.site.class_names.iter();
-        let ways = names.map(|name| ways.stand.get(name).copied().unwrap_or_default()).collect();
-        self.events.push_back(Event::Ways(ways));
+        let states = names.map(|name| routes.states.get(name).copied().unwrap_or_default()).collect();
+        self.events.push_back(Event::Ways(states));
     }
 }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls below, one at a time for a run.
+//! Calls to the dependency: at most one at a time for each run.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use super::{Core, End, Phase, Timer};
 use crate::interface::{Event, Outcome, Repeat, RequestId};
 
-/// A call that the vault has not ended is given up this long after its time.
-const CALL_OVERDUE: Duration = Duration::from_millis(30);
+/// A call that the vault has not ended is cancelled this long after its timeout.
+const CALL_OVERDUE_MARGIN: Duration = Duration::from_millis(30);
 
-/// The call below that a run waits for, or waited for last.
+/// The call that a run waits for, or the last one that it waited for.
 #[derive(Debug)]
 pub(super) struct CallState {
-    /// The notice that asked for it; 0 before the first one.
+    /// The number of the notice that requested the call; 0 before the first call.
     pub(super) cursor: u64,
     body: Bytes,
     /// The number of the last attempt, counted over all calls of all requests.
     pub(super) attempt: u32,
-    /// When that attempt began, as long as it is out.
+    /// When that attempt began; `None` if no attempt is in progress.
     pub(super) began: Option<Duration>,
-    /// An attempt of the request was made before.
+    /// The request has made an attempt before.
     was_tried: bool,
     history: CallHistory,
 }
@@ -39,25 +39,25 @@
 }
 
 impl CallState {
-    /// The attempt of this number is out.
+    /// Whether the attempt with this number is in progress.
     pub(super) fn is_in_progress(&self, attempt: u32) -> bool {
         self.attempt == attempt && self.began.is_some()
     }
 }
 
 impl Core {
-    /// Each call below is answered on a connection of its own, with nothing else on it.
+    /// Declares that each call to the dependency has a connection of its own, which carries nothing else.
     pub fn use_dedicated_call_connections(&mut self) {
         self.has_dedicated_call_connections = true;
     }
 
-    /// A run asks for a call.
+    /// Handles a run's request for a call.
     pub(super) fn call_needed(&mut self, now: Duration, id: RequestId, cursor: u64, body: Bytes) {
         let Some(request) = self.requests.get(&id).filter(|request| request.call.cursor < cursor) else {
             return;
         };
         if matches!(request.phase, Phase::Held | Phase::Joined) {
-            return; // Not running as far as we know: nothing of ours asks.
+            return; // This process has not launched the run: the notice is not about its request.
         }
         self.cancel_call(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -75,7 +75,7 @@
         self.events.push_back(Event::CallNeeded { id });
     }
 
-    /// A reply to the call could not be told from one that an earlier call is still owed: it is not made.
+    /// Skips a call whose reply could not be distinguished from a late reply to an earlier call.
     fn skip_ambiguous_call(&mut self, now: Duration, id: RequestId) {
         self.counters.calls_ambiguous += 1;
         self.continue_without_call(now, id);
@@ -84,7 +84,7 @@
         }
     }
 
-    pub(super) fn make_call(&mut self, now: Duration, id: RequestId, give_up_after: Duration) {
+    pub(super) fn make_call(&mut self, now: Duration, id: RequestId, timeout: Duration) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase == Phase::AtCall)
         else {
             return;
@@ -95,11 +95,11 @@
         let (handle, attempt, body) = (request.handle, request.call.attempt, request.call.body.clone());
         let earlier = request.call.history.replies().into();
         let at_most_once = self.site.settings.classes[request.class].repeat != Repeat::Idempotent;
-        // A connection with a past may bring a late copy of this request's last reply, or be forgotten.
+        // On a connection that was used before, a late copy of this request's last reply may arrive, or the dependency may
+        // have dropped the connection.
         let fresh = std::mem::replace(&mut request.call.was_tried, true) || at_most_once;
         self.counters.calls_made += 1;
         let route = request.route.as_ref().map(|r| Box::new(r.call(&self.site.class_names[request.class])));
-        let timeout = give_up_after;
         self.effects.push(Effect::Call {
             handle,
             attempt,
@@ -110,7 +110,7 @@
             body,
             route,
         });
-        self.arm(now + give_up_after + CALL_OVERDUE, Timer::CallOverdue(id, attempt));
+        self.arm(now + timeout + CALL_OVERDUE_MARGIN, Timer::CallOverdue(id, attempt));
     }
 
     pub(super) fn call_ended(
@@ -138,10 +138,10 @@
             }
             (Outcome::Done, None) => Outcome::Error,
             (outcome, _) => {
-                let is_its_own = request.call.history.ended(end) || self.has_dedicated_call_connections;
+                let is_new = request.call.history.ended(end) || self.has_dedicated_call_connections;
                 let at_most_once = self.site.settings.classes[request.class].repeat != Repeat::Idempotent;
-                // A copy of an earlier word does not prove that this attempt never ran.
-                match at_most_once && outcome.never_ran() && !is_its_own {
+                // A copy of an earlier status line does not prove that this attempt never ran.
+                match at_most_once && outcome.never_ran() && !is_new {
                     true => Outcome::Error,
                     false => outcome,
                 }
@@ -153,7 +153,7 @@
         self.events.push_back(Event::CallEnded { id, outcome, took: now.saturating_sub(began) });
     }
 
-    /// The run goes on without its call.
+    /// Continues a run without its call.
     pub(super) fn skip_call(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.phase == Phase::AtCall)
         else {
@@ -162,7 +162,7 @@
         request.phase = Phase::Running;
         let command = Command::Forgo { handle: request.handle, cursor: request.call.cursor };
         self.counters.calls_skipped += 1;
-        // Its reply would reach the run at its next call.
+        // Otherwise the reply could be delivered to the run's next call.
         self.cancel_call(id);
         self.send_run_command(id, command);
     }
@@ -170,7 +170,7 @@
     pub(super) fn cancel_call(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.call.began.take().is_some() {
-            request.call.history.gave_up();
+            request.call.history.abandoned();
             let (handle, attempt) = (request.handle, request.call.attempt);
             self.effects.push(Effect::CancelCall { handle, attempt });
         }
--- a/src/core/counters.rs
+++ b/src/core/counters.rs
@@ -1,65 +1,65 @@
-//! What is counted.
+//! Counters of the reducer, for the log, the console and the metrics.
 
 use std::fmt;
 
 use super::End;
 
-/// Counts since the start.
+/// Counts since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Requests read.
+    /// Requests read; counter `taken_in`.
     pub requests_read: u64,
     /// Health checks read.
     pub checks: u64,
-    /// Input that is no request, or none that can be taken.
+    /// Inputs that are not requests, and invalid requests.
     pub rejected: u64,
-    /// Requests that repeat one with the same key.
+    /// Requests that repeat another one with the same key.
     pub repeats: u64,
-    /// Requests turned back because their key stands for another request.
+    /// Requests rejected because their key stands for another request.
     pub key_conflicts: u64,
-    /// Requests of a tenant that the settings do not name, at a site that has tenants.
+    /// Requests of a tenant that the settings do not name, at a site that has tenants; counter `strangers`.
     pub unknown_tenants: u64,
     /// Requests answered with a result.
     pub served: u64,
-    /// Of these, with the result of another try.
+    /// Requests answered with the result of another try; `served` includes them.
     pub joined: u64,
-    /// Requests turned away.
+    /// Requests refused.
     pub refused: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests that only the core's own timer answered.
+    /// Requests that the reducer itself answered at their deadline.
     pub overdue: u64,
     /// Commands sent to the agent.
     pub commands: u64,
-    /// Commands for which there was no link: noted for the next one, or dropped.
+    /// Commands for which there was no link: kept for the next link, or dropped.
     pub commands_without_link: u64,
-    /// Runs begun.
+    /// Runs launched.
     pub launched: u64,
-    /// Second runs of a key that the core did not let happen.
+    /// Second runs of a key that the reducer prevented.
     pub second_runs_barred: u64,
-    /// Calls made below.
+    /// Calls made to the dependency.
     pub calls_made: u64,
-    /// Calls left out.
+    /// Calls skipped.
     pub calls_skipped: u64,
-    /// Calls that were not made, as a reply to them could not be told from one that an earlier call is owed.
+    /// Calls that were not made because their reply could not be distinguished from a late reply to an earlier call.
     pub calls_ambiguous: u64,
-    /// Replies from below that were passed over: copies of earlier ones, or other requests'.
+    /// Replies from the dependency that were ignored: copies of earlier ones, or replies to other requests.
     pub stray_replies: u64,
     /// Links to the agent that broke.
     pub links_lost: u64,
-    /// Commands in doubt after a broken link that were said again, as that does no harm.
+    /// Commands in doubt after a broken link that were sent again, as that does no harm.
     pub commands_repeated: u64,
-    /// Runs that perhaps never began, as their launch was in doubt and must not be repeated.
+    /// Runs that may never have begun: their launch was in doubt and must not be repeated.
     pub runs_orphaned: u64,
-    /// Replies in doubt after a broken link: what their runs tell is waited for.
+    /// Replies in doubt after a broken link; the next notice about the run is awaited.
     pub replies_in_doubt: u64,
-    /// Commands that were not said as a rule forbids them, and answers that would have been a second one.
+    /// Commands that were not sent because a rule forbids them, and answers withheld for the same reason.
     pub violations: u64,
-    /// Notices of the agent that belong to a link which is over.
+    /// Notices from the agent that belong to a link which has ended.
     pub stale_notices: u64,
     /// Commands that the agent did not carry out.
     pub agent_refusals: u64,
-    /// Gauges that came too late for their timer.
+    /// Gauges that did not arrive before their timeout.
     pub late_samples: u64,
     runs: [u64; End::ALL.len()],
     calls: [u64; End::ALL.len()],
@@ -79,7 +79,7 @@
         self.unsent[end as usize] += 1;
     }
 
-    /// All counts by name, those by kind of end only where they are not zero.
+    /// All counters with their names. Counters for each kind of end are listed only if they are not zero.
     pub fn list(&self) -> Vec<(String, u64)> {
         let plain = [
             ("taken_in", self.requests_read),
--- a/src/core/end.rs
+++ b/src/core/end.rs
@@ -1,40 +1,40 @@
-//! Every way in which a run, a call or a connection can end.
+//! The ways in which a run, a call or a connection can end.
 
 use crate::interface::Outcome;
 
-/// How something on a connection ended.
+/// How a run, a call or a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
-    /// It went well.
+    /// It succeeded.
     Complete,
-    /// The other side says that it failed.
+    /// The peer reported a failure.
     Failed,
-    /// The run was stopped, or ended at a call because its request is over.
+    /// The run was stopped, or it ended at a call because its request has its answer.
     Cancelled,
-    /// Nothing was started.
+    /// There is no such run: nothing was started.
     Unknown,
-    /// Turned away unseen.
+    /// The dependency refused the call without looking at it: it never ran.
     NotNow,
-    /// It ran out of time.
+    /// It did not end before its timeout.
     Overdue,
-    /// No run waits for it: it never ran.
+    /// The dependency refused the call because no run waits for it: it never ran.
     Pointless,
-    /// No connection could be made: nothing ran.
+    /// No connection could be opened: nothing ran.
     Refused,
-    /// The connection broke after something was sent.
+    /// The connection broke after data was sent.
     Broken,
-    /// The other side sent what cannot be read.
+    /// The peer sent data that cannot be parsed.
     Malformed,
-    /// The other side stopped reading.
+    /// The peer stopped reading.
     Stalled,
-    /// This process has no right to make the call now: it never ran.
+    /// This process holds no lease, so it may not make the call now: it never ran.
     Barred,
-    /// The call belongs to an earlier version of the routes, here or at the service: it is not made any more.
+    /// The call belongs to an older version of the routes, as seen here or by the dependency: it is not made again.
     Stale,
 }
 
 impl End {
-    /// All of them.
+    /// All ends, in the order of the variants.
     pub const ALL: [Self; 13] = [
         Self::Complete,
         Self::Failed,
@@ -51,7 +51,7 @@
         Self::Stale,
     ];
 
-    /// What the module is told. Only an end that proves it may say that nothing ran.
+    /// The outcome for the decision module. Only ends that prove that nothing ran map to such an outcome.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::Complete => Outcome::Done,
@@ -67,17 +67,17 @@
         }
     }
 
-    /// A service below tells it by a word of its own, of which a copy may come.
+    /// Whether the dependency reports this end by a status line, of which a copy may arrive later.
     pub fn is_service_status(self) -> bool {
         matches!(self, Self::NotNow | Self::Failed | Self::Pointless | Self::Stale)
     }
 
-    /// A call that ended so may still get a reply.
+    /// Whether a reply to a call that ended this way may still arrive.
     pub fn may_leave_late_reply(self) -> bool {
         matches!(self, Self::Overdue | Self::Broken | Self::Malformed | Self::Stalled)
     }
 
-    /// Its word in the counters.
+    /// The name of this end in counters and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Complete => "complete",
--- a/src/core/error.rs
+++ b/src/core/error.rs
@@ -1,26 +1,27 @@
-//! Why there is no core.
+//! Errors on creating the reducer.
 
 use miette::Diagnostic;
 use thiserror::Error;
 
 use crate::interface::SettingsError;
 
-/// Why a core is not made. A configuration that was read has passed the same checks, and names the key.
+/// Why [`Core::new`](super::Core::new) failed. A configuration that was read from a file has passed the same checks, whose
+/// errors name the key.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum CoreError {
-    /// A server without cores runs nothing.
+    /// Without cores nothing can run.
     #[error("the settings name no cores")]
     #[diagnostic(help("name the cores of this server under specifics.cores"))]
     NoCores,
-    /// Without a class no request can be judged.
+    /// Without classes no request can be handled.
     #[error("the settings name no classes")]
     #[diagnostic(help("name one class of requests or more under profiles"))]
     NoClasses,
-    /// A figure is missing, negative or not finite.
+    /// A number is missing, negative or not finite.
     #[error("the setting {name} is not usable")]
     #[diagnostic(help("give this figure as a number that is not negative"))]
     BadFigure {
-        /// Which.
+        /// The name of the setting.
         name: &'static str,
     },
 }
