--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -1,14 +1,14 @@
-//! Delivery of commands to the agent: what was said, over which link, and what proves that it was heard.
+//! Delivery of commands to the agent: which commands were sent on which link, and which of them the agent has read.
 //!
-//! A link that breaks takes what was last said on it along, and nobody knows how much. What became of a command is
-//! proven by three observations only: a notice about its run, an acknowledgement of a later question that the agent
-//! answered on the same link, and that the command was never written. A run that shows no pause, or time that went by,
-//! proves nothing: a run that waits for its disk looks the same as one that does not exist. Where nothing is proven,
-//! [`recovery`] chooses what does no harm in either case.
+//! When a link breaks, the last commands on it may be lost, and it is not known how many. Only three observations prove what
+//! became of a command: a notice about its run, the agent's answer to a later acknowledgement request on the same link, or
+//! the fact that the command was never written. Neither elapsed time nor a run that seems to make no progress proves
+//! anything: a run that waits for its disk looks the same as one that does not exist. Where nothing is proven, [`recovery`]
+//! chooses an action that does no harm in either case.
 //!
-//! Every command names the link that it is meant for, and every notice the link that brought it. The reducer, the link's
-//! keeper and its reader run apart, and a link may be over, and the next ones too, before any of them hears of it: none
-//! of them infers the link of a message from the order in which messages come.
+//! Every command names the link that it is meant for, and every notice the link that delivered it. The reducer, the link
+//! manager and the link's reader run concurrently, and a link, even several in a row, may end before any of them is
+//! notified. So none of them infers the link of a message from the order of messages.
 
 mod pending;
 mod recovery;
@@ -26,27 +26,27 @@
 pub(super) use session::Connection;
 use session::Session;
 
-/// Commands without an acknowledgement that are kept beside those of open runs before the list is cleaned up.
+/// The list of unacknowledged commands is cleaned up when it has this many entries more than twice the active requests.
 const SPARE_UNACKNOWLEDGED: usize = 64;
-/// What a run tells is waited for so long where its last reply is in doubt.
-const REPLY_DOUBT: Duration = Duration::from_millis(500);
+/// How long a notice about a run is awaited if its last reply is in doubt.
+const REPLY_DOUBT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The way to whoever does the work.
+/// The connection to the agent, or to the application that does the work.
 #[derive(Debug, Default)]
 pub(super) struct AgentLink {
     pub(super) connection: Connection,
-    /// The newest link that was heard of.
+    /// The newest link of which a message was received.
     newest: LinkId,
 }
 
 impl Core {
-    /// An application does the work: commands reach it without a link.
+    /// Declares that an application does the work, which needs no link to an agent.
     pub fn run_without_link(&mut self) {
         self.agent_link.connection = Connection::Direct;
     }
 
-    /// Says something on the link that is up: the one place that does. Returns how far it got; nothing where there is no
-    /// link.
+    /// Sends a command on the current link. All commands are sent here. Returns the link and the number of the command, or
+    /// `None` if there is no link.
     pub(super) fn send_command(&mut self, command: Command) -> Option<(LinkId, u64)> {
         let (link, number) = match &mut self.agent_link.connection {
             Connection::Down => {
@@ -60,66 +60,66 @@
         Some((link, number))
     }
 
-    /// Says something about a run, or notes it for the next link; unless a rule forbids it.
+    /// Sends a command about a run, or keeps it for the next link, unless a rule forbids it.
     pub(super) fn send_run_command(&mut self, id: RequestId, command: Command) {
         let Some(request) = self.requests.get(&id) else { return };
-        let about = CommandContext {
-            said: request.sent,
+        let context = CommandContext {
+            sent: request.sent,
             is_answered: request.conn.is_none(),
             repeat: self.site.settings.classes[request.class].repeat,
             cursor: request.call.cursor,
         };
-        if let Some(violation) = Violation::of(&command, &about) {
+        if let Some(violation) = Violation::of(&command, &context) {
             let handle = request.handle;
             return self.report_violation(violation, handle);
         }
-        let sent = self.send_command(command.clone());
-        if let (Connection::Up(session), Some((_, number))) = (&mut self.agent_link.connection, sent) {
+        let sent_as = self.send_command(command.clone());
+        if let (Connection::Up(session), Some((_, number))) = (&mut self.agent_link.connection, sent_as) {
             session.await_acknowledgement(number, id);
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if sent.is_some() {
-            request.sent.note(&command);
+        if sent_as.is_some() {
+            request.sent.record(&command);
         }
-        let delivery = sent.map_or(Delivery::Unsent, |(link, number)| Delivery::Sent { link, number });
+        let delivery = sent_as.map_or(Delivery::Unsent, |(link, number)| Delivery::Sent { link, number });
         request.pending = Some(PendingCommand { command, delivery });
     }
 
     fn report_violation(&mut self, violation: Violation, handle: Handle) {
         self.counters.violations += 1;
-        self.effects.push(Effect::Log(format!("violation: {violation} was not said: {handle}")));
+        self.effects.push(Effect::Log(format!("violation: {violation} was not sent: {handle}")));
     }
 
-    /// Asks the agent to acknowledge what was said since the last time, one question at a time.
+    /// Requests an acknowledgement of the commands that were sent since the last one. Only one request is open at a time.
     pub(super) fn request_acknowledgement(&mut self) {
         let Connection::Up(session) = &mut self.agent_link.connection else { return };
-        if !session.is_to_ask() {
+        if !session.needs_acknowledgement() {
             return;
         }
         let requests = &self.requests;
         session.clean_up(2 * requests.len() + SPARE_UNACKNOWLEDGED, |id| requests.contains_key(&id));
-        let question = session.next_question();
-        self.send_command(Command::Acknowledge(question));
+        let request_number = session.next_acknowledgement_request();
+        self.send_command(Command::Acknowledge(request_number));
     }
 
-    /// The agent has read all that was said on a link before a question.
-    pub(super) fn acknowledged(&mut self, link: LinkId, question: u64) {
+    /// Handles an acknowledgement: the agent has read all commands on the link that precede the acknowledgement request.
+    pub(super) fn acknowledged(&mut self, link: LinkId, request_number: u64) {
         let Some(session) = self.agent_link.connection.session_of(link) else { return };
-        for (number, id) in session.acknowledged(question) {
+        for (number, id) in session.acknowledged(request_number) {
             if let Some(request) = self.requests.get_mut(&id) {
                 request.pending.take_if(|pending| pending.delivery == Delivery::Sent { link, number });
             }
         }
     }
 
-    /// All that the agent had told before this link is read.
+    /// Handles the end of synchronisation: all notices that the agent sent before this link have been received.
     pub(super) fn synced(&mut self, now: Duration, link: LinkId) {
         if self.agent_link.connection.session_of(link).is_some() {
             self.recover(now);
         }
     }
 
-    /// A link is over.
+    /// Handles the end of a link.
     pub(super) fn link_closed(&mut self, now: Duration, link: LinkId, end: LinkEnd) {
         self.agent_link.newest = self.agent_link.newest.max(link);
         if let LinkEnd::Broken { .. } = end {
@@ -129,18 +129,18 @@
             return;
         }
         self.agent_link.connection = Connection::Down;
-        let (in_doubt, unsent) = self.settle_sent(now, link, end);
+        let (in_doubt, unsent) = self.resolve_sent_commands(now, link, end);
         if let LinkEnd::Broken { end, .. } = end {
-            let word = end.as_str();
+            let reason = end.as_str();
             self.effects.push(Effect::Log(format!(
-                "link {link} to the agent lost ({word}): {in_doubt} commands in doubt, {unsent} not written"
+                "link {link} to the agent lost ({reason}): {in_doubt} commands in doubt, {unsent} not written"
             )));
         }
     }
 
-    /// Notes how far the commands got that were said on a link which is over. Returns how many commands are in doubt, and
+    /// Records how far the commands got that were sent on a link which has ended. Returns how many commands are in doubt, and
     /// how many wait for a link.
-    fn settle_sent(&mut self, now: Duration, link: LinkId, end: LinkEnd) -> (usize, usize) {
+    fn resolve_sent_commands(&mut self, now: Duration, link: LinkId, end: LinkEnd) -> (usize, usize) {
         let (mut in_doubt, mut unsent) = (0, 0);
         for (id, request) in &mut self.requests {
             let Some(pending) = &mut request.pending else { continue };
@@ -156,13 +156,13 @@
                             if let Command::Deliver { cursor, .. } = pending.command {
                                 self.counters.replies_in_doubt += 1;
                                 let timer = Timer::ReplyInDoubt(*id, cursor);
-                                self.timers.push(Reverse((now + REPLY_DOUBT, timer)));
+                                self.timers.push(Reverse((now + REPLY_DOUBT_TIMEOUT, timer)));
                             }
                         }
-                        // It was dropped: it is said again from here, if it is still wanted then.
+                        // It was dropped. It is sent again on the next link, if it is still needed then.
                         LinkEnd::Clean { .. } | LinkEnd::Broken { .. } => {
-                            request.sent.forget(&pending.command);
-                            // Of a launch that repeats one, the earlier one may have been heard.
+                            request.sent.retract(&pending.command);
+                            // If this launch repeats another one, the agent may have read that one.
                             pending.delivery = match pending.is_launch() && request.sent.has_launched() {
                                 true => Delivery::InDoubt,
                                 false => Delivery::Unsent,
@@ -177,38 +177,38 @@
         (in_doubt, unsent)
     }
 
-    /// The agent has greeted on a link: what was never written is said now, where it is still wanted.
+    /// Handles the agent's greeting on a new link: commands that were never written are sent now, if they are still needed.
     pub(super) fn link_greeted(&mut self, now: Duration, link: LinkId) {
         if link <= self.agent_link.newest {
             self.counters.stale_notices += 1;
             return;
         }
         self.agent_link.newest = link;
-        if let Connection::Up(before) = &self.agent_link.connection {
-            // Its end was not told yet: whatever was said on it may have been written.
+        if let Connection::Up(previous) = &self.agent_link.connection {
+            // The end of the previous link is not reported yet: any command on it may have been written.
             let end = LinkEnd::Broken { end: End::Broken, written: u64::MAX };
-            let before = before.link;
-            self.settle_sent(now, before, end);
+            let previous = previous.link;
+            self.resolve_sent_commands(now, previous, end);
         }
         self.agent_link.connection = Connection::Up(Session::new(link));
         for id in self.ids_where(PendingCommand::is_unsent) {
             let Some(request) = self.requests.get_mut(&id) else { continue };
             let Some(pending) = request.pending.take() else { continue };
             match (request.conn.is_some(), pending.is_launch()) {
-                // Proven: nothing of it was ever said.
+                // No command about this run was ever sent: it has not begun.
                 (false, true) => self.run_ended(now, id, End::Unknown, None, None),
                 _ => self.send_run_command(id, pending.command),
             }
         }
-        // All that was told since the last link comes before the answer to this.
+        // The agent sends all notices since the last link before it answers this command.
         self.send_command(Command::Sync);
     }
 
-    /// Requests whose last command stands so, in the order in which they came.
-    fn ids_where(&self, is_so: impl Fn(&PendingCommand) -> bool) -> Vec<RequestId> {
-        let is_so = |request: &ActiveRequest| request.pending.as_ref().is_some_and(&is_so);
+    /// Requests whose pending command satisfies a condition, in the order of their arrival.
+    fn ids_where(&self, condition: impl Fn(&PendingCommand) -> bool) -> Vec<RequestId> {
+        let is_selected = |request: &ActiveRequest| request.pending.as_ref().is_some_and(&condition);
         let mut ids: Vec<_> =
-            self.requests.iter().filter(|(_, request)| is_so(request)).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, request)| is_selected(request)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
--- a/src/core/delivery/pending.rs
+++ b/src/core/delivery/pending.rs
@@ -1,31 +1,31 @@
-//! What was said about one run: its last command as long as nothing shows that it was heard, and the rules that bind
-//! every command.
+//! The commands about one run: the last one, until the agent is known to have read it, and the rules that every command
+//! must obey.
 
 use std::fmt;
 
 use crate::core::types::*;
 use crate::interface::Repeat;
 
-/// The last command about a run, as long as nothing shows that it was heard.
+/// The last command about a run, until the agent is known to have read it.
 #[derive(Clone, Debug, PartialEq)]
 pub(in crate::core) struct PendingCommand {
     pub(in crate::core) command: Command,
     pub(super) delivery: Delivery,
 }
 
-/// How far a command got.
+/// How far a command got on its way to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// It was never written: there is no link.
+    /// It was never written: there was no link.
     Unsent,
-    /// It is the command of this number on this link, which is up.
+    /// It was sent as the command with this number on this link, which is up.
     Sent { link: LinkId, number: u64 },
-    /// Its link is over: it may have been heard, or not.
+    /// Its link has ended: the agent may have read it or not.
     InDoubt,
 }
 
 impl PendingCommand {
-    /// The command's name and how far it got, for the log.
+    /// Describes the command and how far it got, for the log.
     pub(in crate::core) fn describe(&self) -> String {
         let name = self.command.name_and_handle().map_or("none", |(name, _)| name);
         match self.delivery {
@@ -47,81 +47,83 @@
         self.delivery == Delivery::InDoubt
     }
 
-    /// Its loss would lose the run, or a reply: no other command may take its place before it is known to be heard.
+    /// Whether its loss would lose the run or a reply. Such a command must not be replaced by another one before the agent
+    /// is known to have read it.
     pub(in crate::core) fn must_not_be_lost(&self) -> bool {
         matches!(self.command, Command::Launch { .. } | Command::Deliver { .. })
     }
 }
 
-/// What was said about a run, for the rules that bind every command.
+/// Which commands were sent about a run, for the rules that every command must obey.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::core) struct SentCommands {
     /// Launches that were written.
     launches: u32,
-    /// The notice that asked for the last call whose reply was written.
-    replied: Option<u64>,
+    /// The number of the notice that requested the last call whose reply was written.
+    last_replied: Option<u64>,
 }
 
 impl SentCommands {
-    /// A launch was written.
+    /// Whether a launch was written.
     pub(super) fn has_launched(self) -> bool {
         self.launches > 0
     }
 
-    pub(super) fn note(&mut self, command: &Command) {
+    /// Records that a command was sent.
+    pub(super) fn record(&mut self, command: &Command) {
         match command {
             Command::Launch { .. } => self.launches += 1,
-            Command::Deliver { cursor, .. } => self.replied = Some(*cursor),
+            Command::Deliver { cursor, .. } => self.last_replied = Some(*cursor),
             _ => {}
         }
     }
 
-    /// A command turned out not to have been written.
-    pub(super) fn forget(&mut self, command: &Command) {
+    /// Takes back the record of a command that turned out not to have been written.
+    pub(super) fn retract(&mut self, command: &Command) {
         match command {
             Command::Launch { .. } => self.launches = self.launches.saturating_sub(1),
-            Command::Deliver { .. } => self.replied = None,
+            Command::Deliver { .. } => self.last_replied = None,
             _ => {}
         }
     }
 }
 
-/// A rule that a command would break, which is not said then.
+/// A rule that a command would break; such a command is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Violation {
-    /// Work for a request that has its final answer.
+    /// A launch for a request that has its final answer.
     LaunchAfterAnswer,
-    /// A second launch of what may run once.
+    /// A second launch of a request that may run only once.
     SecondLaunch,
     /// A second reply to one call.
     SecondReply,
-    /// A reply to another call than the one at which the run waits.
+    /// A reply to a call that the run does not wait for.
     ReplyToAnotherCall,
-    /// Leaving out a call whose reply was written: heard late, it would reach the next one.
+    /// Skipping a call whose reply was written: if the agent reads that reply late, the run's next call would get it.
     SkipAfterReply,
 }
 
-/// What the rules look at beside the command.
+/// What the rules depend on besides the command.
 pub(super) struct CommandContext {
-    pub(super) said: SentCommands,
+    pub(super) sent: SentCommands,
     pub(super) is_answered: bool,
     pub(super) repeat: Repeat,
-    /// The notice of the last call that the run asked for.
+    /// The number of the notice that requested the run's last call.
     pub(super) cursor: u64,
 }
 
 impl Violation {
-    /// The rule that a command breaks, if it breaks any.
-    pub(super) fn of(command: &Command, about: &CommandContext) -> Option<Self> {
-        let said = about.said;
+    /// The rule that a command would break, if any.
+    pub(super) fn of(command: &Command, context: &CommandContext) -> Option<Self> {
+        let sent = context.sent;
         match command {
-            Command::Launch { .. } if about.is_answered => Some(Self::LaunchAfterAnswer),
-            Command::Launch { .. } if said.launches > 0 && about.repeat != Repeat::Idempotent => {
+            Command::Launch { .. } if context.is_answered => Some(Self::LaunchAfterAnswer),
+            Command::Launch { .. } if sent.launches > 0 && context.repeat != Repeat::Idempotent => {
                 Some(Self::SecondLaunch)
             }
-            Command::Deliver { cursor, .. } if *cursor != about.cursor => Some(Self::ReplyToAnotherCall),
-            Command::Deliver { cursor, .. } if said.replied == Some(*cursor) => Some(Self::SecondReply),
-            Command::Forgo { cursor, .. } if said.replied == Some(*cursor) => Some(Self::SkipAfterReply),
+            Command::Deliver { cursor, .. } if *cursor != context.cursor => Some(Self::ReplyToAnotherCall),
+            Command::Deliver { cursor, .. } if sent.last_replied == Some(*cursor) => Some(Self::SecondReply),
+            Command::Forgo { cursor, .. } if sent.last_replied == Some(*cursor) => Some(Self::SkipAfterReply),
             _ => None,
         }
     }
@@ -131,10 +133,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::LaunchAfterAnswer => "a launch of an answered request",
-            Self::SecondLaunch => "a second launch of what may run once",
+            Self::SecondLaunch => "a second launch of a request that may run only once",
             Self::SecondReply => "a second reply to one call",
-            Self::ReplyToAnotherCall => "a reply to another call",
-            Self::SkipAfterReply => "leaving out a call whose reply was written",
+            Self::ReplyToAnotherCall => "a reply to a call that the run does not wait for",
+            Self::SkipAfterReply => "a skip of a call whose reply was written",
         })
     }
 }
--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -1,4 +1,4 @@
-//! What is done about commands that a link took along when it ended.
+//! Recovery: what is done about commands that are in doubt because their link ended.
 
 use std::time::Duration;
 
@@ -7,22 +7,23 @@
 use crate::core::{ActiveRequest, Core, End, Phase};
 use crate::interface::{Event, Outcome, Repeat, RequestId, Way};
 
-/// Runs that a line of the log names at most.
+/// Maximum number of runs that one log line names.
 const MAX_NAMED: usize = 8;
-/// Runs of answered requests whose launch is in doubt that are waited for at most, for the sake of later tries.
+/// Maximum number of answered requests whose run is awaited although its launch is in doubt; later tries of their keys need
+/// the outcome.
 const MAX_ANSWERED_ORPHANS: usize = 1024;
 
-/// What is done about a command in doubt, once all that the agent told before the next link is known.
+/// What is done about a command in doubt, once all notices that the agent sent before the next link have been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recovery {
-    /// It is said again: it does nothing where it was heard, or what it does may happen twice.
+    /// The command is sent again: it has no effect if the agent has read it already, or its effect may happen twice.
     Repeat,
-    /// Its run may have begun, and must not begin twice: what it tells is waited for, up to its due time.
+    /// The run may have begun and must not begin twice: notices about it are awaited until its due time.
     AwaitRun,
-    /// Its run may have had the reply. Nothing is said that would take the run past its call: should the reply be heard
-    /// late, it is heard by the call that it was made for. What the run tells is waited for.
+    /// The run may have received the reply. No command is sent that would take the run past its call, so that a reply that is
+    /// read late still belongs to that call. Notices about the run are awaited.
     AwaitReply,
-    /// Its request has its answer: nothing more is said.
+    /// The request has its answer: no more commands are sent.
     Abandon,
 }
 
@@ -33,32 +34,33 @@
             Command::Launch { .. } if repeat == Repeat::Idempotent => Self::Repeat,
             Command::Launch { .. } => Self::AwaitRun,
             Command::Deliver { .. } => Self::AwaitReply,
-            // A pause or its end twice is the same as once, and a skip names its call.
+            // A repeated pause or resume has no further effect, and a skip names its call.
             _ => Self::Repeat,
         }
     }
 }
 
 impl Core {
-    /// All that the agent told before this link is known: what is still in doubt is settled.
+    /// Decides what to do about all commands that are still in doubt. To be called once all notices that the agent sent
+    /// before the current link have been received.
     pub(super) fn recover(&mut self, now: Duration) {
-        let mut done = Vec::new();
+        let mut recovered = Vec::new();
         for id in self.ids_where(PendingCommand::is_in_doubt) {
             let Some(request) = self.requests.get(&id) else { continue };
             let Some(pending) = &request.pending else { continue };
             let repeat = self.site.settings.classes[request.class].repeat;
             let recovery = Recovery::of(&pending.command, request.conn.is_none(), repeat);
-            done.push((request.handle, recovery));
-            self.carry_out(now, id, recovery);
+            recovered.push((request.handle, recovery));
+            self.perform_recovery(now, id, recovery);
         }
-        if !done.is_empty() {
-            let named: Vec<_> = done.iter().take(MAX_NAMED).map(|(h, r)| format!("{h} {r:?}")).collect();
-            let text = format!("{} commands in doubt are settled: {}", done.len(), named.join(", "));
+        if !recovered.is_empty() {
+            let named: Vec<_> = recovered.iter().take(MAX_NAMED).map(|(h, r)| format!("{h} {r:?}")).collect();
+            let text = format!("{} commands in doubt are resolved: {}", recovered.len(), named.join(", "));
             self.effects.push(Effect::Log(text));
         }
     }
 
-    fn carry_out(&mut self, now: Duration, id: RequestId, recovery: Recovery) {
+    fn perform_recovery(&mut self, now: Duration, id: RequestId, recovery: Recovery) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         match recovery {
             Recovery::Repeat => {
@@ -67,7 +69,7 @@
                 self.send_run_command(id, pending.command);
             }
             Recovery::AwaitRun => self.orphan(now, id),
-            // A timer ends the wait (`reply_in_doubt`).
+            // `Timer::ReplyInDoubt` limits the wait.
             Recovery::AwaitReply => {}
             Recovery::Abandon => {
                 let pending = request.pending.take();
@@ -78,39 +80,39 @@
         }
     }
 
-    /// A reply has been in doubt for so long that its run is taken to wait for it: its caller gets a failure, by which the
-    /// run ends where it waits. Its slot and its memory are free once the agent tells so.
+    /// Handles a reply that has been in doubt for so long that the run is assumed to wait for it still. The client gets a
+    /// failure, which ends the run at its call. The run's slot and memory are freed once the agent reports that end.
     pub(in crate::core) fn reply_in_doubt(&mut self, now: Duration, id: RequestId, cursor: u64) {
-        let is_it = |pending: &PendingCommand| {
+        let is_this_reply = |pending: &PendingCommand| {
             pending.is_in_doubt()
                 && matches!(pending.command, Command::Deliver { cursor: c, .. } if c == cursor)
         };
         let Some(request) = self.requests.get(&id) else { return };
-        if request.conn.is_some() && request.pending.as_ref().is_some_and(is_it) {
+        if request.conn.is_some() && request.pending.as_ref().is_some_and(is_this_reply) {
             self.events.push_back(Event::Withdrawn { id });
             self.fail(now, id);
         }
     }
 
-    /// The run may never have begun: the module's slot is free again, and the caller waits on, up to the deadline of its
-    /// answer.
+    /// Marks a run that may never have begun: the decision module frees its slot, and the client goes on waiting until the
+    /// deadline of its answer.
     fn orphan(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_orphan = true;
-        // Nothing more is said of it: the doubt is settled as far as it can be.
+        // No more commands are sent about it: nothing further can be learned about its launch.
         request.pending = None;
         let took = now.saturating_sub(request.began);
         self.counters.runs_orphaned += 1;
         self.events.push_back(Event::Finished { id, outcome: Outcome::Reset, took });
     }
 
-    /// The same for an answered request: what its run may yet tell is for later tries of its key. Where it has none, or many
-    /// are waited for already, the run is taken to be lost; its key stays taken.
+    /// The same for an answered request, whose run is still awaited for the sake of later tries of its key. If it has no key,
+    /// or too many such runs are awaited already, the run is assumed to be lost, and its key may not run again.
     pub(in crate::core) fn orphan_answered(&mut self, now: Duration, id: RequestId) {
-        let waited_for =
+        let awaited =
             self.requests.values().filter(|request| request.is_orphan && request.conn.is_none()).count();
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.key.is_none() || waited_for > MAX_ANSWERED_ORPHANS {
+        if request.key.is_none() || awaited > MAX_ANSWERED_ORPHANS {
             return self.run_ended(now, id, End::Broken, None, None);
         }
         request.body = Bytes::from([]);
@@ -119,7 +121,8 @@
         }
     }
 
-    /// The run goes on without the call that it asks for, or its caller gets a failure: the module is not asked.
+    /// Continues a run without the call that it requests or, if that is not allowed, fails its request. The decision module
+    /// has no part in this.
     pub(in crate::core) fn continue_without_call(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (handle, cursor) = (request.handle, request.call.cursor);
@@ -134,12 +137,12 @@
         }
     }
 
-    /// The request may be answered without its call.
+    /// Whether the request may be answered without its call.
     fn may_skip(&self, request: &ActiveRequest) -> bool {
         let class = &self.site.settings.classes[request.class];
-        let way = self.route_state(request.class);
+        let state = self.route_state(request.class);
         class.skip_worth > 0.0
-            && way != Way::Shut
+            && state != Way::Shut
             && request.route.as_ref().is_none_or(|route| route.allows_skipping())
     }
 }
--- a/src/core/delivery/session.rs
+++ b/src/core/delivery/session.rs
@@ -1,26 +1,26 @@
-//! One link to the agent as the reducer knows it: the numbers of what was said on it, and what is not acknowledged.
+//! A link to the agent from the reducer's point of view: the numbers of its commands, and which are not acknowledged yet.
 //!
-//! All of it ends with the link: no number, question or acknowledgement of one link means anything on another.
+//! This state ends with the link: numbers, acknowledgement requests and acknowledgements are valid on their own link only.
 
 use std::collections::VecDeque;
 
 use crate::core::types::LinkId;
 use crate::interface::RequestId;
 
-/// How commands reach whoever does the work.
+/// How commands reach the agent, or the application that does the work.
 #[derive(Debug, Default)]
 pub(in crate::core) enum Connection {
-    /// There is no link: what is said waits for the next one.
+    /// There is no link: commands about runs wait for the next one.
     #[default]
     Down,
-    /// The agent has greeted on a link, and nothing tells that it is over.
+    /// The agent has greeted on a link, whose end was not reported.
     Up(Session),
-    /// An application does the work, and needs no link.
+    /// An application does the work, which needs no link.
     Direct,
 }
 
 impl Connection {
-    /// The session of this link, if it is the one that is up.
+    /// The session of this link, if it is the current one.
     pub(super) fn session_of(&mut self, link: LinkId) -> Option<&mut Session> {
         match self {
             Self::Up(session) if session.link == link => Some(session),
@@ -37,56 +37,64 @@
 #[derive(Debug)]
 pub(in crate::core) struct Session {
     pub(super) link: LinkId,
-    /// Commands that were said on it.
-    said: u64,
-    /// Commands about runs without an acknowledgement, the oldest first.
+    /// Number of commands that were sent on it.
+    sent: u64,
+    /// Commands about runs that are not acknowledged yet, the oldest first.
     unacknowledged: VecDeque<(u64, RequestId)>,
-    /// Questions for an acknowledgement that were asked.
-    questions: u64,
-    /// The number of the command that asked the last one, until its answer comes.
-    asked_by: Option<u64>,
+    /// Number of acknowledgement requests that were sent.
+    acknowledgement_requests: u64,
+    /// The command number of the last acknowledgement request, until it is answered.
+    open_request: Option<u64>,
 }
 
 impl Session {
     pub(super) fn new(link: LinkId) -> Self {
-        Self { link, said: 0, unacknowledged: VecDeque::new(), questions: 0, asked_by: None }
+        Self {
+            link,
+            sent: 0,
+            unacknowledged: VecDeque::new(),
+            acknowledgement_requests: 0,
+            open_request: None,
+        }
     }
 
     /// The number of the next command.
     pub(super) fn next_number(&mut self) -> u64 {
-        self.said += 1;
-        self.said
+        self.sent += 1;
+        self.sent
     }
 
-    /// Notes a command about a run.
+    /// Records a command about a run that needs an acknowledgement.
     pub(super) fn await_acknowledgement(&mut self, number: u64, id: RequestId) {
         self.unacknowledged.push_back((number, id));
     }
 
-    /// There is something to ask about, and no question is out.
-    pub(super) fn is_to_ask(&self) -> bool {
-        self.asked_by.is_none() && !self.unacknowledged.is_empty()
+    /// Whether there are unacknowledged commands and no acknowledgement request is open.
+    pub(super) fn needs_acknowledgement(&self) -> bool {
+        self.open_request.is_none() && !self.unacknowledged.is_empty()
     }
 
-    /// The number of the next question, which is asked by the next command.
-    pub(super) fn next_question(&mut self) -> u64 {
-        self.questions += 1;
-        self.asked_by = Some(self.said + 1);
-        self.questions
+    /// The number of the next acknowledgement request, which must be sent as the next command.
+    pub(super) fn next_acknowledgement_request(&mut self) -> u64 {
+        self.acknowledgement_requests += 1;
+        self.open_request = Some(self.sent + 1);
+        self.acknowledgement_requests
     }
 
-    /// Drops what is waited for no more, once there are more commands than this.
-    pub(super) fn clean_up(&mut self, most: usize, is_open: impl Fn(RequestId) -> bool) {
-        if self.unacknowledged.len() > most {
-            self.unacknowledged.retain(|(_, id)| is_open(*id));
+    /// Drops the commands of requests that are no longer active, once there are more than `limit` commands.
+    pub(super) fn clean_up(&mut self, limit: usize, is_active: impl Fn(RequestId) -> bool) {
+        if self.unacknowledged.len() > limit {
+            self.unacknowledged.retain(|(_, id)| is_active(*id));
         }
     }
 
-    /// The agent has answered the question of this number: the commands that it had read before.
+    /// Handles the answer to the acknowledgement request with this number, and returns the commands that the agent has read.
     pub(super) fn acknowledged(&mut self, number: u64) -> Vec<(u64, RequestId)> {
-        let Some(asked_by) = self.asked_by.filter(|_| number == self.questions) else { return Vec::new() };
-        self.asked_by = None;
-        let read = self.unacknowledged.iter().take_while(|(said, _)| *said < asked_by).count();
+        let Some(request) = self.open_request.filter(|_| number == self.acknowledgement_requests) else {
+            return Vec::new();
+        };
+        self.open_request = None;
+        let read = self.unacknowledged.iter().take_while(|(command, _)| *command < request).count();
         self.unacknowledged.drain(..read).collect()
     }
 }
