--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! When a link breaks, the last commands on it may be lost, and it is not known how many. Only three observations prove what
 //! became of a command: a notice about its run, the agent's answer to a later acknowledgement request on the same link, or
-//! the fact that the command was never written. Neither elapsed time nor a run that seems to make no progress proves
-//! anything: a run that waits for its disk looks the same as one that does not exist. Where nothing is proven, [`recovery`]
+//! the fact that the command was never written. Neither elapsed time nor a run that shows no effect of the command
+//! proves anything: a run that waits for its disk looks the same as one that does not exist. Where nothing is proven, [`recovery`]
 //! chooses an action that does no harm in either case.
 //!
 //! Every command names the link that it is meant for, and every notice the link that delivered it. The reducer, the link
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -1,4 +1,4 @@
-//! The table of keys: which try of a keyed request stands for it, which one ran, and what came of it.
+//! The table of idempotency keys: the tries of each key, which of them was run, and the result of that run.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,56 +8,57 @@
 use super::types::{Bytes, Key, KeyState};
 use crate::interface::RequestId;
 
-/// Keys remembered at most; beyond that, requests with new keys are turned away.
+/// Maximum number of remembered keys; beyond that, requests with new keys are refused.
 const MAX_KEYS: usize = 50_000;
-/// Bytes of results kept at most; beyond that the oldest are dropped, but never their keys.
+/// Maximum size of all remembered results in bytes; beyond that the oldest results are dropped, but not their keys.
 const MAX_RESULT_BYTES: usize = 16 << 20;
-/// A try is taken to have come within a window up to this long after its end.
-pub(super) const MARGIN: Duration = Duration::from_secs(1);
+/// Tries that arrive up to this long after the end of a window are treated as within it.
+pub(super) const WINDOW_MARGIN: Duration = Duration::from_secs(1);
 
-/// A try that was run.
+/// The run of a key.
 #[derive(Debug)]
-struct Ran {
+struct Run {
     id: RequestId,
-    /// End of the time in which no other try may be run.
+    /// No other try that arrived by this time may be run.
     until: Duration,
     result: Option<Bytes>,
 }
 
-/// A try that is still here.
+/// A try whose request is still active.
 #[derive(Debug)]
 struct Try {
     id: RequestId,
-    /// When it reached the machine, and the end of the window that its run would open.
+    /// When it reached this machine, and the end of the window that its run would open.
     start: Duration,
     until: Duration,
 }
 
+/// The state of one key.
 #[derive(Debug, Default)]
 struct Entry {
-    /// What the key stands for: a digest of the class and the body that came with it first.
-    what: u64,
-    /// The try that stands for the key, and for how long.
+    /// The digest of the request that the key stands for: of the class and the body of the first try.
+    digest: u64,
+    /// The try that the decision module has chosen to stand for the key, and until when.
     holder: Option<(RequestId, Duration)>,
-    /// Tries that are still here.
+    /// Tries whose requests are still active.
     tries: Vec<Try>,
-    ran: Option<Ran>,
+    run: Option<Run>,
 }
 
-/// A digest of what a key stands for.
+/// The digest of a request, by which a key is bound to it.
 pub fn digest(class: &str, body: &[u8]) -> u64 {
-    // The same in every version of the program: a process compares with what the one before it noted.
-    let mut digest = Context::new(&SHA256);
-    [class.as_bytes(), &[0], body].iter().for_each(|part| digest.update(part));
-    digest.finish().as_ref()[..8].iter().fold(0, |all, byte| all << 8 | u64::from(*byte))
+    // It must be the same in every version of the program, as a process compares it with digests from its predecessor.
+    let mut context = Context::new(&SHA256);
+    [class.as_bytes(), &[0], body].iter().for_each(|part| context.update(part));
+    context.finish().as_ref()[..8].iter().fold(0, |all, byte| all << 8 | u64::from(*byte))
 }
 
-/// Bytes of the result that is kept of a run.
-fn kept(ran: Option<&Ran>) -> usize {
-    ran.and_then(|r| r.result.as_ref()).map_or(0, |r| r.len())
+/// The size of the result that is kept for a run, in bytes.
+fn result_size(run: Option<&Run>) -> usize {
+    run.and_then(|r| r.result.as_ref()).map_or(0, |r| r.len())
 }
 
-/// All remembered keys.
+/// The table of all remembered keys.
 #[derive(Debug, Default)]
 pub struct Keys {
     entries: HashMap<Key, Entry>,
@@ -65,106 +66,107 @@
 }
 
 impl Keys {
-    /// A try of it is here, or one was run and is not forgotten.
+    /// Whether the table has an entry for this key: a try of it is active, or a run is remembered.
     pub fn is_known(&self, key: &Key) -> bool {
         self.entries.contains_key(key)
     }
 
-    /// Its key is known, or there is room for one more.
+    /// Whether a try of this key can be added: the key is known, or there is room for one more.
     pub fn has_room_for(&self, key: &Key) -> bool {
         self.entries.len() < MAX_KEYS || self.is_known(key)
     }
 
-    /// The key stands for something else: no try of what `what` is the digest of.
-    pub fn conflicts(&self, key: &Key, what: u64) -> bool {
-        self.entries.get(key).is_some_and(|e| e.what != what)
+    /// Whether the key stands for a request with a digest other than this one.
+    pub fn conflicts(&self, key: &Key, digest: u64) -> bool {
+        self.entries.get(key).is_some_and(|e| e.digest != digest)
     }
 
-    /// Keys that are remembered.
+    /// Number of remembered keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// None is remembered.
+    /// Whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Bytes of the results that are kept.
+    /// Size of all remembered results in bytes.
     pub fn result_bytes(&self) -> usize {
         self.result_bytes
     }
 
-    /// Notes a try that reached the machine at `start`, and names the one that it repeats.
+    /// Adds a try that reached this machine at `start`, and returns the try that it repeats, if any.
     pub fn add_try(
         &mut self,
         key: &Key,
         id: RequestId,
-        what: u64,
+        digest: u64,
         start: Duration,
         window: Duration,
     ) -> Option<RequestId> {
-        let e = self.entries.entry(key.clone()).or_insert_with(|| Entry { what, ..Entry::default() });
-        let ran = e.ran.as_ref().filter(|r| start <= r.until).map(|r| r.id);
+        let e = self.entries.entry(key.clone()).or_insert_with(|| Entry { digest, ..Entry::default() });
+        let run = e.run.as_ref().filter(|r| start <= r.until).map(|r| r.id);
         let holder = e.holder.filter(|(_, until)| start <= *until).map(|(id, _)| id);
-        // Tries that arrive together see each other even before one of them is kept.
+        // Tries that arrive at the same time find each other even before one of them becomes the holder.
         let other = e.tries.last().map(|t| t.id);
-        e.tries.push(Try { id, start, until: start + window + MARGIN });
-        ran.or(holder).or(other)
+        e.tries.push(Try { id, start, until: start + window + WINDOW_MARGIN });
+        run.or(holder).or(other)
     }
 
-    /// Has a try stand for its key until a time.
-    pub fn remember(&mut self, key: &Key, id: RequestId, until: Duration) {
+    /// Makes a try stand for its key until the given time.
+    pub fn set_holder(&mut self, key: &Key, id: RequestId, until: Duration) {
         if let Some(e) = self.entries.get_mut(key) {
             e.holder = Some((id, until));
         }
     }
 
-    /// Frees an entry, unless its run may have had its effect.
-    pub fn forget(&mut self, key: &Key, id: RequestId) {
+    /// Removes a try as the holder of its key. A recorded run stays.
+    pub fn clear_holder(&mut self, key: &Key, id: RequestId) {
         if let Some(e) = self.entries.get_mut(key) {
             e.holder = e.holder.filter(|(holder, _)| *holder != id);
         }
     }
 
-    /// Notes that a try is run now; false where another one has been, and this one came within its window.
+    /// Records that a try is run now. Returns false, and records nothing, if the try arrived within the window of an earlier
+    /// run of the key.
     pub fn start_run(&mut self, key: &Key, id: RequestId) -> bool {
         let Some(e) = self.entries.get_mut(key) else { return false };
         let Some(&Try { start, until, .. }) = e.tries.iter().find(|t| t.id == id) else { return false };
-        if e.ran.as_ref().is_some_and(|r| r.id == id || start <= r.until) {
+        if e.run.as_ref().is_some_and(|r| r.id == id || start <= r.until) {
             return false;
         }
-        let before = e.ran.replace(Ran { id, until, result: None });
-        self.result_bytes -= kept(before.as_ref());
+        let previous = e.run.replace(Run { id, until, result: None });
+        self.result_bytes -= result_size(previous.as_ref());
         true
     }
 
-    /// The run of a try is over, with this result.
+    /// Records the result of a try's run.
     pub fn end_run(&mut self, key: &Key, id: RequestId, result: Option<Bytes>) {
-        let Some(ran) = self.entries.get_mut(key).and_then(|e| e.ran.as_mut()).filter(|r| r.id == id) else {
+        let Some(run) = self.entries.get_mut(key).and_then(|e| e.run.as_mut()).filter(|r| r.id == id) else {
             return;
         };
-        self.result_bytes -= kept(Some(ran));
-        ran.result = result;
-        self.result_bytes += kept(Some(ran));
+        self.result_bytes -= result_size(Some(run));
+        run.result = result;
+        self.result_bytes += result_size(Some(run));
         if self.result_bytes > MAX_RESULT_BYTES {
             self.drop_results();
         }
     }
 
-    /// The run of a try is proven not to have begun.
+    /// Removes the record of a try's run that is proven not to have begun.
     pub fn cancel_run(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
-        if let Some(ran) = e.ran.take_if(|r| r.id == id) {
-            self.result_bytes -= kept(Some(&ran));
+        if let Some(run) = e.run.take_if(|r| r.id == id) {
+            self.result_bytes -= result_size(Some(&run));
         }
     }
 
-    /// A try is answered and over.
+    /// Removes a try whose request is no longer active. A run of it stays recorded.
     pub fn remove_try(&mut self, key: &Key, id: RequestId) {
         let Some(e) = self.entries.get_mut(key) else { return };
         e.tries.retain(|t| t.id != id);
-        if e.ran.is_none() {
+        if e.run.is_none() {
             e.holder = e.holder.filter(|(holder, _)| *holder != id);
             if e.tries.is_empty() && e.holder.is_none() {
                 self.entries.remove(key);
@@ -172,49 +174,49 @@
         }
     }
 
-    /// Tries of it are still here.
+    /// Whether a try of the key is still active.
     pub fn is_open(&self, key: &Key) -> bool {
         self.entries.get(key).is_some_and(|e| !e.tries.is_empty())
     }
 
-    /// All keys of which another try may come, for the process that takes over.
+    /// The state of all keys with a run or an active try, for the successor.
     pub fn export(&self) -> Vec<KeyState> {
         let state = |(key, e): (&Key, &Entry)| {
-            let until = e.ran.iter().map(|r| r.until).chain(e.tries.iter().map(|t| t.until)).max()?;
-            let result = e.ran.as_ref().and_then(|r| r.result.clone());
-            Some(KeyState { key: key.clone(), digest: e.what, until, open: !e.tries.is_empty(), result })
+            let until = e.run.iter().map(|r| r.until).chain(e.tries.iter().map(|t| t.until)).max()?;
+            let result = e.run.as_ref().and_then(|r| r.result.clone());
+            Some(KeyState { key: key.clone(), digest: e.digest, until, open: !e.tries.is_empty(), result })
         };
         self.entries.iter().filter_map(state).collect()
     }
 
-    /// Takes a key over; `id` stands for the run in the other process, until it is known that there was none.
+    /// Takes over a key from the predecessor; `id` stands for the run there, until it is known that there was none.
     pub fn import(&mut self, state: KeyState, id: RequestId) {
         let KeyState { key, digest, until, result, .. } = state;
-        let ran = Some(Ran { id, until, result: None });
-        let before = self.entries.insert(key.clone(), Entry { what: digest, ran, ..Entry::default() });
-        self.result_bytes -= before.map_or(0, |e| kept(e.ran.as_ref()));
+        let run = Some(Run { id, until, result: None });
+        let previous = self.entries.insert(key.clone(), Entry { digest, run, ..Entry::default() });
+        self.result_bytes -= previous.map_or(0, |e| result_size(e.run.as_ref()));
         self.end_run(&key, id, result);
     }
 
-    /// The try that ran.
+    /// The try of the key that was run, if any.
     pub fn run_of(&self, key: &Key) -> Option<RequestId> {
-        self.entries.get(key)?.ran.as_ref().map(|r| r.id)
+        self.entries.get(key)?.run.as_ref().map(|r| r.id)
     }
 
-    /// What its run made.
+    /// The result of the key's run, if it is known.
     pub fn result(&self, key: &Key) -> Option<Bytes> {
-        self.entries.get(key)?.ran.as_ref()?.result.clone()
+        self.entries.get(key)?.run.as_ref()?.result.clone()
     }
 
-    /// Forgets what nothing can repeat any more. A try from within a window may be read up to `lateness` after it
-    /// came, and so after the window has ended.
+    /// Forgets keys whose runs can no longer be repeated by a new try. A try that arrived within a window may be read up to
+    /// `lateness` later, and so after the end of the window.
     pub fn sweep(&mut self, now: Duration, lateness: Duration) {
-        let freed = &mut self.result_bytes;
+        let result_bytes = &mut self.result_bytes;
         self.entries.retain(|_, e| {
-            let ran = e.ran.as_ref().is_some_and(|r| now <= r.until + lateness);
-            let keep = ran || !e.tries.is_empty();
+            let is_repeatable = e.run.as_ref().is_some_and(|r| now <= r.until + lateness);
+            let keep = is_repeatable || !e.tries.is_empty();
             if !keep {
-                *freed -= kept(e.ran.as_ref());
+                *result_bytes -= result_size(e.run.as_ref());
             }
             keep
         });
@@ -222,12 +224,12 @@
 
     /// Drops the older half of the results.
     fn drop_results(&mut self) {
-        let mut with: Vec<_> =
-            self.entries.values_mut().filter_map(|e| e.ran.as_mut()).filter(|r| r.result.is_some()).collect();
-        with.sort_by_key(|r| r.until);
-        let half = with.len().div_ceil(2);
-        for ran in with.into_iter().take(half) {
-            self.result_bytes -= ran.result.take().map_or(0, |r| r.len());
+        let mut with_result: Vec<_> =
+            self.entries.values_mut().filter_map(|e| e.run.as_mut()).filter(|r| r.result.is_some()).collect();
+        with_result.sort_by_key(|r| r.until);
+        let half = with_result.len().div_ceil(2);
+        for run in with_result.into_iter().take(half) {
+            self.result_bytes -= run.result.take().map_or(0, |r| r.len());
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -417,12 +417,12 @@
             Action::Join(id) => self.join(now, id),
             Action::Remember { id, lifetime } => {
                 if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
-                    self.keys.remember(key, id, now + lifetime);
+                    self.keys.set_holder(key, id, now + lifetime);
                 }
             }
             Action::Forget(id) => {
                 if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
-                    self.keys.forget(key, id);
+                    self.keys.clear_holder(key, id);
                 }
             }
             Action::Health { good } => self.healthy = good,
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::answer_deadlines::Owner;
-use super::keys::MARGIN;
+use super::keys::WINDOW_MARGIN;
 use super::types::*;
 use super::{shutdown, Core, SWEEP_INTERVAL};
 use crate::interface::{Repeat, RequestId, Settings};
@@ -150,7 +150,7 @@
     /// another clock, as the old process does not keep such keys: its key stays taken for as long as it may.
     fn plausible_end(&self, now: Duration, until: Duration) -> Duration {
         let windows = self.site.settings.classes.iter().map(|class| class.window);
-        let latest = now + windows.max().unwrap_or_default() + MARGIN;
+        let latest = now + windows.max().unwrap_or_default() + WINDOW_MARGIN;
         let is_stale = until + self.longest_wait() + 2 * SWEEP_INTERVAL < now;
         if is_stale {
             return latest;
