--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -1,4 +1,4 @@
-//! Runs at the agent: how they begin and end, and what its notices say of them.
+//! Runs at the agent: their start, pause and end, and the notices about them.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use crate::brain::Brain;
 use crate::interface::{Event, Gauges, Outcome, Preemption, RequestId};
 
-/// Letters of a command's name that the log shows.
+/// Maximum number of characters of a command's name that the log shows.
 const MAX_COMMAND_NAME: usize = 32;
-/// This long after its due time a run of an answered request is taken to be lost.
-const RUN_LOST: Duration = Duration::from_secs(60);
+/// A run of an answered request is assumed to be lost this long after the request's due time.
+const RUN_LOST_MARGIN: Duration = Duration::from_secs(60);
 
 impl Core {
     pub(super) fn handle_notice(&mut self, now: Duration, link: LinkId, notice: Notice) {
         match notice {
             Notice::Greeting { cold, uptime } => {
                 self.effects.push(Effect::Ready);
-                // The module's life begins with the agent's: it is told then how warm the machine is.
+                // The decision module starts anew with the agent's first greeting, which states how warm the machine is.
                 if !std::mem::replace(&mut self.has_agent_greeted, true)
                     && self.requests.is_empty()
                     && self.drain.is_none()
                 {
                     let mut settings = self.module_settings();
                     settings.cold = cold;
-                    if let Ok(brain) = Brain::new(settings, self.seed, now.saturating_sub(uptime)) {
-                        self.engine = brain;
+                    if let Ok(engine) = Brain::new(settings, self.seed, now.saturating_sub(uptime)) {
+                        self.engine = engine;
                         self.report_route_states();
                         self.waiting_timers.clear();
                         self.timers.retain(|Reverse((_, t))| !matches!(t, Timer::Module(_)));
@@ -40,12 +40,12 @@
             Notice::MoveAcknowledged { .. } => {}
             Notice::Sampled { ticket, figures } => {
                 let mut gauges = Gauges::default();
-                for (name, figure) in self.site.gauges.iter().zip(figures) {
+                for (name, value) in self.site.gauges.iter().zip(figures) {
                     match name.as_str() {
-                        "core_use" => gauges.core_use = Some(figure),
-                        "on_cores" => gauges.on_cores = Some(figure),
-                        "heap_share" => gauges.memory_use = Some(figure),
-                        "links" => gauges.connections = Some(figure),
+                        "core_use" => gauges.core_use = Some(value),
+                        "on_cores" => gauges.on_cores = Some(value),
+                        "heap_share" => gauges.memory_use = Some(value),
+                        "links" => gauges.connections = Some(value),
                         _ => {}
                     }
                 }
@@ -66,7 +66,7 @@
                 self.counters.agent_refusals += 1;
                 self.log_refusal(&command, handle);
                 let Some(&id) = self.handles.get(&handle) else { return };
-                // Only a refused launch ends a run: it proves that none began.
+                // Only the refusal of a launch ends a run, as it proves that none began.
                 if command == "launch"
                     && self.requests.get(&id).is_some_and(|request| request.phase == Phase::Running)
                 {
@@ -76,10 +76,11 @@
         }
     }
 
-    /// The agent's own word that something came to it changed, or twice: with all that tells what it was.
+    /// Logs that the agent refused a command, which shows that it received the command twice or altered. The line has all
+    /// details that help to identify the command.
     fn log_refusal(&mut self, command: &str, handle: Handle) {
         let request = self.handles.get(&handle).and_then(|id| self.requests.get(id));
-        let about = request.map_or("its request is over".to_string(), |request| {
+        let details = request.map_or("its request is no longer active".to_string(), |request| {
             let class = &self.site.class_names[request.class];
             let digest = keys::digest(class, &request.body);
             format!(
@@ -89,7 +90,7 @@
             )
         });
         let command: String = command.chars().take(MAX_COMMAND_NAME).filter(|c| !c.is_control()).collect();
-        self.effects.push(Effect::Log(format!("the agent refused a {command}: {handle}, {about}")));
+        self.effects.push(Effect::Log(format!("the agent refused a {command}: {handle}, {details}")));
     }
 
     pub(super) fn start_run(&mut self, now: Duration, id: RequestId) {
@@ -106,7 +107,7 @@
         };
         if request.phase == Phase::Held {
             if let Some(key) = request.key.clone() {
-                // The rule is kept here too, whatever the module thinks: one run for a key and its window.
+                // The rule of one run for each key and window is enforced here too, independently of the decision module.
                 if !self.keys.start_run(&key, id) {
                     self.counters.second_runs_barred += 1;
                     self.events.push_back(Event::Finished {
@@ -122,7 +123,7 @@
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
         (request.phase, request.began) = (Phase::Running, now);
-        let lost = request.due + RUN_LOST;
+        let lost = request.due + RUN_LOST_MARGIN;
         self.arm(lost, Timer::RunLost(id));
         self.send_run_command(id, command);
     }
@@ -133,22 +134,22 @@
             return;
         };
         if self.site.settings.preemption != Preemption::Off {
-            // A pause that took the place of a launch or a reply would hide its loss. A run that perhaps did not begin is
-            // not paused either: nothing would show whether it was.
-            let is_held_up = |pending: &PendingCommand| {
+            // A pause command that replaced a launch or a reply as the pending command would hide its loss. A run that may not
+            // have begun is not paused either, as nothing would show whether it was.
+            let blocks_pause = |pending: &PendingCommand| {
                 pending.must_not_be_lost() || pending.is_unsent() || pending.is_in_doubt()
             };
-            let is_held_up = request.pending.as_ref().is_some_and(is_held_up);
+            let is_blocked = request.pending.as_ref().is_some_and(blocks_pause);
             let command = Command::Freeze { handle: request.handle };
-            // An answered run that is stopped ends, and is not paused.
+            // A run whose request is answered ends when it is stopped; it is not paused.
             if request.conn.is_none() {
-                match is_held_up {
+                match is_blocked {
                     true => drop(self.send_command(command)),
                     false => self.send_run_command(id, command),
                 }
                 return;
             }
-            if !is_held_up {
+            if !is_blocked {
                 request.phase = Phase::Paused;
                 self.send_run_command(id, command);
             }
@@ -165,7 +166,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.phase, Phase::Held | Phase::Joined) {
-            return; // Not running as far as we know: nothing of ours ended.
+            return; // This process has not launched the run: the notice is not about its request.
         }
         let is_orphan = request.is_orphan;
         let outcome = end.outcome();
@@ -181,7 +182,7 @@
         self.cancel_call(id);
         let verdict = match (&served, end) {
             (Some(result), _) => Verdict::Served(result.clone()),
-            // Nobody took the work: the caller may try elsewhere.
+            // The work was never accepted: the client may try another matcher.
             (None, End::Refused) => Verdict::Refused { retry_after: Duration::ZERO, no_retry: false },
             _ => Verdict::Failed,
         };
@@ -192,7 +193,7 @@
         self.remove_request(now, id, served);
     }
 
-    /// Takes a request out, and answers those that waited for its result.
+    /// Removes a request, and answers the requests that wait for its result.
     pub(super) fn remove_request(&mut self, now: Duration, id: RequestId, result: Option<Bytes>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.handles.remove(&request.handle);
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: nothing new after the grace, and all that was read is answered before the kill.
+//! The drain: no new connections after the grace period, and every request that was read is answered before the kill.
 
 use std::time::Duration;
 
@@ -7,94 +7,96 @@
 use crate::interface::{Event, Settings};
 use crate::settings::Site;
 
-/// Time that closing the connections may take, between the end of the grace and the kill.
+/// Time reserved for closing the connections, between the end of the grace period and the kill.
 const CLOSE_TIME: Duration = Duration::from_millis(800);
-/// A signal may be read so late, on a machine that is short of processor time, or a tenth of the time that counts from it
-/// where that is less.
+/// On a machine that is short of processor time, a signal may be read this long after it was sent. A tenth of the time span
+/// that counts from the signal is assumed instead if that is less.
 const SIGNAL_DELAY: Duration = Duration::from_millis(100);
-/// The last answers are given so long before the process is taken to be stopped, or a quarter of the time to the stop
-/// where that is less: they have to be written.
+/// The last answers are sent this long before the process is assumed to be stopped, as they still have to be written. A
+/// quarter of the time to the stop is used instead if that is less.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
-/// The kill comes at the earliest this long after the deployment's longest deadline has gone by since the notice, ...
+/// The kill comes at the earliest after the longest client timeout of the site, counted from the signal, and this margin, ...
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// ... which counts as no more than this.
-const MAX_DEADLINE: Duration = Duration::from_secs(3);
+/// ... where the client timeout counts as no more than this.
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What counts from the sending of a signal is taken to be so much shorter where it is counted from the reading.
-fn from_reading(span: Duration) -> Duration {
+/// Shortens a time span that counts from the sending of a signal, so that it can be counted from the reading of the signal.
+fn count_from_reading(span: Duration) -> Duration {
     span.saturating_sub(SIGNAL_DELAY.min(span / 10))
 }
 
-/// The settings as they hold for the module, which counts the grace itself.
+/// The settings for the decision module, which itself counts the grace period from the reading of the signal.
 pub(super) fn with_grace_from_reading(settings: Settings) -> Settings {
-    Settings { drain_grace: from_reading(settings.drain_grace), ..settings }
+    Settings { drain_grace: count_from_reading(settings.drain_grace), ..settings }
 }
 
-/// The time from a notice to the earliest kill: as the configuration tells it, or as the site's deadlines allow it.
+/// The time from the signal to the earliest kill: the configured time or, if less, the time that the site's client timeouts
+/// imply.
 fn earliest_kill(stop_after: Duration, site: &Site) -> Duration {
-    let deadlines = site.settings.kept_classes().map(|(_, class)| class.give_up);
-    let longest = deadlines.max().map_or(MAX_DEADLINE, |longest| longest.min(MAX_DEADLINE));
+    let timeouts = site.settings.kept_classes().map(|(_, class)| class.give_up);
+    let longest = timeouts.max().map_or(MAX_CLIENT_TIMEOUT, |longest| longest.min(MAX_CLIENT_TIMEOUT));
     stop_after.min(longest + KILL_AFTER_DEADLINE)
 }
 
-/// A notice to leave that was taken.
+/// A drain in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
-    /// When it came.
-    noticed: Duration,
-    /// When the process is taken to be stopped.
+    /// When the signal was received.
+    signalled_at: Duration,
+    /// When the process is assumed to be stopped.
     stop: Duration,
 }
 
 impl Core {
-    /// Begins to leave; a further notice changes nothing.
-    pub(super) fn drain(&mut self, now: Duration, noticed: Duration) {
+    /// Begins the drain; further signals have no effect.
+    pub(super) fn drain(&mut self, now: Duration, signalled_at: Duration) {
         if self.drain.is_some() {
             return;
         }
-        let noticed = noticed.min(now);
+        let signalled_at = signalled_at.min(now);
         let kill_after = earliest_kill(self.stop_after, &self.site);
         let until_close = kill_after.saturating_sub(CLOSE_TIME);
         if self.peer.has_taken_over {
-            // No notice to leave the fleet: another process serves on. What is here ends, the rest is passed on.
+            // The matcher does not leave its fleet, as the successor goes on serving. Requests that are active here are
+            // completed, and new ones are forwarded.
             self.grace_over = true;
-            self.arm(noticed + until_close, Timer::DrainGrace);
+            self.arm(signalled_at + until_close, Timer::DrainGrace);
             self.effects.push(Effect::YieldToSuccessor);
         } else {
-            let grace = from_reading(self.site.settings.drain_grace);
-            self.arm(noticed + grace.min(until_close), Timer::DrainGrace);
+            let grace = count_from_reading(self.site.settings.drain_grace);
+            self.arm(signalled_at + grace.min(until_close), Timer::DrainGrace);
             self.effects.push(Effect::Draining);
         }
         self.effects.push(Effect::Log(format!(
-            "leaving: {} answers owed, the kill comes {} ms after the notice at the earliest, {} ms by the configuration",
+            "leaving: {} answers owed; the kill comes at the earliest {} ms after the signal, {} ms according to the configuration",
             self.deadlines.len(),
             kill_after.as_millis(),
             self.stop_after.as_millis(),
         )));
-        let stop = noticed + from_reading(kill_after);
-        self.stop_at(now, Drain { noticed, stop });
+        let stop = signalled_at + count_from_reading(kill_after);
+        self.answer_before(now, Drain { signalled_at, stop });
     }
 
-    /// Other settings may let the kill come earlier. While leaving, nothing moves it later.
+    /// Applies a new configured time between signal and kill. During a drain the assumed stop only moves to an earlier time.
     pub(super) fn move_stop(&mut self, now: Duration, stop_after: Duration) {
         self.stop_after = stop_after;
         let Some(drain) = self.drain else { return };
-        let stop = drain.noticed + from_reading(earliest_kill(stop_after, &self.site));
+        let stop = drain.signalled_at + count_from_reading(earliest_kill(stop_after, &self.site));
         if stop < drain.stop {
-            self.stop_at(now, Drain { stop, ..drain });
+            self.answer_before(now, Drain { stop, ..drain });
         }
     }
 
-    /// Has all answers given before the stop.
-    fn stop_at(&mut self, now: Duration, drain: Drain) {
-        let Drain { noticed, stop } = drain;
+    /// Makes sure that all answers are sent before the stop.
+    fn answer_before(&mut self, now: Duration, drain: Drain) {
+        let Drain { signalled_at, stop } = drain;
         self.drain = Some(drain);
-        let margin = ANSWER_MARGIN.min(stop.saturating_sub(noticed) / 4);
+        let margin = ANSWER_MARGIN.min(stop.saturating_sub(signalled_at) / 4);
         self.deadlines.limit_to(stop.saturating_sub(margin));
-        self.events.push_back(Event::Retire { age: now.saturating_sub(noticed), stop_at: stop });
+        self.events.push_back(Event::Retire { age: now.saturating_sub(signalled_at), stop_at: stop });
     }
 
-    /// Takes no new connections from now on.
+    /// Ends the grace period: no new connections are accepted from now on.
     pub(super) fn end_grace(&mut self) {
         self.grace_over = true;
         self.effects.push(Effect::StopListening);
@@ -103,13 +105,13 @@
             let orphans =
                 self.requests.values().filter(|request| request.is_orphan && request.conn.is_some()).count();
             self.effects.push(Effect::Log(format!(
-                "the grace is over: {owed} answers owed, {orphans} of them by runs whose launch is in doubt, {} by another process",
+                "the grace period is over: {owed} answers owed, {orphans} of them by runs whose launch is in doubt, {} by the successor",
                 self.deadlines.forwarded().len()
             )));
         }
     }
 
-    /// Leaves once the grace is over and all that was read is answered.
+    /// Lets the process exit once the grace period is over and every request that was read is answered.
     pub(super) fn exit_when_done(&mut self) {
         if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.has_exited, true) {
             self.effects.push(Effect::Exit);
