--- a/src/core/answer_deadlines.rs
+++ b/src/core/answer_deadlines.rs
@@ -1,9 +1,10 @@
 //! Deadlines of the final answers: one for each request that was read and has no answer yet.
 //!
 //! A deadline is set when the request is read, shortly after its due time. A stop signal may move it, but only to an
-//! earlier time. The answer is expected from the decision module, a run, another try of the same key or the successor, and
-//! this may change at any time. The deadline does not change with it: a request without an answer at its deadline is
-//! answered by the reducer itself. So every request is answered at its due time and before the process stops.
+//! earlier time. The answer is expected from the decision module, a run, another try of the same key or the
+//! successor, and this may change at any time. The deadline does not change with it: a request without an answer at
+//! its deadline is answered by the reducer itself. So every request is answered at its due time and before the
+//! process stops.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -59,8 +60,8 @@
         owed.is_some_and(|owed| self.order.remove(&(owed.deadline, conn)))
     }
 
-    /// Limits all deadlines, including those of later requests, to `latest`. A later time than that of a previous call has
-    /// no effect.
+    /// Limits all deadlines, including those of later requests, to `latest`. A later time than that of a previous
+    /// call has no effect.
     pub(super) fn limit_to(&mut self, latest: Duration) {
         if self.latest.is_some_and(|before| before <= latest) {
             return;
--- a/src/core/answers.rs
+++ b/src/core/answers.rs
@@ -1,4 +1,5 @@
-//! Final answers: each request gets exactly one, from its own run or, if it joined another try of its key, from that run.
+//! Final answers: each request gets exactly one, from its own run or, if it joined another try of its key, from that
+//! run.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/core/arrivals.rs
+++ b/src/core/arrivals.rs
@@ -1,4 +1,5 @@
-//! Incoming requests: each is rejected, refused, forwarded to the successor, or recorded and passed to the decision module.
+//! Incoming requests: each is rejected, refused, forwarded to the successor, or recorded and passed to the decision
+//! module.
 
 use std::time::Duration;
 
@@ -106,14 +107,14 @@
         keyed.map(|c| c.give_up).max().unwrap_or_default()
     }
 
-    /// Whether the try is so old that a run of its key may already be forgotten, although the try belongs to the window of
-    /// that run. This happens if a client waits longer than its class allows.
+    /// Whether the try is so old that a run of its key may already be forgotten, although the try belongs to the
+    /// window of that run. This happens if a client waits longer than its class allows.
     fn may_be_forgotten(&self, now: Duration, key: &Key, start: Duration) -> bool {
         now.saturating_sub(start) > self.longest_wait() && !self.keys.is_known(key)
     }
 
-    /// The index of a tenant in the settings. A tenant that the settings do not name has no quota: its index is past the
-    /// end of the list.
+    /// The index of a tenant in the settings. A tenant that the settings do not name has no quota: its index is past
+    /// the end of the list.
     fn tenant(&mut self, name: Option<&str>) -> usize {
         let names = &self.site.tenant_names;
         let index = name.and_then(|name| names.iter().position(|known| known == name));
--- a/src/core/call_history.rs
+++ b/src/core/call_history.rs
@@ -1,8 +1,8 @@
 //! The replies to earlier calls of a request, which may still arrive late or again.
 //!
-//! A reply from the dependency names its request but not its call, and it may arrive late, twice and over any connection. So
-//! each request records the replies to its earlier calls. A further call is made only if all of these replies are known:
-//! then a copy is recognised by its content, and any other reply belongs to the call in progress.
+//! A reply from the dependency names its request but not its call, and it may arrive late, twice and over any
+//! connection. So each request records the replies to its earlier calls. A further call is made only if all of these
+//! replies are known: then a copy is recognised by its content, and any other reply belongs to the call in progress.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -63,8 +63,8 @@
         self.replies.push(ReplyDigest::of(reply));
     }
 
-    /// Records that an attempt ended in another way. Returns whether this end is known to belong to the attempt, rather than
-    /// being a copy of an earlier one.
+    /// Records that an attempt ended in another way. Returns whether this end is known to belong to the attempt,
+    /// rather than being a copy of an earlier one.
     pub(super) fn ended(&mut self, end: End) -> bool {
         let is_repeated = self.statuses.contains(&end);
         self.misses_current_reply |= is_repeated || end.may_leave_late_reply();
--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -1,5 +1,5 @@
-//! The fleet's routes, as far as the reducer needs them: the state and the call limits of each class, and what the route of
-//! each request depends on. None of it exists where routes are off.
+//! The fleet's routes, as far as the reducer needs them: the state and the call limits of each class, and what the
+//! route of each request depends on. None of it exists where routes are off.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -110,8 +110,8 @@
         }))
     }
 
-    /// Records the fence under which a call was sent, however the call ended: a later call of the request must not be sent
-    /// under another one.
+    /// Records the fence under which a call was sent, however the call ended: a later call of the request must not be
+    /// sent under another one.
     pub(super) fn note_sent_fence(&mut self, handle: Handle, fence: Option<Fence>) {
         let request = self.handles.get(&handle).and_then(|id| self.requests.get_mut(id));
         if let (Some(fence), Some(route)) = (fence, request.and_then(|request| request.route.as_mut())) {
@@ -124,8 +124,8 @@
         self.report_route_states();
     }
 
-    /// Takes over the call limits of new routes. They hold also for requests whose call waits in this process and that have
-    /// not sent a call yet.
+    /// Takes over the call limits of new routes. They hold also for requests whose call waits in this process and
+    /// that have not sent a call yet.
     pub(super) fn set_call_limits(&mut self, routes: Vec<Allows>) {
         let by_class = &mut self.routes.get_or_insert_default().limits;
         by_class.clear();
@@ -143,8 +143,8 @@
         waiting.into_iter().for_each(|id| self.update_call_limits(id));
     }
 
-    /// Reports the current call limits of a request to the decision module, if no call of it was sent yet. A request that has
-    /// sent a call keeps the version of the routes under which it was sent.
+    /// Reports the current call limits of a request to the decision module, if no call of it was sent yet. A request
+    /// that has sent a call keeps the version of the routes under which it was sent.
     pub(super) fn update_call_limits(&mut self, id: RequestId) {
         let (Some(routes), Some(request)) = (&self.routes, self.requests.get_mut(&id)) else { return };
         let Some(route) = request.route.as_mut().filter(|route| route.last_fence.is_none()) else { return };
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Handles a call that is sent under another version of the routes than was reported to the decision module: from here
-    /// on, the limits of that version hold for its request.
+    /// Handles a call that is sent under another version of the routes than was reported to the decision module: from
+    /// here on, the limits of that version hold for its request.
     pub(super) fn change_call_limits(&mut self, handle: Handle, attempt: u32, limits: Option<Allowed>) {
         let Some(&id) = self.handles.get(&handle) else { return };
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.call.attempt == attempt)
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -95,8 +95,8 @@
         let (handle, attempt, body) = (request.handle, request.call.attempt, request.call.body.clone());
         let earlier = request.call.history.replies().into();
         let at_most_once = self.site.settings.classes[request.class].repeat != Repeat::Idempotent;
-        // On a connection that was used before, a late copy of this request's last reply may arrive, or the dependency may
-        // have dropped the connection.
+        // On a connection that was used before, a late copy of this request's last reply may arrive, or the
+        // dependency may have dropped the connection.
         let fresh = std::mem::replace(&mut request.call.was_tried, true) || at_most_once;
         self.counters.calls_made += 1;
         let route = request.route.as_ref().map(|r| Box::new(r.call(&self.site.class_names[request.class])));
--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -1,14 +1,14 @@
 //! Delivery of commands to the agent: which commands were sent on which link, and which of them the agent has read.
 //!
-//! When a link breaks, the last commands on it may be lost, and it is not known how many. Only three observations prove what
-//! became of a command: a notice about its run, the agent's answer to a later acknowledgement request on the same link, or
-//! the fact that the command was never written. Neither elapsed time nor a run that shows no effect of the command
-//! proves anything: a run that waits for its disk looks the same as one that does not exist. Where nothing is proven, [`recovery`]
-//! chooses an action that does no harm in either case.
+//! When a link breaks, the last commands on it may be lost, and it is not known how many. Only three observations
+//! prove what became of a command: a notice about its run, the agent's answer to a later acknowledgement request on
+//! the same link, or the fact that the command was never written. Neither elapsed time nor a run that shows no effect
+//! of the command proves anything: a run that waits for its disk looks the same as one that does not exist. Where
+//! nothing is proven, [`recovery`] chooses an action that does no harm in either case.
 //!
-//! Every command names the link that it is meant for, and every notice the link that delivered it. The reducer, the link
-//! manager and the link's reader run concurrently, and a link, even several in a row, may end before any of them is
-//! notified. So none of them infers the link of a message from the order of messages.
+//! Every command names the link that it is meant for, and every notice the link that delivered it. The reducer, the
+//! link manager and the link's reader run concurrently, and a link, even several in a row, may end before any of them
+//! is notified. So none of them infers the link of a message from the order of messages.
 
 mod pending;
 mod recovery;
@@ -45,7 +45,8 @@
         self.agent_link.connection = Connection::Direct;
     }
 
-    /// Sends a command on the current link. All commands are sent here. Returns the link and the number of the command, or
+    /// Sends a command on the current link. All commands are sent here. Returns the link and the number of the
+    /// command, or
     /// `None` if there is no link.
     pub(super) fn send_command(&mut self, command: Command) -> Option<(LinkId, u64)> {
         let (link, number) = match &mut self.agent_link.connection {
@@ -90,7 +91,8 @@
         self.effects.push(Effect::Log(format!("violation: {violation} was not sent: {handle}")));
     }
 
-    /// Requests an acknowledgement of the commands that were sent since the last one. Only one request is open at a time.
+    /// Requests an acknowledgement of the commands that were sent since the last one. Only one request is open at a
+    /// time.
     pub(super) fn request_acknowledgement(&mut self) {
         let Connection::Up(session) = &mut self.agent_link.connection else { return };
         if !session.needs_acknowledgement() {
@@ -102,7 +104,8 @@
         self.send_command(Command::Acknowledge(request_number));
     }
 
-    /// Handles an acknowledgement: the agent has read all commands on the link that precede the acknowledgement request.
+    /// Handles an acknowledgement: the agent has read all commands on the link that precede the acknowledgement
+    /// request.
     pub(super) fn acknowledged(&mut self, link: LinkId, request_number: u64) {
         let Some(session) = self.agent_link.connection.session_of(link) else { return };
         for (number, id) in session.acknowledged(request_number) {
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Records how far the commands got that were sent on a link which has ended. Returns how many commands are in doubt, and
-    /// how many wait for a link.
+    /// Records how far the commands got that were sent on a link which has ended. Returns how many commands are in
+    /// doubt, and how many wait for a link.
     fn resolve_sent_commands(&mut self, now: Duration, link: LinkId, end: LinkEnd) -> (usize, usize) {
         let (mut in_doubt, mut unsent) = (0, 0);
         for (id, request) in &mut self.requests {
@@ -177,7 +180,8 @@
         (in_doubt, unsent)
     }
 
-    /// Handles the agent's greeting on a new link: commands that were never written are sent now, if they are still needed.
+    /// Handles the agent's greeting on a new link: commands that were never written are sent now, if they are still
+    /// needed.
     pub(super) fn link_greeted(&mut self, now: Duration, link: LinkId) {
         if link <= self.agent_link.newest {
             self.counters.stale_notices += 1;
--- a/src/core/delivery/pending.rs
+++ b/src/core/delivery/pending.rs
@@ -47,8 +47,8 @@
         self.delivery == Delivery::InDoubt
     }
 
-    /// Whether its loss would lose the run or a reply. Such a command must not be replaced by another one before the agent
-    /// is known to have read it.
+    /// Whether its loss would lose the run or a reply. Such a command must not be replaced by another one before the
+    /// agent is known to have read it.
     pub(in crate::core) fn must_not_be_lost(&self) -> bool {
         matches!(self.command, Command::Launch { .. } | Command::Deliver { .. })
     }
--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -9,8 +9,8 @@
 
 /// Maximum number of runs that one log line names.
 const MAX_NAMED: usize = 8;
-/// Maximum number of answered requests whose run is awaited although its launch is in doubt; later tries of their keys need
-/// the outcome.
+/// Maximum number of answered requests whose run is awaited although its launch is in doubt; later tries of their
+/// keys need the outcome.
 const MAX_ANSWERED_ORPHANS: usize = 1024;
 
 /// What is done about a command in doubt, once all notices that the agent sent before the next link have been received.
@@ -20,8 +20,8 @@
     Repeat,
     /// The run may have begun and must not begin twice: notices about it are awaited until its due time.
     AwaitRun,
-    /// The run may have received the reply. No command is sent that would take the run past its call, so that a reply that is
-    /// read late still belongs to that call. Notices about the run are awaited.
+    /// The run may have received the reply. No command is sent that would take the run past its call, so that a reply
+    /// that is read late still belongs to that call. Notices about the run are awaited.
     AwaitReply,
     /// The request has its answer: no more commands are sent.
     Abandon,
@@ -80,8 +80,9 @@
         }
     }
 
-    /// Handles a reply that has been in doubt for so long that the run is assumed to wait for it still. The client gets a
-    /// failure, which ends the run at its call. The run's slot and memory are freed once the agent reports that end.
+    /// Handles a reply that has been in doubt for so long that the run is assumed to wait for it still. The client
+    /// gets a failure, which ends the run at its call. The run's slot and memory are freed once the agent reports
+    /// that end.
     pub(in crate::core) fn reply_in_doubt(&mut self, now: Duration, id: RequestId, cursor: u64) {
         let is_this_reply = |pending: &PendingCommand| {
             pending.is_in_doubt()
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Marks a run that may never have begun: the decision module frees its slot, and the client goes on waiting until the
-    /// deadline of its answer.
+    /// Marks a run that may never have begun: the decision module frees its slot, and the client goes on waiting
+    /// until the deadline of its answer.
     fn orphan(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_orphan = true;
@@ -106,8 +107,9 @@
         self.events.push_back(Event::Finished { id, outcome: Outcome::Reset, took });
     }
 
-    /// The same for an answered request, whose run is still awaited for the sake of later tries of its key. If it has no key,
-    /// or too many such runs are awaited already, the run is assumed to be lost, and its key may not run again.
+    /// The same for an answered request, whose run is still awaited for the sake of later tries of its key. If it has
+    /// no key, or too many such runs are awaited already, the run is assumed to be lost, and its key may not run
+    /// again.
     pub(in crate::core) fn orphan_answered(&mut self, now: Duration, id: RequestId) {
         let awaited =
             self.requests.values().filter(|request| request.is_orphan && request.conn.is_none()).count();
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Continues a run without the call that it requests or, if that is not allowed, fails its request. The decision module
-    /// has no part in this.
+    /// Continues a run without the call that it requests or, if that is not allowed, fails its request. The decision
+    /// module has no part in this.
     pub(in crate::core) fn continue_without_call(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (handle, cursor) = (request.handle, request.call.cursor);
--- a/src/core/delivery/session.rs
+++ b/src/core/delivery/session.rs
@@ -1,6 +1,8 @@
-//! A link to the agent from the reducer's point of view: the numbers of its commands, and which are not acknowledged yet.
+//! A link to the agent from the reducer's point of view: the numbers of its commands, and which are not acknowledged
+//! yet.
 //!
-//! This state ends with the link: numbers, acknowledgement requests and acknowledgements are valid on their own link only.
+//! This state ends with the link: numbers, acknowledgement requests and acknowledgements are valid on their own link
+//! only.
 
 use std::collections::VecDeque;
 
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Handles the answer to the acknowledgement request with this number, and returns the commands that the agent has read.
+    /// Handles the answer to the acknowledgement request with this number, and returns the commands that the agent
+    /// has read.
     pub(super) fn acknowledged(&mut self, number: u64) -> Vec<(u64, RequestId)> {
         let Some(request) = self.open_request.filter(|_| number == self.acknowledgement_requests) else {
             return Vec::new();
--- a/src/core/error.rs
+++ b/src/core/error.rs
@@ -5,8 +5,8 @@
 
 use crate::interface::SettingsError;
 
-/// Why [`Core::new`](super::Core::new) failed. A configuration that was read from a file has passed the same checks, whose
-/// errors name the key.
+/// Why [`Core::new`](super::Core::new) failed. A configuration that was read from a file has passed the same checks,
+/// whose errors name the key.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum CoreError {
     /// Without cores nothing can run.
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Records that a try is run now. Returns false, and records nothing, if the try arrived within the window of an earlier
-    /// run of the key.
+    /// Records that a try is run now. Returns false, and records nothing, if the try arrived within the window of an
+    /// earlier run of the key.
     pub fn start_run(&mut self, key: &Key, id: RequestId) -> bool {
         let Some(e) = self.entries.get_mut(key) else { return false };
         let Some(&Try { start, until, .. }) = e.tries.iter().find(|t| t.id == id) else { return false };
@@ -208,7 +208,8 @@
         self.entries.get(key)?.run.as_ref()?.result.clone()
     }
 
-    /// Forgets keys whose runs can no longer be repeated by a new try. A try that arrived within a window may be read up to
+    /// Forgets keys whose runs can no longer be repeated by a new try. A try that arrived within a window may be read
+    /// up to
     /// `lateness` later, and so after the end of the window.
     pub fn sweep(&mut self, now: Duration, lateness: Duration) {
         let result_bytes = &mut self.result_bytes;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The reducer: it owns the state of all requests and knows no wire format, no socket and no clock.
 //!
-//! [`Core::step`] takes [`Input`]s and returns [`Effect`]s, which the network layer carries out. The reducer alone drives
-//! the decision module: inputs become the module's events, and the module's actions become effects. Times are
+//! [`Core::step`] takes [`Input`]s and returns [`Effect`]s, which the network layer carries out. The reducer alone
+//! drives the decision module: inputs become the module's events, and the module's actions become effects. Times are
 //! [`Duration`]s since the Unix epoch on a monotonic clock; the caller of `step` passes the current time.
 
 mod answer_deadlines;
@@ -116,7 +116,8 @@
     /// The number of the last attempt at a call, counted over all requests: a request that arrives again under the same
     /// handle gets other numbers.
     last_attempt: u32,
-    /// Each call to the dependency has a connection of its own, so its reply cannot be confused with that to another call.
+    /// Each call to the dependency has a connection of its own, so its reply cannot be confused with that to another
+    /// call.
     has_dedicated_call_connections: bool,
     /// Classes that the site no longer has, and until when requests of them are accepted.
     served_until: BTreeMap<usize, Duration>,
@@ -224,8 +225,8 @@
         effects
     }
 
-    /// Whether clients should send requests to this matcher. After a handover the successor serves at the same address, so
-    /// this process must not send its clients away.
+    /// Whether clients should send requests to this matcher. After a handover the successor serves at the same
+    /// address, so this process must not send its clients away.
     fn accepts_clients(&self) -> bool {
         (self.healthy || self.peer.has_taken_over) && !self.standby
     }
--- a/src/core/reload.rs
+++ b/src/core/reload.rs
@@ -10,8 +10,8 @@
 const CLIENT_UPDATE_DELAY: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Takes over new settings. A class is identified by its name and keeps its index, as active requests refer to it. A
-    /// dropped class is still served while clients that learn of the change late may send tries of it.
+    /// Takes over new settings. A class is identified by its name and keeps its index, as active requests refer to
+    /// it. A dropped class is still served while clients that learn of the change late may send tries of it.
     pub(super) fn reload(&mut self, now: Duration, new: Site) {
         let previous = std::mem::replace(&mut self.site, new);
         let (names, classes) = (&mut self.site.class_names, &mut self.site.settings.classes);
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -18,7 +18,8 @@
         match notice {
             Notice::Greeting { cold, uptime } => {
                 self.effects.push(Effect::Ready);
-                // The decision module starts anew with the agent's first greeting, which states how warm the machine is.
+                // The decision module starts anew with the agent's first greeting, which states how warm the machine
+                // is.
                 if !std::mem::replace(&mut self.has_agent_greeted, true)
                     && self.requests.is_empty()
                     && self.drain.is_none()
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Logs that the agent refused a command, which shows that it received the command twice or altered. The line has all
-    /// details that help to identify the command.
+    /// Logs that the agent refused a command, which shows that it received the command twice or altered. The line has
+    /// all details that help to identify the command.
     fn log_refusal(&mut self, command: &str, handle: Handle) {
         let request = self.handles.get(&handle).and_then(|id| self.requests.get(id));
         let details = request.map_or("its request is no longer active".to_string(), |request| {
@@ -107,7 +108,8 @@
         };
         if request.phase == Phase::Held {
             if let Some(key) = request.key.clone() {
-                // The rule of one run for each key and window is enforced here too, independently of the decision module.
+                // The rule of one run for each key and window is enforced here too, independently of the decision
+                // module.
                 if !self.keys.start_run(&key, id) {
                     self.counters.second_runs_barred += 1;
                     self.events.push_back(Event::Finished {
@@ -134,8 +136,8 @@
             return;
         };
         if self.site.settings.preemption != Preemption::Off {
-            // A pause command that replaced a launch or a reply as the pending command would hide its loss. A run that may not
-            // have begun is not paused either, as nothing would show whether it was.
+            // A pause command that replaced a launch or a reply as the pending command would hide its loss. A run
+            // that may not have begun is not paused either, as nothing would show whether it was.
             let blocks_pause = |pending: &PendingCommand| {
                 pending.must_not_be_lost() || pending.is_unsent() || pending.is_in_doubt()
             };
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -9,18 +9,20 @@
 
 /// Time reserved for closing the connections, between the end of the grace period and the kill.
 const CLOSE_TIME: Duration = Duration::from_millis(800);
-/// On a machine that is short of processor time, a signal may be read this long after it was sent. A tenth of the time span
-/// that counts from the signal is assumed instead if that is less.
+/// On a machine that is short of processor time, a signal may be read this long after it was sent. A tenth of the
+/// time span that counts from the signal is assumed instead if that is less.
 const SIGNAL_DELAY: Duration = Duration::from_millis(100);
 /// The last answers are sent this long before the process is assumed to be stopped, as they still have to be written. A
 /// quarter of the time to the stop is used instead if that is less.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
-/// The kill comes at the earliest after the longest client timeout of the site, counted from the signal, and this margin, ...
+/// The kill comes at the earliest after the longest client timeout of the site, counted from the signal, and this
+/// margin, ...
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// ... where the client timeout counts as no more than this.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Shortens a time span that counts from the sending of a signal, so that it can be counted from the reading of the signal.
+/// Shortens a time span that counts from the sending of a signal, so that it can be counted from the reading of the
+/// signal.
 fn count_from_reading(span: Duration) -> Duration {
     span.saturating_sub(SIGNAL_DELAY.min(span / 10))
 }
@@ -30,8 +32,8 @@
     Settings { drain_grace: count_from_reading(settings.drain_grace), ..settings }
 }
 
-/// The time from the signal to the earliest kill: the configured time or, if less, the time that the site's client timeouts
-/// imply.
+/// The time from the signal to the earliest kill: the configured time or, if less, the time that the site's client
+/// timeouts imply.
 fn earliest_kill(stop_after: Duration, site: &Site) -> Duration {
     let timeouts = site.settings.kept_classes().map(|(_, class)| class.give_up);
     let longest = timeouts.max().map_or(MAX_CLIENT_TIMEOUT, |longest| longest.min(MAX_CLIENT_TIMEOUT));
@@ -77,7 +79,8 @@
         self.answer_before(now, Drain { signalled_at, stop });
     }
 
-    /// Applies a new configured time between signal and kill. During a drain the assumed stop only moves to an earlier time.
+    /// Applies a new configured time between signal and kill. During a drain the assumed stop only moves to an
+    /// earlier time.
     pub(super) fn move_stop(&mut self, now: Duration, stop_after: Duration) {
         self.stop_after = stop_after;
         let Some(drain) = self.drain else { return };
--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -1,9 +1,10 @@
-//! A new version takes over from the one that runs: two processes that callers take for one.
+//! The handover from a running process to its successor, during which both serve as the same matcher.
 //!
-//! From one step of the old process's reducer on, the new one decides everything. The old one hands it all keys in
-//! that step, passes on what still comes to it, and only ends what it had taken itself; each key that was open
-//! is settled as soon as its last try is over. So every key has one owner at any time, and no run needs a word of
-//! the other process before it begins.
+//! The predecessor hands over in a single step of its reducer, and from then on the successor makes all decisions. In
+//! that step the predecessor sends it all keys. It then forwards the requests that it still receives and completes
+//! only those that it had accepted itself. It reports each key that was open as soon as the last try of that key has
+//! ended. So every key has exactly one owner at any time, and no run has to wait for a message from the other
+//! process.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,52 +15,53 @@
 use super::{shutdown, Core, SWEEP_INTERVAL};
 use crate::interface::{Repeat, RequestId, Settings};
 
-/// Why a new process does not get the keys at once.
+/// Log line: why a successor does not get the keys at once.
 const LACKS_KEYS: &str =
-    "a new process waits for the keys: the one before it may have run some that are not known here, for their window";
+    "the successor has to wait for the keys: until their windows end, a previous successor may have run keys that are unknown here";
 
-/// What a reducer knows of the other process.
+/// What a reducer knows of its peer process.
 #[derive(Default)]
 pub(super) struct PeerState {
-    /// Requests here that wait for a run of the old process, by the id that stands for it.
+    /// Requests of this process that wait for a run of the predecessor, by the id that stands for that run.
     waiters: HashMap<RequestId, Vec<RequestId>>,
-    /// The keys of these runs. The table of keys may forget one before the old process tells of its end.
+    /// The keys of these runs. The table of keys may forget a key before the predecessor reports the end of its run.
     open_keys: HashMap<Key, RequestId>,
-    /// A new process decides: what comes is passed on to it.
+    /// A successor has taken over: requests that arrive are forwarded to it.
     pub(super) has_taken_over: bool,
-    /// The process that decides lives on, but nothing can be passed on to it any more.
+    /// The successor has taken over and lives on, but requests can no longer be forwarded to it.
     is_unreachable: bool,
-    /// The old process has handed all keys over.
+    /// The predecessor has handed over all keys.
     has_all_keys: bool,
-    /// Two processes live that may call below: each keeps to half of the server's share.
+    /// Both processes run and may call the dependency: each keeps to half of the matcher's share.
     pub(super) is_running: bool,
-    /// The new process went away: tries that came up to then may repeat what it ran, and nobody here knows of.
+    /// A successor has ended after it had taken over. Until this time, tries may repeat runs of that process, which are
+    /// unknown here.
     barred_until: Duration,
-    /// The next new process asked for the keys while some are missing here that the one before ran.
+    /// Another successor has asked for the keys while runs of the previous successor may still be unknown here.
     successor_waits: bool,
 }
 
 impl PeerState {
-    /// This process is to take over, and the keys of the one before are not here yet.
+    /// Whether this process is to take over and the predecessor has not handed over all keys yet.
     fn awaits_keys(&self) -> bool {
         self.is_running && !self.has_taken_over && !self.has_all_keys
     }
 
-    /// Runs of the old process that it has not told the end of.
+    /// Number of the predecessor's runs whose end it has not reported.
     pub(super) fn awaited(&self) -> usize {
         self.waiters.len()
     }
 }
 
 impl Core {
-    pub(super) fn handle_succession(&mut self, now: Duration, word: Succession) {
-        match word {
+    pub(super) fn handle_succession(&mut self, now: Duration, message: Succession) {
+        match message {
             Succession::Key(state) => {
                 let id = self.new_id();
                 if state.open {
                     self.peer.waiters.insert(id, Vec::new());
-                    if let Some(before) = self.peer.open_keys.insert(state.key.clone(), id) {
-                        self.peer.waiters.remove(&before);
+                    if let Some(previous) = self.peer.open_keys.insert(state.key.clone(), id) {
+                        self.peer.waiters.remove(&previous);
                     }
                 }
                 let until = self.plausible_end(now, state.until);
@@ -67,27 +69,28 @@
             }
             Succession::KeysComplete { standby } => {
                 self.peer.has_all_keys = true;
-                // A drain ends when operators say so, not with a new version.
+                // Only operators end a standby; a new version of the program does not.
                 self.standby |= standby;
                 self.effects.push(Effect::Listen);
             }
             Succession::KeyResolved { key, ran, result } => {
                 self.resolve_predecessor_key(now, &key, ran, result)
             }
-            // Some keys are missing here, and it runs them: it decides, and this process does not.
+            // The predecessor still owns the keys that are missing here, and goes on serving: this process must not
+            // serve.
             Succession::PredecessorDisconnected if !self.peer.has_all_keys => {
                 self.effects.push(Effect::AbortTakeover)
             }
-            Succession::PredecessorDisconnected => self.end_waits(now),
+            Succession::PredecessorDisconnected => self.end_joins_with_predecessor(now),
             Succession::PredecessorRunning => self.set_call_share_halved(true),
             Succession::PredecessorExited => {
                 self.set_call_share_halved(false);
-                self.end_waits(now);
+                self.end_joins_with_predecessor(now);
                 self.effects.push(Effect::PeerExited);
             }
             Succession::HandoverRequested => {
                 self.peer.successor_waits = true;
-                match self.lacks_keys(now) && self.drain.is_none() {
+                match self.may_lack_keys(now) && self.drain.is_none() {
                     true => self.effects.push(Effect::Log(LACKS_KEYS.into())),
                     false => self.hand_over(),
                 }
@@ -97,11 +100,11 @@
                     self.send_answer(conn, Answer { close: true, ..answer });
                 }
             }
-            // Nothing was handed over to it.
+            // Nothing was handed over to this successor.
             Succession::SuccessorDisconnected | Succession::SuccessorExited if !self.peer.has_taken_over => {
                 self.peer.successor_waits = false;
             }
-            // It runs keys that nobody here hears of: nothing may begin here until it is gone.
+            // The successor runs keys without this process being notified: no run may begin here until it has ended.
             Succession::SuccessorDisconnected => self.abandon_successor(),
             Succession::SuccessorExited => {
                 (self.peer.has_taken_over, self.peer.is_unreachable) = (false, false);
@@ -114,87 +117,92 @@
         }
     }
 
-    /// A process that went away may have run keys that are unknown here, and tries of them may come, or be read, yet.
-    fn lacks_keys(&self, now: Duration) -> bool {
+    /// Whether a successor that ended may have run keys that are unknown here and of which tries may still arrive or
+    /// be read.
+    fn may_lack_keys(&self, now: Duration) -> bool {
         let until = self.peer.barred_until;
         !until.is_zero() && now <= until + self.longest_wait()
     }
 
-    /// Hands all keys to a new process, which decides from then on.
+    /// Hands all keys over to the successor, which makes all decisions from then on.
     fn hand_over(&mut self) {
         self.peer.successor_waits = false;
         self.peer.has_taken_over = true;
         self.set_call_share_halved(true);
-        let awaited = &self.peer.open_keys;
-        let is_open = |key: &KeyState| key.open || awaited.contains_key(&key.key);
+        let predecessor_keys = &self.peer.open_keys;
+        let is_open = |key: &KeyState| key.open || predecessor_keys.contains_key(&key.key);
         let keys =
             self.keys.export().into_iter().map(|key| KeyState { open: is_open(&key), ..key }).collect();
         self.effects.push(Effect::HandOver { keys, standby: self.standby });
     }
 
-    /// Hands over to a process that waits for the keys, once none are missing any more.
+    /// Hands over to a successor that waits for the keys, once none can be missing any more.
     pub(super) fn hand_over_if_awaited(&mut self, now: Duration) {
-        if self.peer.successor_waits && !self.lacks_keys(now) {
+        if self.peer.successor_waits && !self.may_lack_keys(now) {
             self.hand_over();
         }
     }
 
-    /// A process that leaves takes its keys along: one that waits for them has those that are known at least.
+    /// Hands over to a successor that waits for the keys before this process drains. Keys may still be missing, but
+    /// the known ones would be lost otherwise.
     pub(super) fn hand_over_before_drain(&mut self) {
         if self.peer.successor_waits {
             self.hand_over();
         }
     }
 
-    /// The end of a window that the old process told, within what the settings allow. One that is long over was told by
-    /// another clock, as the old process does not keep such keys: its key stays taken for as long as it may.
+    /// Limits the end of a window, as reported by the predecessor, to what the settings allow. If it is long past, it
+    /// was measured by a different clock, as the predecessor does not keep such keys; its key is then kept for the
+    /// longest possible window.
     fn plausible_end(&self, now: Duration, until: Duration) -> Duration {
         let windows = self.site.settings.classes.iter().map(|class| class.window);
         let latest = now + windows.max().unwrap_or_default() + WINDOW_MARGIN;
-        let is_stale = until + self.longest_wait() + 2 * SWEEP_INTERVAL < now;
-        if is_stale {
+        let is_implausible = until + self.longest_wait() + 2 * SWEEP_INTERVAL < now;
+        if is_implausible {
             return latest;
         }
         until.min(latest)
     }
 
-    /// The dependency survives the shares of all servers: two processes of one server have one share together.
+    /// Sets whether this process keeps to half of the matcher's share of calls. The dependency can bear the shares of
+    /// all matchers, so two processes of one matcher must divide its share.
     fn set_call_share_halved(&mut self, is_halved: bool) {
         if std::mem::replace(&mut self.peer.is_running, is_halved) != is_halved {
             self.engine.retune(self.module_settings(), &[]);
         }
     }
 
-    /// The settings as they hold for this process's module.
+    /// The settings for the decision module of this process.
     pub(super) fn module_settings(&self) -> Settings {
         let mut settings = shutdown::with_grace_from_reading(self.site.settings.clone());
         settings.call_share *= if self.peer.is_running { 0.5 } else { 1.0 };
         settings
     }
 
-    /// What the old process had open has ended, or ends unheard: the keys stay taken.
-    fn end_waits(&mut self, now: Duration) {
-        let unheard: Vec<_> = self.peer.open_keys.drain().map(|(key, _)| key).collect();
+    /// Fails the requests that wait for runs of the predecessor, whose results will not be reported. The keys of
+    /// these runs may not run again.
+    fn end_joins_with_predecessor(&mut self, now: Duration) {
+        let unreported: Vec<_> = self.peer.open_keys.drain().map(|(key, _)| key).collect();
         let mut waiters: Vec<_> = self.peer.waiters.drain().flat_map(|(_, waiters)| waiters).collect();
         waiters.sort_unstable();
         waiters.into_iter().for_each(|id| self.end_join(now, id, None));
-        unheard.iter().for_each(|key| self.report_resolved_key(key));
+        unreported.iter().for_each(|key| self.report_resolved_key(key));
     }
 
-    /// The process that decides is asked nothing any more; what it was asked gets an answer here.
+    /// Stops forwarding to the successor. Requests that were forwarded to it are failed here.
     pub(super) fn abandon_successor(&mut self) {
         self.peer.is_unreachable = self.peer.has_taken_over;
         self.fail_forwarded();
     }
 
-    /// What was passed on may have run there, and its answer will not come.
+    /// Fails all forwarded requests: they may have run in the successor, and its answers will not arrive.
     fn fail_forwarded(&mut self) {
         for conn in self.deadlines.forwarded() {
             self.answer(conn, Verdict::Failed);
         }
     }
 
-    /// Passes a request on to the process that decides now.
+    /// Forwards a request to the successor.
     pub(super) fn forward(&mut self, now: Duration, request: Request) {
         if self.peer.is_unreachable || self.deadlines.has_ended(now) {
             self.counters.refused += 1;
@@ -202,28 +210,28 @@
             return self.answer(request.conn, refusal);
         }
         let longest = self.site.settings.classes.iter().map(|c| c.give_up).max();
-        // A caller may state any start: the other process reads times of 64 bits of microseconds.
+        // A client may state any start, but the successor reads times as microseconds in 64 bits.
         let request = Request { start: request.start.min(now), ..request };
         let due = request.start + request.timeout.or(longest).unwrap_or_default();
         self.deadlines.owe(request.conn, due.max(now), Owner::Successor);
         self.effects.push(Effect::Forward(Box::new(request)));
     }
 
-    /// A request with a key must not be run while a process that went away may have run another try of it.
-    /// What counts is when a try came, however late it is read.
+    /// Whether another process, which has ended or has not handed over yet, may have run another try of the request,
+    /// so that it must not be run here. What counts is when the try arrived, however late it is read.
     pub(super) fn may_have_run_elsewhere(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
         let is_unknown = key.is_none_or(|k| self.keys.run_of(k).is_none());
         keyed && is_unknown && (start <= self.peer.barred_until || self.peer.awaits_keys())
     }
 
-    /// Has a request wait for a run of the old process; false if that is not one.
+    /// Makes a request wait for a run of the predecessor; returns false if `run` does not stand for such a run.
     pub(super) fn join_predecessor_run(&mut self, run: RequestId, id: RequestId) -> bool {
         self.peer.waiters.get_mut(&run).map(|waiters| waiters.push(id)).is_some()
     }
 
-    /// The last try of a key has left: the process that decides is told what came of it, unless a process before this one
-    /// has yet to tell.
+    /// Reports to the successor what became of a key whose last try has ended, unless this process itself still waits
+    /// for its predecessor to report that key.
     pub(super) fn report_resolved_key(&mut self, key: &Key) {
         let is_awaited = self.peer.open_keys.contains_key(key);
         if self.peer.has_taken_over && !is_awaited && !self.keys.is_open(key) {
@@ -232,6 +240,7 @@
         }
     }
 
+    /// Handles the predecessor's report of what became of a key.
     fn resolve_predecessor_key(&mut self, now: Duration, key: &Key, ran: bool, result: Option<Bytes>) {
         let Some(run) = self.peer.open_keys.remove(key) else { return };
         let Some(waiters) = self.peer.waiters.remove(&run) else { return };
@@ -241,7 +250,7 @@
         }
         for id in waiters {
             if !ran {
-                // Nothing of this key ever ran: these tries are free to go elsewhere, or to come again.
+                // No try of this key was ever run: the clients may send these tries again, here or elsewhere.
                 self.answer_request(
                     now,
                     id,
@@ -250,7 +259,7 @@
             }
             self.end_join(now, id, result.clone());
         }
-        // This process may have handed over meanwhile, and the next one awaits the same run.
+        // This process may have handed over in the meantime, and its successor waits for the same run.
         self.report_resolved_key(key);
     }
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,7 +1,8 @@
 //! The reducer's inputs and effects, and the messages that they carry.
 //!
 //! [`Input`] is everything that can happen to the reducer, [`Effect`] everything that it asks of its surroundings.
-//! [`Notice`] and [`Command`] are the messages from and to the agent, [`Succession`] is the handover between two processes.
+//! [`Notice`] and [`Command`] are the messages from and to the agent, [`Succession`] is the handover between two
+//! processes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -24,7 +25,8 @@
 /// An idempotency key: all tries of a request that must run once carry the same key.
 pub type Key = Arc<str>;
 
-/// Identifies a link to the agent. Links are numbered from 1 in the order in which they are opened; numbers are not reused.
+/// Identifies a link to the agent. Links are numbered from 1 in the order in which they are opened; numbers are not
+/// reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
@@ -156,8 +158,8 @@
     },
     /// A message from the predecessor or the successor, or a change of their state.
     Succession(Succession),
-    /// Operators want clients to stay away (`true`) or to return (`false`). Requests that arrive nevertheless are served
-    /// as usual.
+    /// Operators want clients to stay away (`true`) or to return (`false`). Requests that arrive nevertheless are
+    /// served as usual.
     Standby(bool),
     /// The configuration was reloaded: classes and link addresses may have changed.
     Reload {
@@ -265,8 +267,8 @@
         /// The number of the acknowledgement request.
         number: u64,
     },
-    /// The agent has read every command on a link that is about to move. This is for the link manager; the reducer ignores
-    /// it.
+    /// The agent has read every command on a link that is about to move. This is for the link manager; the reducer
+    /// ignores it.
     MoveAcknowledged {
         /// The link on which the acknowledgement was requested.
         requested_on: LinkId,
@@ -317,8 +319,8 @@
         /// The number of the last command that may have been written.
         written: u64,
     },
-    /// The link was closed after the agent had acknowledged it. The agent has read the commands up to number `read`; later
-    /// ones were not written.
+    /// The link was closed after the agent had acknowledged it. The agent has read the commands up to number `read`;
+    /// later ones were not written.
     Clean {
         /// The number of the last command that was read.
         read: u64,
@@ -372,8 +374,8 @@
     },
     /// Request a [`Notice::Synced`] after all earlier notices; sent once on each link.
     Sync,
-    /// Request a [`Notice::Acknowledged`] once all earlier commands on this link have been read. These requests are numbered
-    /// from 1 on each link.
+    /// Request a [`Notice::Acknowledged`] once all earlier commands on this link have been read. These requests are
+    /// numbered from 1 on each link.
     Acknowledge(u64),
 }
 
