--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -57,7 +57,7 @@
             return;
         };
         if matches!(request.phase, Phase::Held | Phase::Joined) {
-            return; // This process has not launched the run: the notice is not about its request.
+            return; // The request was not launched by this process, so the notice does not concern it.
         }
         self.cancel_call(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -61,10 +61,13 @@
 /// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// It is not launched yet.
     Held,
     Running,
     Paused,
+    /// Its run waits for a call to the dependency.
     AtCall,
+    /// It waits for the result of another try of its key.
     Joined,
 }
 
@@ -94,7 +97,7 @@
     is_orphan: bool,
 }
 
-/// The reducer's state.
+/// The reducer.
 pub struct Core {
     engine: Brain,
     site: Site,
@@ -127,14 +130,14 @@
     healthy: bool,
     /// Operators want clients to stay away.
     standby: bool,
-    /// What the lease reports to the control plane say: this matcher is ready.
+    /// Whether lease reports to the control plane say that this matcher is ready.
     reported_ready: bool,
     signal: Option<f64>,
     /// The answers that are owed, and their deadlines.
     deadlines: AnswerDeadlines,
     drain: Option<shutdown::Drain>,
     grace_over: bool,
-    has_exited: bool,
+    exit_requested: bool,
     counters: Counters,
     effects: Vec<Effect>,
 }
@@ -175,7 +178,7 @@
             deadlines: AnswerDeadlines::default(),
             drain: None,
             grace_over: false,
-            has_exited: false,
+            exit_requested: false,
             counters: Counters::default(),
             effects: Vec::new(),
         };
@@ -285,7 +288,7 @@
             }
             Input::Reload { site, stop_after } => {
                 self.reload(now, *site);
-                self.move_stop(now, stop_after);
+                self.update_stop_time(now, stop_after);
             }
             Input::Query { ticket, query } => {
                 let lines = match query {
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -168,7 +168,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if matches!(request.phase, Phase::Held | Phase::Joined) {
-            return; // This process has not launched the run: the notice is not about its request.
+            return; // The request was not launched by this process, so the notice does not concern it.
         }
         let is_orphan = request.is_orphan;
         let outcome = end.outcome();
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -81,7 +81,7 @@
 
     /// Applies a new configured time between signal and kill. During a drain the assumed stop only moves to an
     /// earlier time.
-    pub(super) fn move_stop(&mut self, now: Duration, stop_after: Duration) {
+    pub(super) fn update_stop_time(&mut self, now: Duration, stop_after: Duration) {
         self.stop_after = stop_after;
         let Some(drain) = self.drain else { return };
         let stop = drain.signalled_at + count_from_reading(earliest_kill(stop_after, &self.site));
@@ -116,7 +116,8 @@
 
     /// Lets the process exit once the grace period is over and every request that was read is answered.
     pub(super) fn exit_when_done(&mut self) {
-        if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.has_exited, true) {
+        if self.grace_over && self.deadlines.is_empty() && !std::mem::replace(&mut self.exit_requested, true)
+        {
             self.effects.push(Effect::Exit);
         }
     }
