--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The reducer, fed with inputs and a clock of the test's own.
+//! Tests of the reducer with simulated inputs and a simulated clock.
 
 mod bench;
 mod calls;
@@ -19,7 +19,7 @@
 use rstest::rstest;
 
 #[test]
-fn a_request_is_run_and_its_result_goes_back_unchanged() {
+fn a_request_is_run_and_its_result_is_returned_unchanged() {
     let mut bench = Bench::new();
     let handle = bench.send(10, "queue-status", None);
     let launch = Command::Launch {
@@ -28,14 +28,14 @@
         arg: Arc::from(*b"body"),
         timeout: Duration::from_millis(1500),
     };
-    assert!(says(&bench.done, &launch), "{:?}", bench.done);
+    assert!(sends(&bench.effects, &launch), "{:?}", bench.effects);
     bench.complete(50, handle, b"\0made");
     assert_eq!(bench.answers(1), [&served(b"\0made")]);
 }
 
 #[test]
-fn a_key_with_another_body_or_class_is_turned_back_and_never_served() {
-    // Guards against a client that names the key of another's request and is handed its result.
+fn a_known_key_with_another_body_or_class_is_rejected_and_never_served() {
+    // Guards against a client that sends the key of another client's request and gets its result.
     let mut bench = Bench::new();
     let first = bench.send(10, "lobby-confirm", Some("k"));
     let send_other = |bench: &mut Bench, at| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_running_key_waits_for_its_result_and_a_later_one_gets_the_kept_result() {
+fn a_repeat_of_a_running_key_waits_for_its_result_and_a_later_one_gets_the_stored_result() {
     let mut bench = Bench::new();
     let first = bench.send(10, "lobby-confirm", Some("k"));
     bench.send(20, "lobby-confirm", Some("k"));
@@ -67,13 +67,14 @@
     assert_eq!(bench.launches(), 1);
 }
 
-/// Guards against failing the first try of a key, which no wire lets be joined, because its repeat is run.
+/// Guards against failing the first try of a key, which repeats no other try and so cannot join its run, because its
+/// repeat is run.
 #[rstest]
 #[case::in_one_step(0, 0)]
 #[case::in_one_step_behind_full_cores(12, 0)]
 #[case::in_neighbouring_steps_behind_full_cores(12, 1)]
 #[case::in_steps_far_apart_behind_full_cores(12, 40)]
-fn tries_of_one_key_that_wait_together_run_once_and_both_get_the_result(
+fn tries_of_one_key_that_are_held_together_run_once_and_both_get_the_result(
     #[case] before: u64,
     #[case] apart: u64,
 ) {
@@ -89,10 +90,10 @@
     } else {
         tries.into_iter().zip([10, 10 + apart]).for_each(|(input, at)| _ = bench.step(at, [input]));
     }
-    let launched = |bench: &Bench, conn| launches_of(&bench.done, handle(conn));
-    assert_eq!(launched(&bench, first), usize::from(before == 0), "{:?}", bench.done);
+    let launched = |bench: &Bench, conn| launches_of(&bench.effects, handle(conn));
+    assert_eq!(launched(&bench, first), usize::from(before == 0), "{:?}", bench.effects);
     running.into_iter().for_each(|handle| bench.complete(60, handle, b"other"));
-    assert_eq!((launched(&bench, first), launched(&bench, second)), (1, 0), "{:?}", bench.done);
+    assert_eq!((launched(&bench, first), launched(&bench, second)), (1, 0), "{:?}", bench.effects);
     bench.complete(90, handle(first), b"once");
     for conn in [first, second] {
         assert_eq!(bench.answers(conn), [&served(b"once")]);
@@ -102,17 +103,17 @@
 }
 
 #[test]
-fn a_key_may_run_again_after_its_window_and_not_before() {
+fn a_key_may_run_again_only_after_its_window() {
     let mut bench = Bench::new();
     let first = bench.send(0, "lobby-confirm", Some("k"));
     bench.complete(40, first, b"one");
-    bench.pass(16_500);
+    bench.advance_to(16_500);
     bench.send(16_500, "lobby-confirm", Some("k"));
     assert_eq!(bench.launches(), 2);
 }
 
 #[test]
-fn a_run_that_was_proven_not_to_begin_leaves_its_key_free() {
+fn a_run_that_is_proven_not_to_have_begun_frees_its_key() {
     let mut bench = Bench::new();
     let handle = bench.send(10, "lobby-confirm", Some("k"));
     bench.notice(15, Notice::Outcome { handle, end: End::Refused, lasted: None, result: None });
@@ -122,35 +123,35 @@
 }
 
 #[test]
-fn what_the_agent_never_ends_is_answered_when_due_and_only_once() {
+fn a_run_that_the_agent_never_ends_is_answered_once_when_due() {
     let mut bench = Bench::new();
     let handle = bench.send(0, "queue-status", None);
-    bench.pass(1_600);
+    bench.advance_to(1_600);
     assert_eq!(bench.answers(1), [&Verdict::Failed]);
     bench.complete(1_700, handle, b"late");
     assert_eq!(bench.answers(1).len(), 1);
 }
 
 #[test]
-fn a_request_read_after_its_due_time_is_left_to_the_module() {
-    // Guards against the core's own timer failing what the module would have refused with advice.
+fn a_request_read_after_its_due_time_is_answered_by_the_decision_module() {
+    // Guards against the reducer's own deadline failing a request that the decision module would refuse with advice.
     let mut bench = Bench::new();
     let request = bench.request(0, "queue-status", None);
     bench.step(2_000, [request]);
-    assert!(matches!(bench.answers(1)[..], [Verdict::Refused { .. }]), "{:?}", bench.done);
+    assert!(matches!(bench.answers(1)[..], [Verdict::Refused { .. }]), "{:?}", bench.effects);
 }
 
 #[test]
-fn a_call_gets_its_reply_delivered_and_a_silent_one_is_given_up() {
+fn the_reply_to_a_call_is_delivered_and_a_call_without_reply_is_cancelled() {
     let mut bench = Bench::new();
-    let asks = |done: &[Effect]| {
+    let last_attempt = |effects: &[Effect]| {
         let call = |e: &_| if let Effect::Call { attempt, .. } = e { Some(*attempt) } else { None };
-        done.iter().rev().find_map(call).expect("a call")
+        effects.iter().rev().find_map(call).expect("a call")
     };
     let need = |handle, cursor| Notice::CallNeeded { handle, cursor, body: Arc::from(*b"ask") };
     let first = bench.send(10, "lobby-confirm", Some("k"));
     bench.notice(20, need(first, 1));
-    let attempt = asks(&bench.done);
+    let attempt = last_attempt(&bench.effects);
     let reply: Bytes = Arc::from(*b"reply");
     bench.step(
         25,
@@ -162,59 +163,59 @@
             fence: None,
         }],
     );
-    assert!(says(&bench.done, &Command::Deliver { handle: first, cursor: 1, arg: reply }));
+    assert!(sends(&bench.effects, &Command::Deliver { handle: first, cursor: 1, arg: reply }));
 
     let second = bench.send(30, "queue-prefs", None);
     bench.notice(40, need(second, 7));
-    let attempt = asks(&bench.done);
-    bench.pass(1_560);
-    assert!(bench.done.contains(&Effect::CancelCall { handle: second, attempt }));
+    let attempt = last_attempt(&bench.effects);
+    bench.advance_to(1_560);
+    assert!(bench.effects.contains(&Effect::CancelCall { handle: second, attempt }));
     assert_eq!(bench.answers(2), [&Verdict::Failed]);
 
     let third = bench.send(2_000, "queue-prefs", None);
     bench.notice(2_010, need(third, 9));
     for n in 0..3 {
-        let attempt = asks(&bench.done);
+        let attempt = last_attempt(&bench.effects);
         bench.step(
             2_020 + n * 300,
             [Input::CallEnded { handle: third, attempt, end: End::Failed, reply: None, fence: None }],
         );
-        bench.pass(2_300 + n * 300);
+        bench.advance_to(2_300 + n * 300);
     }
-    assert!(says(&bench.done, &Command::Forgo { handle: third, cursor: 9 }), "{:?}", bench.done);
+    assert!(sends(&bench.effects, &Command::Forgo { handle: third, cursor: 9 }), "{:?}", bench.effects);
 }
 
 #[test]
-fn a_drain_runs_nothing_that_came_after_the_grace_and_ends_when_all_is_answered() {
+fn a_drain_runs_nothing_that_arrives_after_the_grace_period_and_ends_when_all_is_answered() {
     let mut bench = Bench::new();
     let early = bench.send(10, "queue-status", None);
     bench.drain(100);
     bench.send(1_500, "queue-status", None);
-    assert_eq!(bench.launches(), 2, "within the grace requests run");
-    bench.pass(2_101);
-    assert!(bench.done.contains(&Effect::StopListening) && !bench.done.contains(&Effect::Exit));
+    assert_eq!(bench.launches(), 2, "requests run within the grace period");
+    bench.advance_to(2_101);
+    assert!(bench.effects.contains(&Effect::StopListening) && !bench.effects.contains(&Effect::Exit));
     bench.send(2_150, "queue-status", None);
     assert!(matches!(bench.answers(3)[..], [Verdict::Refused { .. }]));
     bench.complete(2_200, early, b"x");
     bench.complete(2_210, handle(2), b"y");
     assert_eq!(bench.launches(), 2);
-    assert!(bench.done.contains(&Effect::Exit));
+    assert!(bench.effects.contains(&Effect::Exit));
 }
 
 #[test]
-fn a_burst_costs_one_decision_and_all_of_it_is_answered() {
+fn a_burst_in_one_step_is_answered_and_does_not_overload_the_cores() {
     let mut bench = Bench::new();
     let burst: Vec<_> = (0..300).map(|_| bench.request(10, "queue-status", None)).collect();
     bench.step(10, burst);
-    bench.pass(2_000);
+    bench.advance_to(2_000);
     let answered = (1..=300).filter(|conn| bench.answers(*conn).len() == 1).count();
     assert_eq!(answered, 300);
-    assert!(bench.launches() < 60, "{} launched at once would crowd the cores", bench.launches());
+    assert!(bench.launches() < 60, "{} launched at once would overload the cores", bench.launches());
 }
 
 #[test]
 fn answered_requests_leave_no_timers_behind() {
-    // Guards against memory that grows with the wait that callers state.
+    // Guards against memory that grows with the timeouts that clients state.
     let mut bench = Bench::new();
     for n in 0..500 {
         let Input::Request(mut request) = bench.request(n, "queue-status", None) else { unreachable!() };
@@ -224,9 +225,9 @@
     for n in 1..=500 {
         bench.complete(600, handle(n), b"x");
     }
-    bench.pass(4_000);
-    let told = bench.step(4_000, [Input::Query { ticket: 1, query: Query::Status }]);
-    let [Effect::QueryResult { lines, .. }] = &told[..] else { panic!("{told:?}") };
+    bench.advance_to(4_000);
+    let effects = bench.step(4_000, [Input::Query { ticket: 1, query: Query::Status }]);
+    let [Effect::QueryResult { lines, .. }] = &effects[..] else { panic!("{effects:?}") };
     let timers = lines.iter().find(|(name, _)| name == "timers").unwrap().1.parse::<usize>().unwrap();
     assert!((1..10).contains(&timers), "{lines:?}");
 }
@@ -234,15 +235,19 @@
 #[rstest]
 #[case("no-such-class", None, Verdict::NoSuchClass)]
 #[case("lobby-confirm", None, Verdict::Invalid("a request of this class needs a key"))]
-fn what_cannot_be_taken_is_said_so(#[case] class: &str, #[case] key: Option<&str>, #[case] says: Verdict) {
+fn an_invalid_request_is_answered_with_the_reason(
+    #[case] class: &str,
+    #[case] key: Option<&str>,
+    #[case] expected: Verdict,
+) {
     let mut bench = Bench::new();
     bench.send(10, class, key);
-    assert_eq!(bench.answers(1), [&says]);
+    assert_eq!(bench.answers(1), [&expected]);
     assert_eq!((bench.launches(), bench.core.counters().rejected), (0, 1));
 }
 
 #[test]
-fn a_handle_in_use_is_not_taken_twice() {
+fn a_handle_in_use_is_not_accepted_again() {
     let mut bench = Bench::new();
     bench.send(10, "queue-status", None);
     let Input::Request(mut twin) = bench.request(11, "queue-status", None) else { unreachable!() };
@@ -262,72 +267,72 @@
 #[case(End::Malformed, false)]
 #[case(End::Stalled, false)]
 #[case(End::Cancelled, false)]
-fn only_proof_counts_as_never_ran(#[case] end: End, #[case] never: bool) {
+fn only_ends_that_prove_it_count_as_never_run(#[case] end: End, #[case] never: bool) {
     assert_eq!(end.outcome().never_ran(), never);
     assert_ne!(end.outcome(), Outcome::Done);
 }
 
-/// Whatever agent, vault and link do, and in whatever order: one answer each and in time, one run for a key,
-/// and nothing turned away once it was run.
+/// Whatever agent, vault and link do, in any order: each request gets one answer in time, each key has one run, and no
+/// request is refused after it was run.
 #[test]
 fn the_rules_hold_in_any_order_of_events() {
     const ENDS: [End; 6] =
         [End::Complete, End::Failed, End::Cancelled, End::Broken, End::Complete, End::Complete];
     for seed in 1..=150 {
-        let (mut bench, mut dice) = (Bench::new(), Dice(0x9e37_79b9_7f4a_7c15 ^ seed));
+        let (mut bench, mut rng) = (Bench::new(), Dice(0x9e37_79b9_7f4a_7c15 ^ seed));
         let mut open: Vec<Handle> = Vec::new();
         let (mut calls, mut keys, mut due) = (Vec::new(), std::collections::HashMap::new(), Vec::new());
-        let (mut at, mut seen, mut cursor) = (0, 0, 0);
+        let (mut at, mut searched, mut cursor) = (0, 0, 0);
         for _ in 0..400 {
-            at += dice.roll(25);
-            bench.pass(at);
-            match dice.roll(12) {
+            at += rng.roll(25);
+            bench.advance_to(at);
+            match rng.roll(12) {
                 0..=3 => {
-                    let key = format!("k{}", dice.roll(40));
+                    let key = format!("k{}", rng.roll(40));
                     bench.send(at, "lobby-confirm", Some(&key));
                     keys.insert(handle(bench.conns), (key, at));
                 }
                 4 | 5 => drop(bench.send(at, "queue-status", None)),
                 6..=8 if !open.is_empty() => {
-                    let handle = open.swap_remove(dice.roll(open.len() as u64) as usize);
-                    let end = ENDS[dice.roll(6) as usize];
+                    let handle = open.swap_remove(rng.roll(open.len() as u64) as usize);
+                    let end = ENDS[rng.roll(6) as usize];
                     let result = (end == End::Complete).then(|| Arc::from(*b"r"));
                     bench.notice(at, Notice::Outcome { handle, end, lasted: None, result });
                 }
                 9 if !open.is_empty() => {
                     cursor += 1;
-                    let handle = open[dice.roll(open.len() as u64) as usize];
+                    let handle = open[rng.roll(open.len() as u64) as usize];
                     bench.notice(at, Notice::CallNeeded { handle, cursor, body: Arc::from(*b"c") });
                 }
                 10 if !calls.is_empty() => {
-                    let (handle, attempt) = calls.swap_remove(dice.roll(calls.len() as u64) as usize);
-                    let end = [End::Complete, End::NotNow, End::Overdue, End::Broken][dice.roll(4) as usize];
+                    let (handle, attempt) = calls.swap_remove(rng.roll(calls.len() as u64) as usize);
+                    let end = [End::Complete, End::NotNow, End::Overdue, End::Broken][rng.roll(4) as usize];
                     let reply = (end == End::Complete).then(|| Arc::from(*b"y"));
                     bench.step(at, [Input::CallEnded { handle, attempt, end, reply, fence: None }]);
                 }
-                11 if dice.roll(6) == 0 => {
-                    bench.lose_link(at);
-                    bench.greet(at);
-                    bench.synced(at);
+                11 if rng.roll(6) == 0 => {
+                    bench.break_link(at);
+                    bench.open_link(at);
+                    bench.sync(at);
                 }
                 _ => {}
             }
             due.resize(bench.conns as usize, at);
-            for effect in &bench.done[seen..] {
+            for effect in &bench.effects[searched..] {
                 match effect {
                     Effect::Agent { command: Command::Launch { handle, .. }, .. } => open.push(*handle),
                     Effect::Call { handle, attempt, .. } => calls.push((*handle, *attempt)),
                     _ => {}
                 }
             }
-            seen = bench.done.len();
+            searched = bench.effects.len();
         }
         bench.drain(at);
-        bench.pass(at + 3_200);
-        assert!(bench.done.contains(&Effect::Exit), "seed {seed}: it does not leave");
+        bench.advance_to(at + 3_200);
+        assert!(bench.effects.contains(&Effect::Exit), "seed {seed}: it does not exit");
         let mut runs = std::collections::HashMap::new();
         let mut launched = std::collections::HashSet::new();
-        for effect in &bench.done {
+        for effect in &bench.effects {
             if let Effect::Agent { command: Command::Launch { handle, .. }, .. } = effect {
                 launched.insert(*handle);
                 if let Some((key, start)) = keys.get(handle) {
@@ -346,19 +351,20 @@
 }
 
 #[test]
-fn a_dropped_class_is_served_for_late_callers_and_its_place_serves_again() {
-    // Guards against classes mixed up by a new order of the file, and a table of classes that grows for ever.
+fn a_dropped_class_is_served_for_late_clients_and_its_index_is_reused() {
+    // Guards against classes that are confused after a reordering in the file, and against a table of classes that
+    // grows without limit.
     let named = |name: &str| Box::new(Site::parse(&SITE.replace("queue-prefs", name)).unwrap());
     let mut bench = Bench::new();
     bench.reload(1, named("one"));
     for (at, class, known) in [(5, "one", true), (6, "queue-prefs", true), (6600, "queue-prefs", false)] {
-        bench.pass(at);
+        bench.advance_to(at);
         let sent = bench.send(at, class, None);
-        let begun = bench.launches();
+        let launched = bench.launches();
         bench.complete(at + 1, sent, b"r");
         let last = bench.conns;
         let expected = if known { served(b"r") } else { Verdict::NoSuchClass };
-        assert_eq!(bench.answers(last), [&expected], "{class} at {at}, {begun} begun");
+        assert_eq!(bench.answers(last), [&expected], "{class} at {at}, {launched} launched");
     }
     for n in 0..40 {
         bench.reload(6700 + n * 7000, named(&format!("new-{n}")));
@@ -374,8 +380,8 @@
     assert!(lines.contains(&("classes".to_string(), "4".to_string())), "{lines:?}");
 }
 
-/// A site of two tenants, of which the first has no share, and with one core.
-fn shared_out() -> Site {
+/// A site with one core and two tenants, of which the first has no quota.
+fn site_with_tenants() -> Site {
     let tenants = r#"{"over_share_worth": 0.05, "tenants": [
         {"name": "poor", "quota_per_s": 0}, {"name": "rich", "quota_per_s": 1000}],"#;
     let json = SITE.replacen('{', tenants, 1).replace(r#""cores": 6"#, r#""cores": 1"#);
@@ -386,37 +392,38 @@
 #[case::by_name(Some("rich"), false)]
 #[case::unknown(Some("nobody"), true)]
 #[case::absent(None, true)]
-fn a_tenant_is_known_by_its_name_and_a_stranger_has_no_share(
+fn a_tenant_is_identified_by_its_name_and_an_unknown_one_has_no_quota(
     #[case] tenant: Option<&str>,
-    #[case] strange: bool,
+    #[case] unknown: bool,
 ) {
-    // Guards against the front that read no tenants: all traffic counted as the first one's.
+    // Guards against a frontend that read no tenants, so that all traffic counted as the first tenant's.
     let mut bench = Bench::new();
-    bench.reload(5, Box::new(shared_out()));
-    let of = |bench: &mut Bench, name: Option<&str>, at| {
+    bench.reload(5, Box::new(site_with_tenants()));
+    let send_as = |bench: &mut Bench, name: Option<&str>, at| {
         let Input::Request(mut request) = bench.request(at, "queue-prefs", None) else { unreachable!() };
         request.tenant = name.map(Arc::from);
         bench.step(at, [Input::Request(request)]);
         handle(bench.conns)
     };
-    // A tenant may have saved up some requests: these use them up.
-    let running: Vec<_> = (0..6).map(|_| of(&mut bench, Some("poor"), 10)).collect();
-    let (poor, other) = (of(&mut bench, Some("poor"), 20), of(&mut bench, tenant, 21));
+    // A tenant may have accumulated quota for some requests: these use it up.
+    let running: Vec<_> = (0..6).map(|_| send_as(&mut bench, Some("poor"), 10)).collect();
+    let (poor, other) = (send_as(&mut bench, Some("poor"), 20), send_as(&mut bench, tenant, 21));
     for handle in running {
         bench.complete(40, handle, b"r");
     }
-    let began = |of| {
-        let launch = |e: &_| matches!(e, Effect::Agent { command: Command::Launch { handle, .. }, .. } if *handle == of);
-        bench.done.iter().position(launch)
+    let launch_position = |run| {
+        let launch = |e: &_| matches!(e, Effect::Agent { command: Command::Launch { handle, .. }, .. } if *handle == run);
+        bench.effects.iter().position(launch)
     };
-    assert!(began(poor).is_some() && began(other).is_some());
-    assert_eq!(began(other) < began(poor), !strange, "who has a share goes first");
-    assert_eq!(bench.core.counters().unknown_tenants, u64::from(strange));
+    assert!(launch_position(poor).is_some() && launch_position(other).is_some());
+    assert_eq!(launch_position(other) < launch_position(poor), !unknown, "a tenant with quota goes first");
+    assert_eq!(bench.core.counters().unknown_tenants, u64::from(unknown));
 }
 
 #[test]
-fn a_cost_that_is_told_reaches_the_module() {
-    // Guards against the front that read no costs. Of one worth, what takes longer must start sooner.
+fn a_stated_cost_reaches_the_decision_module() {
+    // Guards against a frontend that read no costs. Of two requests with the same worth, the longer one must start
+    // first.
     let mut bench = Bench::new();
     let send = |bench: &mut Bench, at, cost| {
         let Input::Request(mut request) = bench.request(at, "queue-status", None) else { unreachable!() };
@@ -429,44 +436,45 @@
     for handle in running {
         bench.complete(40, handle, b"r");
     }
-    let began = |of| {
-        let launch = |e: &_| matches!(e, Effect::Agent { command: Command::Launch { handle, .. }, .. } if *handle == of);
-        bench.done.iter().position(launch).unwrap()
+    let launch_position = |run| {
+        let launch = |e: &_| matches!(e, Effect::Agent { command: Command::Launch { handle, .. }, .. } if *handle == run);
+        bench.effects.iter().position(launch).unwrap()
     };
-    assert!(began(long) < began(short));
+    assert!(launch_position(long) < launch_position(short));
 }
 
 #[test]
-fn the_list_follows_whether_callers_are_wanted() {
-    // Guards against reports that said Ready whatever the health: the list follows them at some sites.
+fn the_reported_readiness_follows_health_and_standby() {
+    // Guards against lease reports that said Ready whatever the health: at some sites the gateways' list follows them.
     let mut bench = Bench::new();
-    let lists = |effects: &[Effect]| -> Vec<bool> {
+    let reports = |effects: &[Effect]| -> Vec<bool> {
         effects
             .iter()
             .filter_map(|e| if let Effect::ReportReadiness(on) = e { Some(*on) } else { None })
             .collect()
     };
     for (at, on) in [(1, false), (2, true)] {
-        let told = bench.step(at, [Input::Standby(!on)]);
-        assert_eq!(lists(&told), [on]);
+        let effects = bench.step(at, [Input::Standby(!on)]);
+        assert_eq!(reports(&effects), [on]);
     }
     bench.send(3, "queue-status", None);
-    let hung = bench.done.len();
-    bench.pass(4_000);
-    assert_eq!(lists(&bench.done[hung..]), [false], "work that hangs keeps callers away");
+    let hung_from = bench.effects.len();
+    bench.advance_to(4_000);
+    assert_eq!(reports(&bench.effects[hung_from..]), [false], "clients are kept away while work hangs");
     let drained = bench.drain(4_001);
-    assert_eq!(lists(&drained), [] as [bool; 0]);
+    assert_eq!(reports(&drained), [] as [bool; 0]);
 }
 
 #[rstest]
 #[case::well_within(1_850, true)]
-#[case::where_a_late_signal_would_have_it_outside(1_950, false)]
-fn a_drain_leaves_room_for_a_signal_that_is_read_late(#[case] after: u64, #[case] runs: bool) {
-    // Guards against runs of what came over two seconds after the notice was sent, as its reader was held up.
+#[case::outside_if_the_signal_was_read_late(1_950, false)]
+fn the_grace_period_allows_for_a_signal_that_is_read_late(#[case] after: u64, #[case] runs: bool) {
+    // Guards against runs of requests that arrived more than two seconds after the signal was sent because its reader
+    // was delayed.
     let mut bench = Bench::new();
     bench.drain(100);
-    bench.pass(100 + after);
+    bench.advance_to(100 + after);
     let sent = bench.send(100 + after, "queue-status", None);
-    bench.pass(100 + after + 20);
-    assert_eq!(launches_of(&bench.done, sent) == 1, runs);
+    bench.advance_to(100 + after + 20);
+    assert_eq!(launches_of(&bench.effects, sent) == 1, runs);
 }
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -1,4 +1,4 @@
-//! The reducer where the fleet routes calls.
+//! The reducer at a site where the fleet routes calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,12 +21,12 @@
     format!("{n:016x}").parse().unwrap()
 }
 
-/// From the notice to the kill.
+/// Time between the stop signal and the kill.
 const STOP_AFTER: Duration = Duration::from_millis(3200);
 
 struct Bench {
     core: Core,
-    done: Vec<Effect>,
+    effects: Vec<Effect>,
     next: u64,
 }
 
@@ -34,9 +34,9 @@
     fn new(routes: bool) -> Self {
         let site = Site::parse(include_str!("../src/lab/site.json")).unwrap();
         let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
-        let mut bench = Self { core, done: Vec::new(), next: 1 };
+        let mut bench = Self { core, effects: Vec::new(), next: 1 };
         if routes {
-            bench.ways(0, Way::Open);
+            bench.set_route_states(0, Way::Open);
         }
         bench.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
         bench
@@ -44,7 +44,7 @@
 
     fn step(&mut self, at: u64, input: Input) -> Vec<Effect> {
         let effects = self.core.step(ms(at), [input]);
-        self.done.extend(effects.clone());
+        self.effects.extend(effects.clone());
         effects
     }
 
@@ -52,16 +52,16 @@
         self.step(at, Input::Agent { link: LinkId(1), notice })
     }
 
-    fn pass(&mut self, until: u64) {
+    fn advance_to(&mut self, until: u64) {
         while let Some(at) = self.core.next_timer().filter(|at| *at <= ms(until)) {
             let effects = self.core.step(at, []);
-            self.done.extend(effects);
+            self.effects.extend(effects);
         }
     }
 
-    fn ways(&mut self, at: u64, way: Way) -> Vec<Effect> {
+    fn set_route_states(&mut self, at: u64, state: Way) -> Vec<Effect> {
         let classes = ["queue-status", "queue-prefs", "lobby-confirm"];
-        self.step(at, Input::RouteStates(classes.map(|class| (class.to_string(), way)).to_vec()))
+        self.step(at, Input::RouteStates(classes.map(|class| (class.to_string(), state)).to_vec()))
     }
 
     fn send(&mut self, at: u64, class: &str, change: impl Fn(&mut Request)) -> Handle {
@@ -87,7 +87,7 @@
         handle(n)
     }
 
-    fn needs_call(&mut self, at: u64, handle: Handle) -> Vec<Effect> {
+    fn request_call(&mut self, at: u64, handle: Handle) -> Vec<Effect> {
         self.notice(at, Notice::CallNeeded { handle, cursor: 1, body: Arc::from(*b"ask") })
     }
 
@@ -96,17 +96,17 @@
         self.step(at, Input::CallEnded { handle, attempt, end, reply, fence })
     }
 
-    /// What the calls so far were to be routed by.
+    /// The routing data of all calls so far.
     fn calls(&self) -> Vec<Option<Call>> {
-        let calls = self.done.iter().filter_map(|e| match e {
+        let calls = self.effects.iter().filter_map(|e| match e {
             Effect::Call { route, .. } => Some(route.as_deref().cloned()),
             _ => None,
         });
         calls.collect()
     }
 
-    fn counted(&self) -> Vec<Kind> {
-        let counts = self.done.iter().filter_map(|e| match e {
+    fn counted_kinds(&self) -> Vec<Kind> {
+        let counts = self.effects.iter().filter_map(|e| match e {
             Effect::CountAnswer { kind, .. } => Some(*kind),
             _ => None,
         });
@@ -114,7 +114,7 @@
     }
 
     fn answers(&self, conn: u64) -> Vec<&Verdict> {
-        let answers = self.done.iter().filter_map(|e| match e {
+        let answers = self.effects.iter().filter_map(|e| match e {
             Effect::Answer { conn: c, answer } if *c == conn => Some(&answer.verdict),
             _ => None,
         });
@@ -127,14 +127,14 @@
 }
 
 #[test]
-fn without_routes_a_call_carries_none_and_nothing_is_counted_for_experiments() {
+fn without_routes_a_call_has_no_routing_data_and_nothing_is_counted_for_experiments() {
     let mut bench = Bench::new(false);
     let first = bench.send(10, "queue-status", |r| r.object = Some("o".into()));
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     bench.call_ended(30, first, End::NotNow, None);
-    bench.pass(4_000);
+    bench.advance_to(4_000);
     assert!(!bench.calls().is_empty() && bench.calls().iter().all(Option::is_none));
-    assert!(bench.counted().is_empty());
+    assert!(bench.counted_kinds().is_empty());
 }
 
 #[rstest]
@@ -142,7 +142,7 @@
 #[case::key(None, Some("k"), b"k")]
 #[case::empty_object(Some(""), Some("k"), b"k")]
 #[case::neither(None, None, b"0000000000000001")]
-fn a_subject_is_the_object_else_the_key_else_the_request(
+fn the_subject_is_the_object_or_else_the_key_or_else_the_handle(
     #[case] object: Option<&str>,
     #[case] key: Option<&str>,
     #[case] subject: &[u8],
@@ -151,7 +151,7 @@
     let first = bench.send(10, "queue-prefs", |r| {
         (r.object, r.key, r.tenant) = (object.map(Into::into), key.map(Into::into), Some("t".into()));
     });
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     let call = Call {
         class: "queue-prefs".into(),
         tenant: Some("t".into()),
@@ -162,96 +162,103 @@
 }
 
 #[test]
-fn a_call_that_is_made_again_tells_what_the_one_before_went_out_under() {
+fn a_repeated_call_names_the_fence_under_which_the_first_attempt_was_sent() {
     let mut bench = Bench::new(true);
     let first = bench.send(10, "queue-status", |_| ());
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     bench.call_ended(30, first, End::Failed, Some(FENCE));
-    bench.pass(400);
+    bench.advance_to(400);
     let tried: Vec<_> = bench.calls().into_iter().map(|call| call.unwrap().tried).collect();
     assert_eq!(tried, [None, Some(FENCE)]);
-    // One that never went out takes nothing back.
+    // An attempt that was never sent does not change the fence.
     bench.call_ended(410, first, End::Barred, None);
-    bench.pass(900);
+    bench.advance_to(900);
     assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().tried, Some(FENCE));
 }
 
 #[test]
-fn a_call_that_is_told_late_still_binds_the_request() {
-    // Guards against a call given up by the reducer's own timer, whose fence comes only then.
+fn a_fence_that_is_reported_late_still_binds_the_request() {
+    // Guards against a call that the reducer's own timer cancels, and whose fence is reported only after that.
     let mut bench = Bench::new(true);
     let first = bench.send(10, "queue-status", |_| ());
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     let attempt = 1;
     bench.call_ended(30, first, End::Failed, None);
     bench.step(
         40,
         Input::CallEnded { handle: first, attempt, end: End::Overdue, reply: None, fence: Some(FENCE) },
     );
-    bench.pass(400);
+    bench.advance_to(400);
     assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().tried, Some(FENCE));
 }
 
 #[rstest]
 #[case::read("queue-status", None)]
 #[case::keyed("lobby-confirm", Some("k"))]
-fn a_call_of_an_older_version_ends_its_request_as_failed(#[case] class: &str, #[case] key: Option<&str>) {
+fn a_call_of_an_older_version_of_the_routes_fails_its_request(
+    #[case] class: &str,
+    #[case] key: Option<&str>,
+) {
     let mut bench = Bench::new(true);
     let first = bench.send(10, class, |r| r.key = key.map(Into::into));
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     bench.call_ended(30, first, End::Stale, Some(FENCE));
     assert_eq!(bench.answers(1), [&Verdict::Failed]);
-    bench.pass(4_000);
+    bench.advance_to(4_000);
     assert_eq!((bench.calls().len(), bench.counter("call_stale")), (1, 1));
-    assert_eq!((bench.answers(1).len(), bench.counted()), (1, vec![Kind::Failed]));
+    assert_eq!((bench.answers(1).len(), bench.counted_kinds()), (1, vec![Kind::Failed]));
 }
 
 #[test]
-fn a_call_without_the_right_to_make_it_is_made_again_and_counted() {
+fn a_call_that_was_not_made_for_want_of_a_lease_is_counted_and_made_again() {
     let mut bench = Bench::new(true);
     let first = bench.send(10, "lobby-confirm", |r| r.key = Some("k".into()));
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     bench.call_ended(30, first, End::Barred, None);
     assert!(bench.answers(1).is_empty());
-    bench.pass(400);
+    bench.advance_to(400);
     assert_eq!((bench.calls().len(), bench.counter("call_barred")), (2, 1), "it never ran");
 }
 
 #[test]
-fn without_a_lease_requests_are_turned_away_at_once_and_runs_at_a_call_fail() {
+fn without_a_lease_requests_are_refused_at_once_and_runs_that_need_a_call_fail() {
     let mut bench = Bench::new(true);
     let running = bench.send(10, "queue-status", |_| ());
     bench.call_ended(15, running, End::Barred, None);
-    bench.ways(20, Way::Shut);
+    bench.set_route_states(20, Way::Shut);
     bench.send(30, "queue-status", |_| ());
-    let advice = |v: &&Verdict| matches!(v, Verdict::Refused { retry_after, no_retry: false } if !retry_after.is_zero());
-    assert!(bench.answers(2).iter().all(advice) && bench.answers(2).len() == 1, "{:?}", bench.answers(2));
-    assert!(bench.answers(1).is_empty(), "it runs, and may need no call");
-    bench.needs_call(40, running);
+    let is_refused_with_advice = |v: &&Verdict| matches!(v, Verdict::Refused { retry_after, no_retry: false } if !retry_after.is_zero());
+    assert!(
+        bench.answers(2).iter().all(is_refused_with_advice) && bench.answers(2).len() == 1,
+        "{:?}",
+        bench.answers(2)
+    );
+    assert!(bench.answers(1).is_empty(), "it is running and may not need a call");
+    bench.request_call(40, running);
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 0));
-    bench.ways(50, Way::Open);
+    bench.set_route_states(50, Way::Open);
     bench.send(60, "queue-status", |_| ());
     assert!(bench.answers(3).is_empty());
 }
 
 #[test]
-fn where_it_may_be_a_call_is_left_out_without_a_lease() {
+fn without_a_lease_a_call_is_skipped_if_its_class_allows_it() {
     let mut bench = Bench::new(true);
-    bench.ways(20, Way::LeaveOut);
+    bench.set_route_states(20, Way::LeaveOut);
     let read = bench.send(30, "queue-status", |_| ());
-    let told = bench.needs_call(40, read);
+    let effects = bench.request_call(40, read);
     let skip = Command::Forgo { handle: read, cursor: 1 };
-    let says = |e: &Effect| matches!(e, Effect::Agent { command, .. } if *command == skip);
-    assert!(told.iter().any(says), "{told:?}");
-    // A class that is worth nothing without its call is not answered without it, whatever the table says.
+    let is_skip = |e: &Effect| matches!(e, Effect::Agent { command, .. } if *command == skip);
+    assert!(effects.iter().any(is_skip), "{effects:?}");
+    // A class without worth for answers without the call is not answered without it, whatever the table allows.
     bench.send(50, "lobby-confirm", |r| r.key = Some("k".into()));
     assert!(matches!(bench.answers(2)[..], [Verdict::Refused { .. }]));
 }
 
 #[test]
-fn the_ways_hold_for_the_life_that_the_agents_greeting_begins_and_for_other_settings() {
+fn route_states_still_hold_after_the_agents_first_greeting_and_after_a_reload() {
     let mut bench = Bench::new(true);
-    bench.ways(5, Way::Shut);
+    bench.set_route_states(5, Way::Shut);
     let other =
         include_str!("../src/lab/site.json").replace(r#""promise_us": 1800000"#, r#""promise_us": 1700000"#);
     bench.step(10, Input::Reload { site: Box::new(Site::parse(&other).unwrap()), stop_after: STOP_AFTER });
@@ -259,15 +266,15 @@
     assert!(matches!(bench.answers(1)[..], [Verdict::Refused { .. }]));
     let site = Site::parse(include_str!("../src/lab/site.json")).unwrap();
     let core = Core::new(site, 1, STOP_AFTER, ms(0)).unwrap();
-    let mut early = Bench { core, done: Vec::new(), next: 1 };
-    early.ways(0, Way::Shut);
+    let mut early = Bench { core, effects: Vec::new(), next: 1 };
+    early.set_route_states(0, Way::Shut);
     early.notice(0, Notice::Greeting { cold: false, uptime: Duration::from_secs(60) });
     early.send(20, "queue-status", |_| ());
     assert!(matches!(early.answers(1)[..], [Verdict::Refused { .. }]));
 }
 
 #[test]
-fn each_answer_is_counted_once_by_how_it_went() {
+fn each_answer_is_counted_once_by_its_kind() {
     let mut bench = Bench::new(true);
     let complete = |bench: &mut Bench, at, handle| {
         let (lasted, result) = (Some(Duration::from_millis(20)), Some(Arc::from(*b"x")));
@@ -278,32 +285,32 @@
     let late = bench.send(60, "queue-status", |_| ());
     complete(&mut bench, 2_000, late);
     bench.send(2_010, "queue-status", |_| ());
-    bench.pass(5_100);
-    bench.ways(5_200, Way::Shut);
+    bench.advance_to(5_100);
+    bench.set_route_states(5_200, Way::Shut);
     bench.send(5_210, "queue-status", |_| ());
-    assert_eq!(bench.counted(), [Kind::Served, Kind::Late, Kind::Failed, Kind::TurnedAway]);
+    assert_eq!(bench.counted_kinds(), [Kind::Served, Kind::Late, Kind::Failed, Kind::TurnedAway]);
 }
 
 const ONCE: Allowed = Allowed { tries: 1, without: false };
 const TWICE: Allowed = Allowed { tries: 2, without: true };
 
-fn allows(class: &str, tenant: Option<&str>, allowed: Allowed) -> Allows {
+fn limits(class: &str, tenant: Option<&str>, allowed: Allowed) -> Allows {
     Allows { class: class.into(), tenant: tenant.map(Into::into), allowed }
 }
 
 #[rstest]
-#[case::the_class(None, 2)]
+#[case::route_of_the_class(None, 2)]
 #[case::another_tenant(Some("u"), 2)]
-#[case::a_tenant_of_its_own(Some("t"), 1)]
-fn a_call_is_tried_as_its_own_route_allows(#[case] tenant: Option<&str>, #[case] calls: usize) {
+#[case::route_of_the_tenant(Some("t"), 1)]
+fn a_call_is_tried_as_often_as_its_own_route_allows(#[case] tenant: Option<&str>, #[case] calls: usize) {
     let mut bench = Bench::new(true);
-    let routes = vec![allows("queue-status", None, TWICE), allows("queue-status", Some("t"), ONCE)];
+    let routes = vec![limits("queue-status", None, TWICE), limits("queue-status", Some("t"), ONCE)];
     bench.step(5, Input::CallLimits(routes));
     let first = bench.send(10, "queue-status", |r| r.tenant = tenant.map(Into::into));
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     for at in [30, 400, 800] {
         bench.call_ended(at, first, End::Failed, Some(FENCE));
-        bench.pass(at + 300);
+        bench.advance_to(at + 300);
     }
     assert_eq!(bench.calls().len(), calls);
     let failed = !bench.answers(1).is_empty();
@@ -311,21 +318,21 @@
 }
 
 #[test]
-fn a_request_keeps_what_the_version_allows_that_a_call_of_it_went_out_under() {
+fn a_request_keeps_the_limits_of_the_version_under_which_its_call_was_sent() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![limits("queue-status", None, TWICE)]));
     let (first, later) = (bench.send(10, "queue-status", |_| ()), bench.send(11, "queue-status", |_| ()));
-    bench.needs_call(20, first);
-    // Its call is out when another version comes, and so its request is of the old one; the other one has
-    // none yet.
-    bench.step(25, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
+    bench.request_call(20, first);
+    // When the next version arrives, the call of the first request is in progress, so that the old limits still hold
+    // for it. The second request has not made a call yet.
+    bench.step(25, Input::CallLimits(vec![limits("queue-status", None, ONCE)]));
     bench.step(
         30,
         Input::CallEnded { handle: first, attempt: 1, end: End::Failed, reply: None, fence: Some(FENCE) },
     );
-    bench.pass(400);
-    assert_eq!(bench.calls().len(), 2, "two tries by the old version");
-    bench.needs_call(410, later);
+    bench.advance_to(400);
+    assert_eq!(bench.calls().len(), 2, "the old version allows two tries");
+    bench.request_call(410, later);
     assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().allowed, Some(ONCE));
     bench.step(
         420,
@@ -335,12 +342,12 @@
 }
 
 #[test]
-fn a_call_that_goes_out_by_another_version_is_bound_by_that_one() {
+fn a_call_that_is_sent_under_another_version_is_bound_by_its_limits() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![limits("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
-    bench.needs_call(20, first);
-    // Of another attempt, it says nothing.
+    bench.request_call(20, first);
+    // A change that is reported for another attempt has no effect.
     bench.step(21, Input::CallRouteChanged { handle: first, attempt: 9, limits: Some(TWICE) });
     bench.step(22, Input::CallRouteChanged { handle: first, attempt: 1, limits: Some(ONCE) });
     bench.call_ended(30, first, End::Failed, Some(FENCE));
@@ -348,12 +355,12 @@
 }
 
 #[test]
-fn a_call_that_waits_goes_by_the_routes_that_are_in_force() {
+fn the_limits_of_new_routes_hold_for_a_waiting_call() {
     let mut bench = Bench::new(true);
-    bench.step(5, Input::CallLimits(vec![allows("queue-status", None, TWICE)]));
+    bench.step(5, Input::CallLimits(vec![limits("queue-status", None, TWICE)]));
     let first = bench.send(10, "queue-status", |_| ());
-    bench.needs_call(20, first);
+    bench.request_call(20, first);
     bench.call_ended(30, first, End::NotNow, None);
-    bench.step(40, Input::CallLimits(vec![allows("queue-status", None, ONCE)]));
+    bench.step(40, Input::CallLimits(vec![limits("queue-status", None, ONCE)]));
     assert_eq!((bench.answers(1), bench.calls().len()), (vec![&Verdict::Failed], 1));
 }
