--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -17,7 +17,7 @@
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
 /// The kill comes at the earliest after the longest client timeout of the site, counted from the signal, and this
 /// margin, ...
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// ... where the client timeout counts as no more than this.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -37,7 +37,7 @@
 fn earliest_kill(stop_after: Duration, site: &Site) -> Duration {
     let timeouts = site.settings.kept_classes().map(|(_, class)| class.give_up);
     let longest = timeouts.max().map_or(MAX_CLIENT_TIMEOUT, |longest| longest.min(MAX_CLIENT_TIMEOUT));
-    stop_after.min(longest + KILL_AFTER_DEADLINE)
+    stop_after.min(longest + KILL_MARGIN)
 }
 
 /// A drain in progress.
