--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -15,10 +15,9 @@
 /// The last answers are sent this long before the process is assumed to be stopped, as they still have to be written. A
 /// quarter of the time to the stop is used instead if that is less.
 const ANSWER_MARGIN: Duration = Duration::from_millis(100);
-/// The kill comes at the earliest after the longest client timeout of the site, counted from the signal, and this
-/// margin, ...
+/// The process is killed at the earliest this long after the site's longest client timeout has passed since the signal.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// ... where the client timeout counts as no more than this.
+/// A client timeout counts as no more than this for the time of the kill.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Shortens a time span that counts from the sending of a signal, so that it can be counted from the reading of the
