--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,23 +1,23 @@
-//! The core: one reducer that owns all state and knows no wire, no socket and no clock.
+//! The reducer: it owns the state of all requests and knows no wire format, no socket and no clock.
 //!
-//! [`Core::step`] takes what happened and returns what is to be done. It alone drives the decision module:
-//! inputs become the module's events, the module's actions become effects. Times are [`Duration`]s since the
-//! Unix epoch on a clock that only goes forward, which the caller brings along.
+//! [`Core::step`] takes [`Input`]s and returns [`Effect`]s, which the network layer carries out. The reducer alone
+//! drives the decision module: inputs become the module's events, and the module's actions become effects. Times are
+//! [`Duration`]s since the Unix epoch on a monotonic clock; the caller of `step` passes the current time.
 
 mod answer_deadlines;
 mod answers;
 mod arrivals;
 mod call_history;
+mod call_routes;
 mod calls;
 mod counters;
 mod delivery;
 mod end;
 mod error;
 pub mod keys;
-mod leaving;
-mod retune;
-mod routed;
+mod reload;
 mod runs;
+mod shutdown;
 mod succession;
 mod types;
 
@@ -33,45 +33,48 @@
 pub use call_history::ReplyDigest;
 use calls::CallState;
 pub use counters::Counters;
-use delivery::{Outbox, Pending, Said};
+use delivery::{AgentLink, PendingCommand, SentCommands};
 pub use end::End;
 pub use error::CoreError;
 use keys::Keys;
 pub use types::*;
 
-/// Gauges that were asked for are waited for this long; the module's clockwork must not stop without them.
-const SAMPLE_PATIENCE: Duration = Duration::from_millis(20);
-/// Gauges older than this are no longer passed on.
-const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
-/// Time between two looks for keys that can be forgotten.
-const SWEEP: Duration = Duration::from_secs(1);
+/// How long requested gauges are awaited. The decision module's timers must not stop if the agent sends none.
+const SAMPLE_TIMEOUT: Duration = Duration::from_millis(20);
+/// Gauges older than this are not passed to the decision module.
+const SAMPLE_MAX_AGE: Duration = Duration::from_millis(500);
+/// Interval between two searches for keys that can be forgotten.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Something that the reducer is to be woken for.
+/// A timer of the reducer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Module(u64),
-    SampleLate(u64),
-    CallLate(RequestId, u32),
+    SampleOverdue(u64),
+    CallOverdue(RequestId, u32),
     RunLost(RequestId),
     ReplyInDoubt(RequestId, u64),
     Sweep,
     DrainGrace,
 }
 
-/// Where a request is.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// It is not launched yet.
     Held,
     Running,
     Paused,
+    /// Its run waits for a call to the dependency.
     AtCall,
+    /// It waits for the result of another try of its key.
     Joined,
 }
 
-/// A request whose answer or run is still open.
+/// A request that has no answer yet, or whose run has not ended.
 #[derive(Debug)]
-struct Live {
-    /// Where the answer goes; none once it was given.
+struct ActiveRequest {
+    /// The connection that gets the answer; `None` after the answer was sent.
     conn: Option<ConnId>,
     handle: Handle,
     class: usize,
@@ -80,178 +83,181 @@
     body: Bytes,
     phase: Phase,
     repeats: Option<RequestId>,
-    /// Requests that wait for this one's result.
+    /// Requests that wait for the result of this one.
     waiters: Vec<RequestId>,
     began: Duration,
     call: CallState,
-    /// What its route depends on, where the fleet routes calls.
-    route: Option<Box<routed::Subject>>,
-    /// The last command about this run, until something shows that it was heard.
-    pending: Option<Pending>,
-    /// What was said about it so far.
-    said: Said,
-    /// Its launch is in doubt for good, and the module was told that it is over.
+    /// What the route of its calls depends on, where the fleet routes calls.
+    route: Option<Box<call_routes::RouteKey>>,
+    /// The last command about this run, until the agent is known to have read it.
+    pending: Option<PendingCommand>,
+    /// Which commands about this run were sent so far.
+    sent: SentCommands,
+    /// It will never be known whether its launch was read; the decision module was notified that the run has ended.
     is_orphan: bool,
 }
 
-/// The reducer's state.
+/// The reducer.
 pub struct Core {
-    brain: DecisionEngine,
+    engine: DecisionEngine,
     site: Site,
     seed: u64,
     stop_after: Duration,
     next_id: RequestId,
-    live: HashMap<RequestId, Live>,
+    requests: HashMap<RequestId, ActiveRequest>,
     handles: HashMap<Handle, RequestId>,
     keys: Keys,
     timers: BinaryHeap<Reverse<(Duration, Timer)>>,
-    /// Events that carrying out actions gave rise to.
+    /// Events for the decision module that are not processed yet.
     events: VecDeque<Event>,
-    /// The ticket of the gauges last asked for, and the timer tokens that wait for them.
-    ticket: u64,
-    waiting_ticks: Vec<u64>,
+    /// The ticket of the last request for gauges, and the tokens of the module's timers that wait for them.
+    sample_ticket: u64,
+    waiting_timers: Vec<u64>,
     gauges: (Duration, Gauges),
-    greeted: bool,
-    outbox: Outbox,
-    /// The number of the last attempt at a call, over all requests: one that comes again under its name has others.
+    has_agent_greeted: bool,
+    agent_link: AgentLink,
+    /// The number of the last attempt at a call, counted over all requests: a request that arrives again under the same
+    /// handle gets other numbers.
     last_attempt: u32,
-    /// Each call below is answered on a connection of its own: no reply can be taken for that to another call.
-    tells_replies_apart: bool,
-    /// Classes that the site has no more, and until when requests of them are taken.
+    /// Each call to the dependency has a connection of its own, so its reply cannot be confused with that to another
+    /// call.
+    has_dedicated_call_connections: bool,
+    /// Classes that the site no longer has, and until when requests of them are accepted.
     served_until: BTreeMap<usize, Duration>,
-    partner: succession::Partner,
-    /// How the calls of each class stand, where the fleet routes them.
-    ways: Option<routed::Ways>,
+    peer: succession::PeerState,
+    /// Route states and call limits of the classes, where the fleet routes calls.
+    routes: Option<call_routes::ClassRoutes>,
     healthy: bool,
-    /// Operators want callers kept away.
+    /// Operators want clients to stay away.
     standby: bool,
-    /// What reports to the control plane say: callers may come.
-    listed: bool,
+    /// Whether lease reports to the control plane say that this matcher is ready.
+    reported_ready: bool,
     signal: Option<f64>,
-    /// The answers that are owed, and until when.
+    /// The answers that are owed, and their deadlines.
     deadlines: AnswerDeadlines,
-    drain: Option<leaving::Drain>,
+    drain: Option<shutdown::Drain>,
     grace_over: bool,
-    left: bool,
+    exit_requested: bool,
     counters: Counters,
     effects: Vec<Effect>,
 }
 
 impl Core {
-    /// A core that knows only its configuration.
+    /// Creates a reducer for this configuration, without any requests.
     ///
     /// # Errors
-    /// [`CoreError`] where nothing can be decided with its settings.
+    /// [`CoreError`] if the decision module cannot use the settings.
     pub fn new(site: Site, seed: u64, stop_after: Duration, now: Duration) -> Result<Self, CoreError> {
-        let settings = leaving::with_grace_from_reading(site.settings.clone());
-        let brain = DecisionEngine::new(settings, seed, now)?;
+        let settings = shutdown::with_grace_from_reading(site.settings.clone());
+        let engine = DecisionEngine::new(settings, seed, now)?;
         let mut core = Self {
-            brain,
+            engine,
             site,
             seed,
             stop_after,
             next_id: 1,
-            live: HashMap::new(),
+            requests: HashMap::new(),
             handles: HashMap::new(),
             keys: Keys::default(),
             timers: BinaryHeap::new(),
             events: VecDeque::new(),
-            ticket: 0,
-            waiting_ticks: Vec::new(),
+            sample_ticket: 0,
+            waiting_timers: Vec::new(),
             gauges: (Duration::ZERO, Gauges::default()),
-            greeted: false,
-            outbox: Outbox::default(),
+            has_agent_greeted: false,
+            agent_link: AgentLink::default(),
             last_attempt: 0,
-            tells_replies_apart: false,
+            has_dedicated_call_connections: false,
             served_until: BTreeMap::new(),
-            partner: succession::Partner::default(),
-            ways: None,
+            peer: succession::PeerState::default(),
+            routes: None,
             healthy: true,
             standby: false,
-            listed: true,
+            reported_ready: true,
             signal: None,
             deadlines: AnswerDeadlines::default(),
             drain: None,
             grace_over: false,
-            left: false,
+            exit_requested: false,
             counters: Counters::default(),
             effects: Vec::new(),
         };
-        core.arm(now + SWEEP, Timer::Sweep);
+        core.arm(now + SWEEP_INTERVAL, Timer::Sweep);
         Ok(core)
     }
 
-    /// When [`Core::step`] wants to be called again even if nothing happens.
+    /// When [`Core::step`] must be called again even if there is no input.
     pub fn next_timer(&self) -> Option<Duration> {
         [self.next_armed(), self.deadlines.next()].into_iter().flatten().min()
     }
 
-    /// The earliest of the timers that were armed.
+    /// The earliest timer, except for the deadlines of answers.
     fn next_armed(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// What was counted so far.
+    /// The counters so far.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Takes all that happened, decides once, and returns what is to be done, in order.
+    /// Handles all inputs and expired timers, lets the decision module decide once, and returns the effects in order.
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Effect> {
         let mut actions = Vec::new();
         for input in inputs {
-            self.take(now, input, &mut actions);
-            self.settle_events(now, &mut actions);
+            self.handle_input(now, input, &mut actions);
+            self.process_events(now, &mut actions);
         }
         while self.next_armed().is_some_and(|at| at <= now) {
             let Some(Reverse((_, timer))) = self.timers.pop() else { break };
-            self.fire(now, timer, &mut actions);
-            self.settle_events(now, &mut actions);
+            self.handle_timer(now, timer, &mut actions);
+            self.process_events(now, &mut actions);
         }
-        self.keep_deadlines(now);
-        self.settle_events(now, &mut actions);
-        self.brain.decide(now, &mut actions);
-        self.settle_events(now, &mut actions);
-        self.leave_when_done();
-        self.ask_for_acknowledgement();
-        let listed = self.takes_callers() && (self.drain.is_none() || self.partner.yields);
-        if std::mem::replace(&mut self.listed, listed) != listed {
-            self.effects.push(Effect::ReportReadiness(listed));
+        self.answer_overdue_requests(now);
+        self.process_events(now, &mut actions);
+        self.engine.decide(now, &mut actions);
+        self.process_events(now, &mut actions);
+        self.exit_when_done();
+        self.request_acknowledgement();
+        let ready = self.accepts_clients() && (self.drain.is_none() || self.peer.has_taken_over);
+        if std::mem::replace(&mut self.reported_ready, ready) != ready {
+            self.effects.push(Effect::ReportReadiness(ready));
         }
         let effects = std::mem::take(&mut self.effects);
         self.counters.commands += effects.iter().filter(|e| matches!(e, Effect::Agent { .. })).count() as u64;
         effects
     }
 
-    /// Whether callers are wanted here. While another process serves on, they are to hear of that one.
-    fn takes_callers(&self) -> bool {
-        (self.healthy || self.partner.yields) && !self.standby
+    /// Whether clients should send requests to this matcher. After a handover the successor serves at the same
+    /// address, so this process must not send its clients away.
+    fn accepts_clients(&self) -> bool {
+        (self.healthy || self.peer.has_taken_over) && !self.standby
     }
 
     fn arm(&mut self, at: Duration, timer: Timer) {
         self.timers.push(Reverse((at, timer)));
     }
 
-    /// Carries out actions, and hands the module the events that they cause, until none is left.
-    fn settle_events(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Performs actions and passes the events that they cause to the decision module, until none is left.
+    fn process_events(&mut self, now: Duration, actions: &mut Vec<Action>) {
         loop {
             for action in std::mem::take(actions) {
-                self.act(now, action);
+                self.perform(now, action);
             }
             let Some(event) = self.events.pop_front() else { return };
-            self.brain.on_event(now, event, actions);
+            self.engine.on_event(now, event, actions);
         }
     }
 
     // ---- Inputs -------------------------------------------------------------------------------------
 
-    fn take(&mut self, now: Duration, input: Input, actions: &mut Vec<Action>) {
+    fn handle_input(&mut self, now: Duration, input: Input, actions: &mut Vec<Action>) {
         match input {
-            Input::Request(request) => self.arrived(now, *request),
-            // Deep or not, a check hears what the module set: it watches whether work gets done.
+            Input::Request(request) => self.handle_request(now, *request),
+            // Shallow and deep checks get the same answer: the decision module observes whether requests are completed.
             Input::HealthCheck { conn, .. } => {
                 self.counters.checks += 1;
-                let good = self.takes_callers();
+                let good = self.accepts_clients();
                 let verdict = if good { Verdict::Healthy } else { Verdict::Unhealthy };
                 self.answer(conn, verdict);
             }
@@ -259,28 +265,30 @@
             Input::AnswerWriteFailed(end) => self.counters.unsent(end),
             Input::ViolationBlocked => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
-            Input::Agent { link, notice } => self.agent(now, link, notice),
+            Input::Agent { link, notice } => self.handle_notice(now, link, notice),
             Input::CallEnded { handle, attempt, end, reply, fence } => {
-                self.went_out(handle, fence);
+                self.note_sent_fence(handle, fence);
                 self.call_ended(now, handle, attempt, end, reply);
             }
-            Input::RouteStates(ways) => self.take_ways(ways),
-            Input::CallLimits(routes) => self.take_allows(routes),
-            Input::CallRouteChanged { handle, attempt, limits } => self.goes_by(handle, attempt, limits),
+            Input::RouteStates(states) => self.set_route_states(states),
+            Input::CallLimits(limits) => self.set_call_limits(limits),
+            Input::CallRouteChanged { handle, attempt, limits } => {
+                self.change_call_limits(handle, attempt, limits)
+            }
             Input::Drain { signalled_at } => {
-                self.hand_over_before_leaving();
+                self.hand_over_before_drain();
                 self.drain(now, signalled_at);
             }
-            Input::Succession(word) => self.succession(now, word),
+            Input::Succession(message) => self.handle_succession(now, message),
             Input::Standby(on) => {
                 if std::mem::replace(&mut self.standby, on) != on {
-                    let what = if on { "callers are kept away" } else { "callers are taken again" };
-                    self.effects.push(Effect::Log(format!("operators: {what}")));
+                    let order = if on { "clients are kept away" } else { "clients are accepted again" };
+                    self.effects.push(Effect::Log(format!("ordered by operators: {order}")));
                 }
             }
             Input::Reload { site, stop_after } => {
-                self.retune(now, *site);
-                self.retune_stop(now, stop_after);
+                self.reload(now, *site);
+                self.update_stop_time(now, stop_after);
             }
             Input::Query { ticket, query } => {
                 let lines = match query {
@@ -295,7 +303,7 @@
             Input::LogCounters => self.effects.push(Effect::Log(format!("counters: {}", self.counters))),
         }
         if !self.events.is_empty() {
-            self.settle_events(now, actions);
+            self.process_events(now, actions);
         }
     }
 
@@ -306,20 +314,21 @@
     }
 
     fn status(&self) -> Vec<(String, String)> {
-        let in_phase = |phase| self.live.values().filter(|l| l.phase == phase).count().to_string();
+        let in_phase =
+            |phase| self.requests.values().filter(|request| request.phase == phase).count().to_string();
         let yes_no = |yes| if yes { "yes" } else { "no" }.to_string();
         let lines = [
             ("healthy", yes_no(self.healthy)),
             ("kept_away", yes_no(self.standby)),
             ("leaving", yes_no(self.drain.is_some())),
-            ("linked", yes_no(self.outbox.connection.is_up())),
+            ("linked", yes_no(self.agent_link.connection.is_up())),
             ("unanswered", self.deadlines.len().to_string()),
             ("held", in_phase(Phase::Held)),
             ("running", in_phase(Phase::Running)),
             ("at_call", in_phase(Phase::AtCall)),
             ("joined", in_phase(Phase::Joined)),
-            ("passed_on", self.deadlines.passed_on().len().to_string()),
-            ("awaited", self.partner.awaited().to_string()),
+            ("passed_on", self.deadlines.forwarded().len().to_string()),
+            ("awaited", self.peer.awaited().to_string()),
             ("keys", self.keys.len().to_string()),
             ("classes", self.site.class_names.len().to_string()),
             ("timers", self.timers.len().to_string()),
@@ -330,33 +339,35 @@
 
     // ---- Timers -------------------------------------------------------------------------------------
 
-    fn fire(&mut self, now: Duration, timer: Timer, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, now: Duration, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::Module(token) => {
-                self.waiting_ticks.push(token);
-                self.ticket += 1;
-                if self.outbox.connection.is_up() {
-                    self.say(Command::Sample { ticket: self.ticket });
-                    self.arm(now + SAMPLE_PATIENCE, Timer::SampleLate(self.ticket));
+                self.waiting_timers.push(token);
+                self.sample_ticket += 1;
+                if self.agent_link.connection.is_up() {
+                    self.send_command(Command::Sample { ticket: self.sample_ticket });
+                    self.arm(now + SAMPLE_TIMEOUT, Timer::SampleOverdue(self.sample_ticket));
                 } else {
-                    self.tick_without_sample(now);
+                    self.deliver_timers_without_sample(now);
                 }
             }
-            Timer::SampleLate(ticket) => {
-                if ticket == self.ticket && !self.waiting_ticks.is_empty() {
+            Timer::SampleOverdue(ticket) => {
+                if ticket == self.sample_ticket && !self.waiting_timers.is_empty() {
                     self.counters.late_samples += 1;
-                    self.tick_without_sample(now);
+                    self.deliver_timers_without_sample(now);
                 }
             }
-            Timer::CallLate(id, attempt) => {
-                let is_out = |live: &&Live| live.call.is_out(attempt);
-                if let Some(handle) = self.live.get(&id).filter(is_out).map(|live| live.handle) {
+            Timer::CallOverdue(id, attempt) => {
+                let is_in_progress = |request: &&ActiveRequest| request.call.is_in_progress(attempt);
+                if let Some(handle) =
+                    self.requests.get(&id).filter(is_in_progress).map(|request| request.handle)
+                {
                     self.effects.push(Effect::CancelCall { handle, attempt });
                     self.call_ended(now, handle, attempt, End::Overdue, None);
                 }
             }
             Timer::RunLost(id) => {
-                if self.live.get(&id).is_some_and(|l| l.conn.is_none()) {
+                if self.requests.get(&id).is_some_and(|request| request.conn.is_none()) {
                     self.run_ended(now, id, End::Broken, None, None);
                 }
             }
@@ -364,58 +375,58 @@
             Timer::Sweep => {
                 let lateness = self.longest_wait();
                 self.keys.sweep(now, lateness);
-                self.hand_over_late(now);
-                // Requests that state a long wait and are answered at once leave their timers behind.
-                let live = &self.live;
+                self.hand_over_if_awaited(now);
+                // A request with a long timeout that is answered early leaves its timers behind.
+                let requests = &self.requests;
                 self.timers.retain(|Reverse((_, timer))| match timer {
-                    Timer::RunLost(id) | Timer::CallLate(id, _) | Timer::ReplyInDoubt(id, _) => {
-                        live.contains_key(id)
+                    Timer::RunLost(id) | Timer::CallOverdue(id, _) | Timer::ReplyInDoubt(id, _) => {
+                        requests.contains_key(id)
                     }
                     _ => true,
                 });
-                self.arm(now + SWEEP, Timer::Sweep);
+                self.arm(now + SWEEP_INTERVAL, Timer::Sweep);
             }
             Timer::DrainGrace => self.end_grace(),
         }
-        self.settle_events(now, actions);
+        self.process_events(now, actions);
     }
 
-    /// Hands the module its timers although no new gauges came; old ones are no longer passed on.
-    fn tick_without_sample(&mut self, now: Duration) {
-        if now.saturating_sub(self.gauges.0) > SAMPLE_LIFETIME {
+    /// Passes expired timers to the decision module although no new gauges arrived; outdated gauges are dropped.
+    fn deliver_timers_without_sample(&mut self, now: Duration) {
+        if now.saturating_sub(self.gauges.0) > SAMPLE_MAX_AGE {
             self.gauges.1 = Gauges::default();
         }
-        self.tick();
+        self.deliver_timers();
     }
 
-    /// Hands the module its timers, with the gauges as they are.
-    fn tick(&mut self) {
+    /// Passes expired timers to the decision module, with the latest gauges.
+    fn deliver_timers(&mut self) {
         let gauges = self.gauges.1;
-        let tokens = self.waiting_ticks.drain(..);
+        let tokens = self.waiting_timers.drain(..);
         self.events.extend(tokens.map(|token| Event::Timer { token, gauges }));
     }
 
     // ---- Actions ------------------------------------------------------------------------------------
 
-    fn act(&mut self, now: Duration, action: Action) {
+    fn perform(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Start(id) => self.start(now, id),
+            Action::Start(id) => self.start_run(now, id),
             Action::Refuse { id, retry_after, no_retry } => self.refuse(now, id, retry_after, no_retry),
             Action::Fail(id) => self.fail(now, id),
             Action::Preempt(id) => self.preempt(id),
-            Action::Call { id, timeout } => self.call(now, id, timeout),
+            Action::Call { id, timeout } => self.make_call(now, id, timeout),
             Action::SkipCall(id) => {
                 self.skip_call(id);
             }
             Action::Join(id) => self.join(now, id),
             Action::RememberKey { id, lifetime } => {
-                if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
-                    self.keys.remember(key, id, now + lifetime);
+                if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
+                    self.keys.set_holder(key, id, now + lifetime);
                 }
             }
             Action::ForgetKey(id) => {
-                if let Some(key) = self.live.get(&id).and_then(|l| l.key.as_ref()) {
-                    self.keys.forget(key, id);
+                if let Some(key) = self.requests.get(&id).and_then(|request| request.key.as_ref()) {
+                    self.keys.clear_holder(key, id);
                 }
             }
             Action::Health { healthy } => self.healthy = healthy,
