--- a/src/net/agent/link_manager.rs
+++ b/src/net/agent/link_manager.rs
@@ -1,4 +1,7 @@
-//! Keeps the link to the agent: opens it, writes commands, moves it, and tells the reducer of its end.
+//! The link manager: opens the link to the agent, writes commands on it, moves it to another address when the configuration
+//! changes, and reports its end to the reducer.
+//!
+//! It runs in one coroutine and handles [`LinkEvent`]s. Each link has a second coroutine that reads notices.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr};
@@ -11,94 +14,103 @@
 
 use super::reader::Reader;
 use super::wire::{encode, encode_move, encode_subscribe};
-use super::{Ended, Order, OutgoingCommand};
+use super::{EndedLink, LinkEvent, OutgoingCommand};
 use crate::core::{Handle, Input, LinkEnd, LinkId, Notice};
 use crate::net::lines::Buffer;
 use crate::net::stream::Conn;
 use crate::net::{spawn, Hub};
 
-/// Wait before a new link, doubled up to the second after each failure.
-const RELINK: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(250));
-/// An attempt to connect is given up after this long.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-/// An agent that reads nothing for this long is taken to be gone: the link is made anew.
-const WRITE_PATIENCE: Duration = Duration::from_secs(2);
-/// The agent has this long to answer on the old link before a link moves.
-const MOVE_PATIENCE: Duration = Duration::from_millis(200);
+/// First and longest delay before the next attempt to connect; the delay doubles after each failure.
+const RECONNECT_DELAY: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(250));
+/// Timeout of an attempt to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// If the agent reads nothing for this long, it counts as gone and a new link is opened.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for the agent to acknowledge the commands on the old link before the link moves.
+const MOVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A link that is open.
-struct Open {
+/// An open link.
+struct OpenLink {
     conn: Conn,
     id: LinkId,
     address: SocketAddr,
-    since: Instant,
-    /// The number of the last command that was put on it.
-    queued: u64,
-    /// The number of the last command that was written, or half written.
-    written: u64,
-    /// Commands for other links that came meanwhile.
+    opened_at: Instant,
+    /// The number of the last command that was queued for writing.
+    last_queued: u64,
+    /// The number of the last command that was written, perhaps partly.
+    last_written: u64,
+    /// How many commands for other links were dropped.
     dropped: u64,
-    /// The last command about a run that was put on it, for the log.
-    last: Option<(&'static str, Handle)>,
-    /// It is not used any more.
-    over: Arc<AtomicBool>,
-    /// Another address is sought for it.
-    seeks: bool,
+    /// The last command about a run that was queued, for the log.
+    last_run_command: Option<(&'static str, Handle)>,
+    /// The link is no longer in use. Set when this value is dropped, and read by the coroutine that connects a
+    /// replacement.
+    is_over: Arc<AtomicBool>,
+    /// A coroutine is connecting to another address to replace this link.
+    has_pending_replacement: bool,
 }
 
-impl Open {
-    /// Puts a command into the bytes to be written, if it is meant for this link.
-    fn put(&mut self, outgoing: &OutgoingCommand, out: &mut String) {
+impl OpenLink {
+    /// Appends a command to the bytes to be written, if it is meant for this link.
+    fn encode(&mut self, outgoing: &OutgoingCommand, out: &mut String) {
         if outgoing.link != self.id {
             self.dropped += 1;
             return;
         }
         encode(self.id, &outgoing.command, out);
-        self.queued = outgoing.number;
-        self.last = outgoing.command.about().or(self.last);
+        self.last_queued = outgoing.number;
+        self.last_run_command = outgoing.command.about().or(self.last_run_command);
     }
 
-    /// Writes all that was put on it; false where that failed.
+    /// Writes all queued bytes. Returns false if that failed.
     fn write(&mut self, out: &str) -> bool {
-        self.written = self.queued;
+        self.last_written = self.last_queued;
         self.conn.write_all(out.as_bytes()).is_ok()
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenLink {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Release);
+        self.is_over.store(true, Ordering::Release);
     }
 }
 
 pub(super) struct LinkManager {
     hub: Arc<Hub>,
-    again: Sender<Order>,
-    orders: Receiver<Order>,
+    /// Sends to `events`.
+    sender: Sender<LinkEvent>,
+    events: Receiver<LinkEvent>,
     /// The number of the last notice read, over all links.
     cursor: Arc<AtomicU64>,
-    /// Behind which notice there was one that could not be read, when the link was given up for that.
-    unreadable: Arc<Mutex<Option<u64>>>,
-    /// The last link that was opened.
+    /// If the last link was closed because of an unreadable notice: the number of the last notice before that one.
+    unreadable_after: Arc<Mutex<Option<u64>>>,
+    /// The link that was opened last.
     newest: LinkId,
 }
 
 impl LinkManager {
-    /// For the orders that come on `orders`; `again` leads there as well.
-    pub(super) fn new(hub: Arc<Hub>, again: Sender<Order>, orders: Receiver<Order>) -> Self {
-        Self { hub, again, orders, cursor: Arc::default(), unreadable: Arc::default(), newest: LinkId::NONE }
+    /// Creates a manager that handles `events`; `sender` is the sending side of the same channel.
+    pub(super) fn new(hub: Arc<Hub>, sender: Sender<LinkEvent>, events: Receiver<LinkEvent>) -> Self {
+        Self {
+            hub,
+            sender,
+            events,
+            cursor: Arc::default(),
+            unreadable_after: Arc::default(),
+            newest: LinkId::NONE,
+        }
     }
 
     /// Opens one link after the other, as long as the configuration names an agent.
-    pub(super) fn keep_linked(&mut self) {
-        let mut wait = RELINK.0;
+    pub(super) fn run(&mut self) {
+        let mut delay = RECONNECT_DELAY.0;
         loop {
-            // What is queued is meant for a link that is over.
-            while self.orders.try_recv().is_ok() {}
+            // The queued events belong to a link that has ended.
+            while self.events.try_recv().is_ok() {}
             let Some(address) = self.hub.links().agent else { return };
-            match Conn::connect(address, CONNECT_PATIENCE, WRITE_PATIENCE) {
+            match Conn::connect(address, CONNECT_TIMEOUT, WRITE_TIMEOUT) {
                 Ok(conn) => {
-                    wait = RELINK.0;
+                    delay = RECONNECT_DELAY.0;
                     let mut next = Some((conn, address));
                     while let Some((conn, address)) = next {
                         let link = self.open(conn, address);
@@ -106,15 +118,16 @@
                     }
                 }
                 Err(e) => {
-                    debug!("no link to the agent at {address}: {e}");
-                    wait = (wait * 2).min(RELINK.1);
+                    debug!("cannot connect to the agent at {address}: {e}");
+                    delay = (delay * 2).min(RECONNECT_DELAY.1);
                 }
             }
-            spawn::sleep(wait);
+            spawn::sleep(delay);
         }
     }
 
-    fn open(&mut self, conn: Conn, address: SocketAddr) -> Open {
+    /// Numbers a new link and starts the coroutine that reads its notices.
+    fn open(&mut self, conn: Conn, address: SocketAddr) -> OpenLink {
         self.newest = LinkId(self.newest.0 + 1);
         let link = self.newest;
         info!("linked to the agent at {address}: link {link}");
@@ -123,139 +136,145 @@
             link,
             hub: self.hub.clone(),
             cursor: self.cursor.clone(),
-            unreadable: self.unreadable.clone(),
+            unreadable_after: self.unreadable_after.clone(),
         };
-        let again = self.again.clone();
+        let sender = self.sender.clone();
         spawn(move || {
-            let end = reader.read_notices(&mut reads, || drop(again.send(Order::Settled(link))));
+            let end =
+                reader.read_notices(&mut reads, || drop(sender.send(LinkEvent::MoveAcknowledged(link))));
             let cause = reads.describe_end();
-            let _ = again.send(Order::Broken(Ended { link, end, cause }));
+            let _ = sender.send(LinkEvent::Ended(EndedLink { link, end, cause }));
         });
-        Open {
+        OpenLink {
             conn,
             id: link,
             address,
-            since: Instant::now(),
-            queued: 0,
-            written: 0,
+            opened_at: Instant::now(),
+            last_queued: 0,
+            last_written: 0,
             dropped: 0,
-            last: None,
-            over: Arc::default(),
-            seeks: false,
+            last_run_command: None,
+            is_over: Arc::default(),
+            has_pending_replacement: false,
         }
     }
 
-    /// Writes what is queued until the link breaks, or moves; then returns the new one.
-    fn write_commands(&mut self, mut link: Open) -> Option<(Conn, SocketAddr)> {
+    /// Writes queued commands until the link breaks or moves. Returns the connection of the next link if it moves.
+    fn write_commands(&mut self, mut link: OpenLink) -> Option<(Conn, SocketAddr)> {
         let mut out = String::new();
         encode_subscribe(self.cursor.load(Ordering::Acquire), &mut out);
-        // The configuration may have been read again while the link before was ending.
-        self.seek(&mut link);
-        let mut writes = true;
+        // The configuration may have been read again while the previous link was ending.
+        self.connect_replacement(&mut link);
+        let mut can_write = true;
         loop {
-            if writes && !link.write(&out) {
-                // The reader notices the shutdown, and its word ends this loop.
-                writes = false;
+            if can_write && !link.write(&out) {
+                // The reader notices the shutdown and reports the end of the link, which ends this loop.
+                can_write = false;
                 link.conn.shutdown(Shutdown::Both);
             }
             out.clear();
-            let mut order = self.orders.recv().ok()?;
+            let mut event = self.events.recv().ok()?;
             loop {
-                match order {
-                    Order::Command(outgoing) => link.put(&outgoing, &mut out),
-                    Order::Broken(ended) if ended.link == link.id => {
-                        self.tell_broken(&link, &ended);
+                match event {
+                    LinkEvent::Command(outgoing) => link.encode(&outgoing, &mut out),
+                    LinkEvent::Ended(ended) if ended.link == link.id => {
+                        self.report_broken(&link, &ended);
                         return None;
                     }
-                    Order::Relink => self.seek(&mut link),
-                    Order::Sought(which, found) if which == link.id => {
-                        link.seeks = false;
-                        let named = self.hub.links().agent;
-                        if let Some(next) = found.filter(|(_, address)| named == Some(*address)) {
-                            self.settle(link, out);
+                    LinkEvent::Relink => self.connect_replacement(&mut link),
+                    LinkEvent::Replacement(replaced, connected) if replaced == link.id => {
+                        link.has_pending_replacement = false;
+                        let configured = self.hub.links().agent;
+                        if let Some(next) = connected.filter(|(_, address)| configured == Some(*address)) {
+                            self.close_cleanly(link, out);
                             return Some(next);
                         }
-                        self.seek(&mut link);
+                        self.connect_replacement(&mut link);
                     }
-                    Order::Broken(_) | Order::Settled(_) | Order::Sought(..) => {}
+                    LinkEvent::Ended(_) | LinkEvent::MoveAcknowledged(_) | LinkEvent::Replacement(..) => {}
                 }
-                match self.orders.try_recv() {
-                    Ok(next) => order = next,
+                match self.events.try_recv() {
+                    Ok(next) => event = next,
                     Err(_) => break,
                 }
             }
         }
     }
 
-    /// Tells the reducer that a link broke.
-    fn tell_broken(&self, link: &Open, ended: &Ended) {
+    /// Reports to the reducer that a link broke.
+    fn report_broken(&self, link: &OpenLink, ended: &EndedLink) {
         link.conn.shutdown(Shutdown::Both);
-        let last = link.last.map_or("none".to_string(), |(event, handle)| format!("{event} {handle}"));
+        let last =
+            link.last_run_command.map_or("none".to_string(), |(event, handle)| format!("{event} {handle}"));
         warn!(
             "the link to the agent ended: {}: {}; link {}, {} ms old, last command about a run: {last}, {} commands written, {} for other links dropped",
             ended.end.word(),
             ended.cause,
             link.id,
-            link.since.elapsed().as_millis(),
-            link.written,
+            link.opened_at.elapsed().as_millis(),
+            link.last_written,
             link.dropped,
         );
-        self.tell_end(link, LinkEnd::Broken { end: ended.end, written: link.written });
+        self.report_end(link, LinkEnd::Broken { end: ended.end, written: link.last_written });
     }
 
-    /// Tells the reducer how a link ended. It does not wait for room: nothing of the next link should come before.
-    fn tell_end(&self, link: &Open, end: LinkEnd) {
+    /// Reports to the reducer how a link ended. It does not wait for room in the inbox, so that no notice of the next link
+    /// can arrive before the report.
+    fn report_end(&self, link: &OpenLink, end: LinkEnd) {
         self.hub.push_nonblocking(Input::Agent { link: link.id, notice: Notice::Closed(end) });
     }
 
-    /// Connects to the address that the configuration names now if that is another one, beside the link: commands
-    /// are not to wait for an address that does not answer.
-    fn seek(&self, link: &mut Open) {
-        let (hub, at, id) = (self.hub.clone(), link.address, link.id);
-        let other = move || hub.links().agent.filter(|address| *address != at);
-        if other().is_none() || std::mem::replace(&mut link.seeks, true) {
+    /// If the configuration now names another address, starts a coroutine that connects to it while the link stays in use:
+    /// commands must not wait for an address that does not answer.
+    fn connect_replacement(&self, link: &mut OpenLink) {
+        let (hub, current, id) = (self.hub.clone(), link.address, link.id);
+        let new_address = move || hub.links().agent.filter(|address| *address != current);
+        if new_address().is_none() || std::mem::replace(&mut link.has_pending_replacement, true) {
             return;
         }
-        let (again, over) = (self.again.clone(), link.over.clone());
+        let (sender, is_over) = (self.sender.clone(), link.is_over.clone());
         spawn(move || {
-            while !over.load(Ordering::Acquire) {
-                let Some(address) = other() else { return drop(again.send(Order::Sought(id, None))) };
-                match Conn::connect(address, CONNECT_PATIENCE, WRITE_PATIENCE) {
-                    Ok(conn) => return drop(again.send(Order::Sought(id, Some((conn, address))))),
-                    Err(e) => debug!("no link to the agent at {address} yet: {e}"),
+            while !is_over.load(Ordering::Acquire) {
+                let Some(address) = new_address() else {
+                    return drop(sender.send(LinkEvent::Replacement(id, None)));
+                };
+                match Conn::connect(address, CONNECT_TIMEOUT, WRITE_TIMEOUT) {
+                    Ok(conn) => return drop(sender.send(LinkEvent::Replacement(id, Some((conn, address))))),
+                    Err(e) => debug!("cannot connect to the agent at {address} yet: {e}"),
                 }
-                spawn::sleep(RELINK.1);
+                spawn::sleep(RECONNECT_DELAY.1);
             }
         });
     }
 
-    /// Ends a link in good order: the agent shows that it has read all that was said on it, so that nothing is in
-    /// doubt, and all its notices are read. What comes to be said for it meanwhile is dropped.
-    fn settle(&mut self, mut link: Open, mut out: String) {
+    /// Closes a link before it moves. The agent acknowledges that it has read every command on the link, so that none is in
+    /// doubt, and all its notices are read. Commands for this link that are queued in the meantime are dropped. If the
+    /// agent does not acknowledge in time, the link counts as broken.
+    fn close_cleanly(&mut self, mut link: OpenLink, mut out: String) {
         encode_move(link.id, &mut out);
-        link.conn.set_write_patience(MOVE_PATIENCE);
+        link.conn.set_write_patience(MOVE_TIMEOUT);
         link.write(&out);
         let since = Instant::now();
-        let (mut is_settled, mut is_ended) = (false, false);
+        let (mut is_acknowledged, mut is_shut_down) = (false, false);
         loop {
-            let left = MOVE_PATIENCE.saturating_sub(since.elapsed());
-            if left.is_zero() && !is_ended {
-                is_ended = true;
+            let left = MOVE_TIMEOUT.saturating_sub(since.elapsed());
+            if left.is_zero() && !is_shut_down {
+                is_shut_down = true;
                 link.conn.shutdown(Shutdown::Both);
             }
-            match spawn::receive(&self.orders, if is_ended { WRITE_PATIENCE } else { left }) {
-                Ok(Order::Settled(which)) if which == link.id => {
-                    (is_settled, is_ended) = (true, true);
+            match spawn::receive(&self.events, if is_shut_down { WRITE_TIMEOUT } else { left }) {
+                Ok(LinkEvent::MoveAcknowledged(moved)) if moved == link.id => {
+                    (is_acknowledged, is_shut_down) = (true, true);
                     link.conn.shutdown(Shutdown::Both);
                 }
-                Ok(Order::Broken(ended)) if ended.link == link.id => {
-                    match is_settled {
-                        true => self.tell_end(&link, LinkEnd::Settled { read: link.written }),
-                        false => self.tell_broken(&link, &ended),
+                Ok(LinkEvent::Ended(ended)) if ended.link == link.id => {
+                    match is_acknowledged {
+                        true => self.report_end(&link, LinkEnd::Settled { read: link.last_written }),
+                        false => self.report_broken(&link, &ended),
                     }
                     return;
                 }
-                // The next link looks for itself where it is to lead.
+                // The next link reads the configured address itself.
                 Ok(_) | Err(_) => {}
             }
         }
--- a/src/net/agent/mod.rs
+++ b/src/net/agent/mod.rs
@@ -1,7 +1,9 @@
-//! The link to the render farm agent: JSON lines, numbered notices, and a new link whenever one breaks.
+//! The link to the render farm agent: JSON lines over TCP, in both directions.
 //!
-//! Links have numbers. Each command names the link that it is meant for, and the link manager writes it on no other; each notice
-//! is handed to the reducer with the number of the link that brought it.
+//! When a link breaks, the link manager opens a new one. Links are numbered. Each command names the link that it is meant
+//! for and is never written on another one; each notice is passed to the reducer with the number of the link that it was
+//! read from. Notices carry numbers (cursors) that continue over all links, so that a new link can resume after the last
+//! notice read and each notice is passed on once.
 
 mod link_manager;
 mod reader;
@@ -20,60 +22,62 @@
 pub use reader::next_notice;
 pub use wire::{encode, parse};
 
-/// A command for one link.
+/// A command to the agent, for one link.
 #[derive(Debug)]
 pub struct OutgoingCommand {
     /// The link that it is meant for.
     pub link: LinkId,
     /// Its number among the commands for that link.
     pub number: u64,
-    /// What is said.
+    /// The command itself.
     pub command: Command,
 }
 
-/// What the link manager of the link is to do, or to know.
-enum Order {
+/// An event that the link manager handles.
+enum LinkEvent {
+    /// A command is to be written.
     Command(OutgoingCommand),
-    /// The configuration names an address, perhaps a new one.
+    /// The configuration was read again and may name another address.
     Relink,
-    /// For this link another address was sought: it took a connection, or is not named any more.
-    Sought(LinkId, Option<(Conn, SocketAddr)>),
-    /// The agent has read all that was said on this link.
-    Settled(LinkId),
-    /// A link is over, and all that it brought was handed to the reducer.
-    Broken(Ended),
+    /// The search for a connection to replace this link has ended: with a connection to the new address, or with none
+    /// because the configuration no longer names another address.
+    Replacement(LinkId, Option<(Conn, SocketAddr)>),
+    /// The agent has read everything that was sent on this link, which is about to move.
+    MoveAcknowledged(LinkId),
+    /// A link has ended, and every notice read from it was passed to the reducer.
+    Ended(EndedLink),
 }
 
-/// How a link ended.
-struct Ended {
+/// A link that has ended, and why.
+struct EndedLink {
     link: LinkId,
     end: End,
-    /// In words, for the log.
+    /// The cause in words, for the log.
     cause: String,
 }
 
-/// Where commands to the agent go.
+/// The sending side of the agent link: queues commands for the link manager.
 pub struct Link {
-    orders: Sender<Order>,
+    events: Sender<LinkEvent>,
 }
 
 impl Link {
-    /// Connects, and keeps at it.
+    /// Starts the link manager, which connects to the agent and reconnects whenever the link breaks.
     pub(super) fn start(hub: &Arc<Hub>) -> Self {
-        let (orders, received) = channel();
-        let mut manager = LinkManager::new(hub.clone(), orders.clone(), received);
-        spawn(move || manager.keep_linked());
-        Self { orders }
+        let (events, received) = channel();
+        let mut manager = LinkManager::new(hub.clone(), events.clone(), received);
+        spawn(move || manager.run());
+        Self { events }
     }
 
-    /// Queues a command; never waits.
+    /// Queues a command without waiting.
     pub fn send(&self, command: OutgoingCommand) {
-        let _ = self.orders.send(Order::Command(command));
+        let _ = self.events.send(LinkEvent::Command(command));
     }
 
-    /// Moves to the address that the configuration names now.
+    /// Moves the link to the address that the configuration names now, if it is another one.
     pub fn relink(&self) {
-        let _ = self.orders.send(Order::Relink);
+        let _ = self.events.send(LinkEvent::Relink);
     }
 }
 
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the agent's notices off a link, each one once over all links.
+//! Reads the agent's notices from a link, and passes each one on once over all links.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,31 +12,34 @@
 use crate::net::Hub;
 use crate::told;
 
-/// Reads one link.
+/// Reads the notices of one link.
 pub(super) struct Reader {
     pub(super) link: LinkId,
     pub(super) hub: Arc<Hub>,
     /// The number of the last notice read, over all links.
     pub(super) cursor: Arc<AtomicU64>,
-    /// Behind which notice there was one that could not be read, when a link was given up for that.
-    pub(super) unreadable: Arc<Mutex<Option<u64>>>,
+    /// If the previous link was closed because of an unreadable notice: the number of the last notice before that one.
+    pub(super) unreadable_after: Arc<Mutex<Option<u64>>>,
 }
 
 impl Reader {
-    /// Reads until the link ends. A notice that cannot be read ends it, as a new link may bring it whole; where that one
-    /// brings the same again, it is the agent's own, and is passed over: it must not keep back all that follows.
-    pub(super) fn read_notices(&self, reads: &mut Buffer, settled: impl Fn()) -> End {
+    /// Reads notices until the link ends, and passes them to the reducer. `move_acknowledged` is called when the agent
+    /// acknowledges that it has read everything on this link.
+    ///
+    /// An unreadable notice ends the link, because it may arrive intact on the next one. If it is unreadable there too, the
+    /// agent itself produced it, and it is skipped: otherwise no later notice would ever be read.
+    pub(super) fn read_notices(&self, reads: &mut Buffer, move_acknowledged: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
-                Ok(Some(Notice::Settled { asked_on })) if asked_on == self.link => settled(),
+                Ok(Some(Notice::Settled { asked_on })) if asked_on == self.link => move_acknowledged(),
                 Ok(Some(notice)) => self.hub.push(Input::Agent { link: self.link, notice }),
                 Ok(None) => {
                     if let Err(end) = reads.more() {
                         return end;
                     }
                 }
-                Err(why) => {
-                    if !self.passes_over(&why) {
+                Err(error) => {
+                    if !self.should_skip(&error) {
                         return End::Malformed;
                     }
                 }
@@ -44,30 +47,33 @@
         }
     }
 
-    /// Whether a notice that cannot be read is passed over, as the link before brought the same.
-    fn passes_over(&self, why: &NoticeError) -> bool {
-        let behind = Some(self.cursor.load(Ordering::Acquire));
-        let again = self.unreadable().take() == behind && !matches!(why, NoticeError::UnreadableLine);
-        let what = if again { "passed over" } else { "the link is made anew" };
-        warn!("a notice of the agent cannot be read: {}: {what}", told::in_a_line(why));
-        if !again {
-            *self.unreadable() = behind;
+    /// Whether an unreadable notice is to be skipped, because the previous link ended on the same one. A line that is too
+    /// long or not UTF-8 is never skipped.
+    fn should_skip(&self, error: &NoticeError) -> bool {
+        let last_read = Some(self.cursor.load(Ordering::Acquire));
+        let is_repeated =
+            self.unreadable_after().take() == last_read && !matches!(error, NoticeError::UnreadableLine);
+        let action = if is_repeated { "skipping it" } else { "reconnecting" };
+        warn!("unreadable notice from the agent: {}: {action}", told::in_a_line(error));
+        if !is_repeated {
+            *self.unreadable_after() = last_read;
         }
-        again
+        is_repeated
     }
 
-    fn unreadable(&self) -> MutexGuard<'_, Option<u64>> {
-        self.unreadable.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unreadable_after(&self) -> MutexGuard<'_, Option<u64>> {
+        self.unreadable_after.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The next notice that tells something new; none while it is not there whole. `cursor` is the number of the last
-/// notice read, over all links: what was told before, on this link or a former one, is not told twice.
+/// Returns the next notice that is relevant here and was not read before, or `None` if no complete one has arrived yet.
+/// `cursor` is the number of the last notice read over all links: a notice with a number up to `cursor` is a repetition,
+/// whether it came on this link or on an earlier one, and is skipped.
 pub fn next_notice(lines: &mut Lines, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
     while let Some(line) = lines.line().map_err(|_| NoticeError::UnreadableLine)? {
         let (number, notice) = parse(&line)?;
-        let told = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
-        if let Some(notice) = notice.filter(|_| !told) {
+        let is_repeated = number.is_some_and(|number| cursor.fetch_max(number, Ordering::AcqRel) >= number);
+        if let Some(notice) = notice.filter(|_| !is_repeated) {
             return Ok(Some(notice));
         }
     }
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -1,4 +1,4 @@
-//! The lines of the link to the agent: commands and notices as JSON.
+//! The wire format of the link to the agent: commands and notices as JSON, one object a line.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,31 +11,33 @@
 use crate::json;
 use crate::net::error::NoticeError;
 
-/// The ticket of a sample that only marks a place in the notices; the number of its link follows.
+/// Ticket prefix of a sample that serves as a marker between notices: all notices before its answer have been read. The
+/// number of the link follows.
 const SYNC_TICKET: &str = "sync-";
-/// The ticket of a sample that only marks a place in the commands; the number of its link and its own follow.
+/// Ticket prefix of a sample that serves as a marker between commands: its answer acknowledges all commands before it. The
+/// number of the link and the number of the marker follow.
 const ACKNOWLEDGE_TICKET: &str = "ack-";
-/// The ticket of the last sample on a link that is about to move; the number of its link follows.
+/// Ticket prefix of the last sample on a link that is about to move. The number of the link follows.
 const MOVE_TICKET: &str = "move-";
 
-/// A run that lasted longer is a mistake, and would overflow sums of times later.
-const LONGEST_RUN: Duration = Duration::from_secs(86_400);
-/// The same for the agent itself, which may be up for a year.
-const LONGEST_LIFE: Duration = Duration::from_secs(366 * 86_400);
-/// Whole numbers below this are exact in JSON.
-const MOST_CURSOR: f64 = 9_007_199_254_740_992.0;
+/// Longest plausible duration of a run. A longer one is an error of the agent, and would overflow sums of durations.
+const MAX_RUN_DURATION: Duration = Duration::from_secs(86_400);
+/// Longest plausible uptime of the agent, which may run for a year.
+const MAX_AGENT_UPTIME: Duration = Duration::from_secs(366 * 86_400);
+/// 2^53: whole numbers below this are exact in JSON.
+const CURSOR_LIMIT: f64 = 9_007_199_254_740_992.0;
 
-/// Appends the first line of a link.
+/// Appends the first line of a link, which asks for all notices after `cursor`.
 pub(super) fn encode_subscribe(cursor: u64, out: &mut String) {
     out.push_str(&format!("{{\"event\":\"subscribe\",\"cursor\":{cursor}}}\n"));
 }
 
-/// Appends the question whether all was read that was said on a link.
+/// Appends the marker that asks the agent to acknowledge everything sent on a link that is about to move.
 pub(super) fn encode_move(link: LinkId, out: &mut String) {
     out.push_str(&format!("{{\"event\":\"sample\",\"ticket\":\"{MOVE_TICKET}{link}\"}}\n"));
 }
 
-/// Appends a command as a line of this link.
+/// Appends a command as a line for this link.
 pub fn encode(link: LinkId, command: &Command, out: &mut String) {
     let line = match command {
         Command::Launch { handle, class, arg, .. } => {
@@ -62,13 +64,13 @@
     out.push('\n');
 }
 
-/// The ticket marks a place, and asks for no gauges.
-fn is_mark(ticket: &str) -> bool {
+/// Whether a ticket is that of a marker, which asks for no gauges.
+fn is_marker(ticket: &str) -> bool {
     [SYNC_TICKET, ACKNOWLEDGE_TICKET, MOVE_TICKET].iter().any(|prefix| ticket.starts_with(prefix))
 }
 
-/// What the answer to a mark tells; nothing where it names no link.
-fn read_mark(ticket: &str) -> Option<Notice> {
+/// Parses the ticket of an answered marker. Returns `None` if it names no link.
+fn parse_marker(ticket: &str) -> Option<Notice> {
     let link = |digits: &str| digits.parse().ok().map(LinkId);
     if let Some(asked_on) = ticket.strip_prefix(SYNC_TICKET) {
         return Some(Notice::Synced { asked_on: link(asked_on)? });
@@ -80,30 +82,30 @@
     Some(Notice::Acknowledged { asked_on: link(asked_on)?, number: number.parse().ok()? })
 }
 
-/// Reads one notice: its number, and what it tells, if that matters here.
+/// Parses one line of the agent. Returns the notice's number, and the notice itself if it is relevant to this program.
 pub fn parse(line: &str) -> Result<(Option<u64>, Option<Notice>), NoticeError> {
     let json = json::parse(line)?;
     let members: &HashMap<String, JsonValue> = json.get().ok_or(NoticeError::NotAnObject)?;
     let text = |key: &str| members.get(key).and_then(|v| v.get::<String>()).map(String::as_str);
     let number = |key: &str| members.get(key).and_then(|v| v.get::<f64>()).copied();
-    let lacks = |member| NoticeError::MissingMember { member };
-    let handle = || text("handle").and_then(|h| h.parse().ok()).ok_or(lacks("handle"));
+    let missing = |member| NoticeError::MissingMember { member };
+    let handle = || text("handle").and_then(|h| h.parse().ok()).ok_or(missing("handle"));
     let bytes = |member: &'static str| match text(member) {
         Some(arg) => {
-            let read = BASE64.decode(arg).map(|b| Some(b.into()));
-            read.map_err(|reason| NoticeError::InvalidBase64 { member, reason })
+            let decoded = BASE64.decode(arg).map(|b| Some(b.into()));
+            decoded.map_err(|reason| NoticeError::InvalidBase64 { member, reason })
         }
         None => Ok(None),
     };
-    let event = text("event").ok_or(lacks("event"))?;
+    let event = text("event").ok_or(missing("event"))?;
     let lasted = number("lasted").and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
-    let longest = if event == "greeting" { LONGEST_LIFE } else { LONGEST_RUN };
-    if lasted.is_some_and(|lasted| lasted > longest) {
-        return Err(NoticeError::DurationTooLong { days: longest.as_secs() / 86_400 });
+    let max_duration = if event == "greeting" { MAX_AGENT_UPTIME } else { MAX_RUN_DURATION };
+    if lasted.is_some_and(|lasted| lasted > max_duration) {
+        return Err(NoticeError::DurationTooLong { days: max_duration.as_secs() / 86_400 });
     }
-    // One number too high, and all that the agent tells from then on would pass as told before.
-    let is_number = |n: &f64| n.fract() == 0.0 && (1.0..MOST_CURSOR).contains(n);
-    let cursor = number("cursor").map(|n| Some(n).filter(is_number).ok_or(NoticeError::InvalidCursor));
+    // A single cursor that is too high would make all later notices look like repetitions.
+    let is_valid = |n: &f64| n.fract() == 0.0 && (1.0..CURSOR_LIMIT).contains(n);
+    let cursor = number("cursor").map(|n| Some(n).filter(is_valid).ok_or(NoticeError::InvalidCursor));
     let cursor = cursor.transpose()?.map(|n| n as u64);
     let notice = match event {
         "greeting" => {
@@ -123,13 +125,13 @@
         }
         "request" => {
             let body = bytes("arg")?.unwrap_or_else(|| Vec::new().into());
-            Some(Notice::CallNeeded { handle: handle()?, cursor: cursor.ok_or(lacks("cursor"))?, body })
+            Some(Notice::CallNeeded { handle: handle()?, cursor: cursor.ok_or(missing("cursor"))?, body })
         }
-        "sampled" => match text("ticket").ok_or(lacks("ticket"))? {
-            ticket if is_mark(ticket) => read_mark(ticket),
+        "sampled" => match text("ticket").ok_or(missing("ticket"))? {
+            ticket if is_marker(ticket) => parse_marker(ticket),
             ticket => {
                 let figures = members.get("figures").and_then(|v| v.get::<Vec<JsonValue>>());
-                let figures = figures.ok_or(lacks("figures"))?;
+                let figures = figures.ok_or(missing("figures"))?;
                 let figures = figures
                     .iter()
                     .map(|f| f.get::<f64>().copied().filter(|f| f.is_finite()).unwrap_or(0.0))
