--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -1,10 +1,12 @@
-//! Calls below through the vault: text lines.
+//! Calls to the dependency through the vault, a local proxy, as text lines over TCP.
 //!
-//! One connection can carry many calls, but a spoilt reply, one that never comes or a reset makes it of no use to
-//! all of them. So each call has a connection to itself, and the next one may take it over once it was answered.
+//! The vault's protocol allows many calls on one connection. But a malformed reply, a reply that never arrives or a reset
+//! makes the connection useless for all calls on it. So each call has a connection to itself, which the next call may
+//! reuse once the reply has been read.
 //!
-//! Where the fleet routes calls, the route is asked for right before a call is written, and what it goes out under
-//! is noted before that: whatever becomes of it, a later call of the same request does not go out under another.
+//! If the fleet routes calls, a call is routed immediately before it is written, and the fence (turn and version of the
+//! routes) that it is sent under is recorded first. Whatever becomes of the call, a later call of the same request is not
+//! sent under another version.
 
 mod wire;
 
@@ -26,102 +28,108 @@
 
 pub use wire::{encode_ask, parse_reply, ReplyParser};
 
-/// An attempt to connect is given up after this long.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
-/// A vault that reads nothing for this long is taken to be gone.
-const WRITE_PATIENCE: Duration = Duration::from_secs(2);
-/// A connection is taken over within this time. A vault that forgets idle ones resets them at the next call.
-const IDLE: Duration = Duration::from_millis(500);
-/// Connections that wait to be taken over, at most and as a part of all calls that may be out.
-const MOST_IDLE: (usize, usize) = (16, 4);
-/// A call waits this long at most for the moment of a switch to pass: no member takes a wider one.
-const MOST_WAIT: Duration = MOST_BOUND.saturating_mul(4);
+/// Timeout of an attempt to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// If the vault reads nothing for this long, it counts as gone.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// An idle connection may be reused for this long. A vault that drops idle connections resets them at the next call.
+const IDLE_LIFETIME: Duration = Duration::from_millis(500);
+/// Limits of the idle connections that are kept: an absolute number, and the divisor of the maximum number of calls.
+const MAX_IDLE: (usize, usize) = (16, 4);
+/// How long a call waits at most until a switch of the routes has passed: no member accepts a wider uncertainty of its
+/// clock.
+const MAX_SWITCH_WAIT: Duration = MOST_BOUND.saturating_mul(4);
 /// The shortest sleep.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
-/// Times that a call is routed: more than one switch while it connects means that something is wrong.
-const MOST_ROUTES: usize = 4;
-/// What a call went out under is kept this long after it ended: the reducer has read of its end by then.
-const KEPT: Duration = Duration::from_secs(5);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// How often a call is routed at most: more than one switch while it connects means that something is wrong.
+const MAX_ROUTINGS: usize = 4;
+/// How long the fence of a call is kept after its end: by then the reducer has processed the end.
+const FENCE_RETENTION: Duration = Duration::from_secs(5);
 
-/// What the reducer wants of the vault.
+/// An order of the reducer to the vault link.
 pub enum Order {
     /// Make a call.
     Ask {
-        /// The request it is for.
+        /// The request that the call belongs to.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the call within its request.
         attempt: u32,
-        /// It needs a connection that carried nothing before.
+        /// The call needs a connection that was not used before.
         fresh: bool,
-        /// The replies to earlier calls of the request: a copy of one is passed over.
+        /// The replies to earlier calls of the request: a copy of one of them is ignored.
         earlier: Arc<[ReplyDigest]>,
-        /// How long it is waited for.
+        /// How long the reply is awaited.
         patience: Duration,
-        /// Its body.
+        /// The body of the call.
         body: Bytes,
-        /// What its route depends on, where the fleet routes calls.
+        /// The properties that the call's route depends on, if the fleet routes calls.
         route: Option<Box<Call>>,
     },
-    /// Give up a request's call.
+    /// Cancel a request's call.
     Unask {
-        /// The request.
+        /// The request that the call belongs to.
         handle: Handle,
-        /// Which of the request's calls.
+        /// The number of the call within its request.
         attempt: u32,
     },
-    /// The address may have changed.
+    /// The configuration was read again: the vault's address may have changed.
     Relink,
 }
 
-/// Connections, and the calls that are out.
+/// Connections to the vault, and the calls in progress.
 #[derive(Default)]
 struct Pool {
-    /// For each request its call, and the connection that it has once there is one.
-    out: HashMap<Handle, (u32, Option<Conn>)>,
-    /// Connections without a call, to where and since when; the last one was in use last.
+    /// The call in progress of each request, and its connection once it has one.
+    in_progress: HashMap<Handle, (u32, Option<Conn>)>,
+    /// Idle connections, with their address and the time since which they are idle. The last one was used most recently.
     idle: Vec<(Conn, SocketAddr, Instant)>,
-    /// What calls went out under that may have had their effect.
-    tried: HashMap<Handle, Tried>,
-    /// Changes with the configuration: a connection to an old address is not taken over.
+    /// The fences of calls that may have been executed.
+    sent_fences: HashMap<Handle, SentFence>,
+    /// Changes when the configuration is read again: a connection of an earlier epoch is not reused.
     epoch: u64,
 }
 
-/// What a call went out under.
+/// The fence that a call was sent under.
 #[derive(Clone, Copy, Debug)]
-struct Tried {
+struct SentFence {
     fence: Fence,
     attempt: u32,
-    /// Until when this is kept.
-    until: Instant,
+    expires: Instant,
 }
 
 impl Pool {
-    /// Notes what a call goes out under that ends by `until`, and returns what stood there.
-    fn goes_out(&mut self, handle: Handle, attempt: u32, fence: Fence, until: Instant) -> Option<Tried> {
+    /// Records the fence that a call is sent under which ends by `deadline`. Returns the request's previous entry.
+    fn record_fence(
+        &mut self,
+        handle: Handle,
+        attempt: u32,
+        fence: Fence,
+        deadline: Instant,
+    ) -> Option<SentFence> {
         let now = Instant::now();
-        if self.tried.len() >= self.tried.capacity() {
-            self.tried.retain(|_, tried| tried.until > now);
+        if self.sent_fences.len() >= self.sent_fences.capacity() {
+            self.sent_fences.retain(|_, sent| sent.expires > now);
         }
-        self.tried.insert(handle, Tried { fence, attempt, until: until + KEPT })
+        self.sent_fences.insert(handle, SentFence { fence, attempt, expires: deadline + FENCE_RETENTION })
     }
 
-    /// The call is proven not to have run: what stood there before holds again.
-    fn never_ran(&mut self, handle: Handle, attempt: u32, before: Option<Tried>) {
-        if self.tried.get(&handle).is_some_and(|tried| tried.attempt == attempt) {
-            match before {
-                Some(before) => self.tried.insert(handle, before),
-                None => self.tried.remove(&handle),
+    /// Restores the request's previous entry after a call that is proven not to have run.
+    fn restore_fence(&mut self, handle: Handle, attempt: u32, previous: Option<SentFence>) {
+        if self.sent_fences.get(&handle).is_some_and(|sent| sent.attempt == attempt) {
+            match previous {
+                Some(previous) => self.sent_fences.insert(handle, previous),
+                None => self.sent_fences.remove(&handle),
             };
         }
     }
 
-    /// The call was not given up before it was made.
-    fn is_out(&self, handle: Handle, attempt: u32) -> bool {
-        self.out.get(&handle).is_some_and(|(current, _)| *current == attempt)
+    /// Whether the call is in progress and was not cancelled.
+    fn is_in_progress(&self, handle: Handle, attempt: u32) -> bool {
+        self.in_progress.get(&handle).is_some_and(|(current, _)| *current == attempt)
     }
 }
 
-/// Where calls go.
+/// Makes and cancels calls to the dependency, each in a coroutine of its own.
 pub struct Link {
     hub: Arc<Hub>,
     pool: Arc<Mutex<Pool>>,
@@ -132,29 +140,29 @@
 }
 
 impl Link {
-    /// Nothing is connected until there is a call; without an address none can be made, which each is told.
+    /// Creates the link. It connects when there is a call; without a configured address each call is refused.
     pub(super) fn start(hub: &Arc<Hub>) -> Self {
         Self { hub: hub.clone(), pool: Arc::default() }
     }
 
-    /// Carries out an order; never waits.
+    /// Carries out an order without waiting.
     pub fn send(&self, order: Order) {
         match order {
             Order::Ask { handle, attempt, fresh, earlier, patience, body, route } => {
                 let mut pool = lock(&self.pool);
-                let room = pool.out.len() < self.hub.max_calls();
-                if room {
-                    if let Some((_, Some(conn))) = pool.out.insert(handle, (attempt, None)) {
+                let has_room = pool.in_progress.len() < self.hub.max_calls();
+                if has_room {
+                    if let Some((_, Some(conn))) = pool.in_progress.insert(handle, (attempt, None)) {
                         conn.shutdown(Shutdown::Both);
                     }
                 }
                 drop(pool);
-                let began = Instant::now();
-                let ask = Ask { handle, attempt, fresh, earlier, patience, body, route, began };
+                let started = Instant::now();
+                let ask = Ask { handle, attempt, fresh, earlier, patience, body, route, started };
                 let (hub, pool) = (self.hub.clone(), self.pool.clone());
                 spawn(move || {
-                    let (end, reply, fence) = match room {
-                        true => Maker { hub: &hub, pool: &pool }.call(ask),
+                    let (end, reply, fence) = match has_room {
+                        true => CallTask { hub: &hub, pool: &pool }.call(ask),
                         false => (End::Refused, None, None),
                     };
                     hub.push(Input::CallEnded { handle, attempt, end, reply, fence });
@@ -162,16 +170,16 @@
             }
             Order::Unask { handle, attempt } => {
                 let mut pool = lock(&self.pool);
-                if !pool.is_out(handle, attempt) {
+                if !pool.is_in_progress(handle, attempt) {
                     return;
                 }
-                // Closing a connection gives up the call on it.
-                if let Some((_, Some(conn))) = pool.out.remove(&handle) {
+                // Closing the connection cancels the call on it.
+                if let Some((_, Some(conn))) = pool.in_progress.remove(&handle) {
                     conn.shutdown(Shutdown::Both);
                 }
             }
             Order::Relink => {
-                // What is out on old connections may end there.
+                // Calls in progress on old connections may still complete there.
                 let mut pool = lock(&self.pool);
                 pool.epoch += 1;
                 pool.idle.clear();
@@ -180,30 +188,30 @@
     }
 }
 
-/// A call that is to be made.
+/// A call to be made.
 struct Ask {
     handle: Handle,
     attempt: u32,
     fresh: bool,
     earlier: Arc<[ReplyDigest]>,
-    /// How long it may take from when it was ordered.
+    /// How long the call may take, counted from `started`.
     patience: Duration,
-    began: Instant,
+    started: Instant,
     body: Bytes,
     route: Option<Box<Call>>,
 }
 
 impl Ask {
-    fn until(&self) -> Instant {
-        self.began + self.patience
+    fn deadline(&self) -> Instant {
+        self.started + self.patience
     }
 
-    fn left(&self) -> Duration {
-        self.until().saturating_duration_since(Instant::now())
+    fn time_left(&self) -> Duration {
+        self.deadline().saturating_duration_since(Instant::now())
     }
 
-    /// An earlier call of the request got this reply.
-    fn has_read(&self, reply: Option<&[u8]>) -> bool {
+    /// Whether an earlier call of the request got this reply.
+    fn is_earlier_reply(&self, reply: Option<&[u8]>) -> bool {
         reply.is_some_and(|reply| self.earlier.contains(&ReplyDigest::of(reply)))
     }
 }
@@ -212,78 +220,79 @@
 struct Reply {
     end: End,
     body: Option<Bytes>,
-    /// Its connection brought other replies before.
+    /// Stray replies arrived on the connection before this one.
     followed_strays: bool,
 }
 
-/// Where a call goes now.
+/// The route of a call at this moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Leg {
-    /// None where the fleet routes no calls.
+struct Target {
+    /// `None` if the fleet does not route calls.
     fence: Option<Fence>,
-    /// None for the configuration's own service.
+    /// `None` for the vault that the configuration names.
     address: Option<SocketAddr>,
-    /// None for the module's own bounds.
+    /// `None` for the decision module's own limits.
     allowed: Option<Allowed>,
 }
 
-/// A call that is ready to be written.
+/// A connected call that is ready to be written.
 struct Ready {
     conn: Conn,
     address: SocketAddr,
     epoch: u64,
     fence: Option<Fence>,
-    /// What an earlier call of the request went out under, as far as it is known here.
-    before: Option<Tried>,
+    /// The fence of an earlier call of the request, if known here.
+    previous: Option<SentFence>,
 }
 
 /// Makes one call.
-struct Maker<'a> {
+struct CallTask<'a> {
     hub: &'a Hub,
     pool: &'a Mutex<Pool>,
 }
 
-impl Maker<'_> {
-    /// Makes the call, and tells how it ended and what it went out under, unless it is known not to have run: what broke
-    /// before it was written, and what was sent back unseen.
+impl CallTask<'_> {
+    /// Makes the call. Returns how it ended, its reply, and the fence that it was sent under. There is no fence if the call
+    /// is known not to have run, because the connection broke before it was written or because
+    /// it was returned unexecuted.
     fn call(&self, mut ask: Ask) -> (End, Option<Bytes>, Option<Fence>) {
-        let Ready { mut conn, address, epoch, fence, before } = match self.connect(&mut ask) {
+        let Ready { mut conn, address, epoch, fence, previous } = match self.connect(&mut ask) {
             Ok(ready) => ready,
             Err(end) => {
                 let mut pool = lock(self.pool);
-                if pool.is_out(ask.handle, ask.attempt) {
-                    pool.out.remove(&ask.handle);
+                if pool.is_in_progress(ask.handle, ask.attempt) {
+                    pool.in_progress.remove(&ask.handle);
                 }
                 return (end, None, None);
             }
         };
         let mut link = Buffer::new(conn.clone());
-        // A routed call may have waited for the moment of a switch, and is told what is left.
-        let patience = if fence.is_some() { ask.left() } else { ask.patience };
-        let ended = match conn.write_all(&encode_ask(ask.handle, patience, &ask.body, fence)) {
+        // A routed call may have waited for a switch to pass: it is sent with the time that is left.
+        let patience = if fence.is_some() { ask.time_left() } else { ask.patience };
+        let result = match conn.write_all(&encode_ask(ask.handle, patience, &ask.body, fence)) {
             Ok(()) => match self.read_reply(&mut link, &ask) {
-                // A word that only services know whose calls are routed.
+                // Only a service whose calls are routed may reply `stale`.
                 Ok(Reply { end: End::Stale, .. }) if fence.is_none() => Err(End::Malformed),
-                ended => ended,
+                result => result,
             },
             Err(e) => Err(if is_timeout(&e) { End::Stalled } else { End::Broken }),
         };
         let mut pool = lock(self.pool);
-        if pool.is_out(ask.handle, ask.attempt) {
-            pool.out.remove(&ask.handle);
+        if pool.is_in_progress(ask.handle, ask.attempt) {
+            pool.in_progress.remove(&ask.handle);
         }
-        // A connection that brought more than its own reply, or none that can be read, is not used again.
-        let room = pool.idle.len() < MOST_IDLE.0.min(self.hub.max_calls() / MOST_IDLE.1);
-        let is_clean = ended.as_ref().is_ok_and(|reply| !reply.followed_strays) && link.lines.is_empty();
-        if is_clean && pool.epoch == epoch && room {
+        // A connection is not reused if anything but the reply arrived on it, or if the reply could not be read.
+        let has_room = pool.idle.len() < MAX_IDLE.0.min(self.hub.max_calls() / MAX_IDLE.1);
+        let is_clean = result.as_ref().is_ok_and(|reply| !reply.followed_strays) && link.lines.is_empty();
+        if is_clean && pool.epoch == epoch && has_room {
             pool.idle.push((conn, address, Instant::now()));
         } else {
             conn.shutdown(Shutdown::Both);
         }
-        let (end, reply) = ended.map_or_else(|end| (end, None), |reply| (reply.end, reply.body));
+        let (end, reply) = result.map_or_else(|end| (end, None), |reply| (reply.end, reply.body));
         let may_have_run = !end.outcome().never_ran();
         if !may_have_run {
-            pool.never_ran(ask.handle, ask.attempt, before);
+            pool.restore_fence(ask.handle, ask.attempt, previous);
         }
         drop(pool);
         if let Some(routing) = self.hub.routing.as_ref().filter(|_| end == End::Stale) {
@@ -292,73 +301,81 @@
         (end, reply, fence.filter(|_| may_have_run))
     }
 
-    /// Connects to where the call goes now. It is routed again once the connection is there, right before it is
-    /// written: connecting takes time, and a switch or the end of a lease may fall into it.
+    /// Routes the call and connects to its target. The call is routed again once the connection exists, immediately before
+    /// it is written: connecting takes time, during which the routes may switch or a lease may end.
     fn connect(&self, ask: &mut Ask) -> Result<Ready, End> {
-        let mut waits = MOST_WAIT;
-        let mut leg = self.leg(ask, &mut waits)?;
-        for _ in 0..MOST_ROUTES {
-            let address = leg.address.or_else(|| self.hub.links().vault).ok_or(End::Refused)?;
-            let made = connection(self.pool, address, ask.fresh, ask.left());
-            let (conn, epoch) = made.ok_or(End::Refused)?;
-            match lock(self.pool).out.get_mut(&ask.handle).filter(|(current, _)| *current == ask.attempt) {
-                Some((_, held)) => *held = Some(conn.clone()),
-                // Given up before it was made.
+        let mut wait_budget = MAX_SWITCH_WAIT;
+        let mut target = self.route(ask, &mut wait_budget)?;
+        for _ in 0..MAX_ROUTINGS {
+            let address = target.address.or_else(|| self.hub.links().vault).ok_or(End::Refused)?;
+            let connected = take_or_connect(self.pool, address, ask.fresh, ask.time_left());
+            let (conn, epoch) = connected.ok_or(End::Refused)?;
+            match lock(self.pool)
+                .in_progress
+                .get_mut(&ask.handle)
+                .filter(|(current, _)| *current == ask.attempt)
+            {
+                Some((_, slot)) => *slot = Some(conn.clone()),
+                // The call was cancelled before it was made.
                 None => return Err(End::Cancelled),
             }
-            let Some(fence) = leg.fence else {
+            let Some(fence) = target.fence else {
                 if !conn.is_quiet() {
-                    self.drop_spoilt(&conn);
+                    self.discard(&conn);
                     continue;
                 }
-                return Ok(Ready { conn, address, epoch, fence: None, before: None });
+                return Ok(Ready { conn, address, epoch, fence: None, previous: None });
             };
-            let now = self.leg(ask, &mut waits)?;
+            let now = self.route(ask, &mut wait_budget)?;
             if !conn.is_quiet() {
-                self.drop_spoilt(&conn);
-                leg = now;
+                self.discard(&conn);
+                target = now;
                 continue;
             }
-            // Of one version any of its addresses will do: another look may have drawn another one.
-            if now.fence == leg.fence {
+            // Any address of the same version is acceptable: routing again may have chosen another one.
+            if now.fence == target.fence {
                 let mut pool = lock(self.pool);
-                // What it goes out under is noted before it does, unless it was given up meanwhile: then a later
-                // call of the same request may be under way.
-                if !pool.is_out(ask.handle, ask.attempt) {
+                // The fence is recorded before the call is sent, unless the call was cancelled in the meantime: then a
+                // later call of the same request may be in progress.
+                if !pool.is_in_progress(ask.handle, ask.attempt) {
                     return Err(End::Cancelled);
                 }
-                let before = pool.goes_out(ask.handle, ask.attempt, fence, ask.until());
+                let previous = pool.record_fence(ask.handle, ask.attempt, fence, ask.deadline());
                 drop(pool);
-                // Ahead of its end, whoever tells of that: what comes next is decided by this version.
+                // The reducer receives the limits of this version before the end of the call, because they decide what
+                // happens after that.
                 if ask.route.as_ref().is_some_and(|call| call.allowed != now.allowed) {
                     let (handle, attempt, allowed) = (ask.handle, ask.attempt, now.allowed);
                     self.hub.push(Input::WentOut { handle, attempt, allowed });
                 }
-                return Ok(Ready { conn, address, epoch, fence: leg.fence, before });
+                return Ok(Ready { conn, address, epoch, fence: target.fence, previous });
             }
             conn.shutdown(Shutdown::Both);
-            leg = now;
+            target = now;
         }
-        // Of a call that is not routed, no connection could be had that was not spoilt.
-        Err(if leg.fence.is_some() { End::Barred } else { End::Refused })
+        // A call that is not routed gets here only if every connection was unusable.
+        Err(if target.fence.is_some() { End::Barred } else { End::Refused })
     }
 
-    /// What comes before a call is written is no reply to it, and a connection that brings such, or has ended, is not used.
-    fn drop_spoilt(&self, conn: &Conn) {
+    /// Closes a connection that has ended, or on which bytes arrived before the call was written: these cannot be its reply.
+    fn discard(&self, conn: &Conn) {
         if conn.has_unread() {
             self.hub.push(Input::StrayReply);
         }
         conn.shutdown(Shutdown::Both);
     }
 
-    /// Reads up to the reply of a call: replies under other ids are nobody's, copies of earlier ones are not its own.
+    /// Reads until the reply to the call arrives. Replies to other requests and copies of earlier replies are skipped and
+    /// counted as stray.
     fn read_reply(&self, link: &mut Buffer, ask: &Ask) -> Result<Reply, End> {
-        link.until(ask.until());
-        let mut replies = ReplyParser::default();
+        link.until(ask.deadline());
+        let mut parser = ReplyParser::default();
         let mut followed_strays = false;
         loop {
-            match replies.next_reply(&mut link.lines)? {
-                Some((whose, end, body)) if whose == ask.handle && !ask.has_read(body.as_deref()) => {
+            match parser.next_reply(&mut link.lines)? {
+                Some((handle, end, body))
+                    if handle == ask.handle && !ask.is_earlier_reply(body.as_deref()) =>
+                {
                     return Ok(Reply { end, body, followed_strays });
                 }
                 Some(_) => {
@@ -370,27 +387,28 @@
         }
     }
 
-    /// Where the call goes now. Inside a switch it waits, no longer than `waits` in all.
-    fn leg(&self, ask: &mut Ask, waits: &mut Duration) -> Result<Leg, End> {
-        let Some(routing) = &self.hub.routing else { return Ok(Leg::default()) };
-        // Without it nothing is known of an earlier call.
+    /// Routes the call. During a switch of the routes it waits, for no longer than `wait_budget` over all routings.
+    fn route(&self, ask: &mut Ask, wait_budget: &mut Duration) -> Result<Target, End> {
+        let Some(routing) = &self.hub.routing else { return Ok(Target::default()) };
+        // Without these properties nothing is known about earlier calls of the request.
         let Some(call) = &mut ask.route else { return Err(End::Barred) };
-        call.tried = lock(self.pool).tried.get(&ask.handle).map(|tried| tried.fence).or(call.tried);
+        call.tried = lock(self.pool).sent_fences.get(&ask.handle).map(|sent| sent.fence).or(call.tried);
         loop {
             match routing.route(call) {
                 Routed::Go { fence, address, timeout, allowed } => {
                     ask.patience = timeout.map_or(ask.patience, |most| ask.patience.min(most));
-                    return Ok(Leg { fence: Some(fence), address, allowed });
+                    return Ok(Target { fence: Some(fence), address, allowed });
                 }
                 Routed::Wait(until) => {
-                    let left =
-                        (ask.began + ask.patience).saturating_duration_since(Instant::now()).min(*waits);
+                    let left = (ask.started + ask.patience)
+                        .saturating_duration_since(Instant::now())
+                        .min(*wait_budget);
                     if left.is_zero() {
                         return Err(End::Barred);
                     }
-                    let wait = until.saturating_duration_since(Instant::now()).max(LEAST_WAIT).min(left);
+                    let wait = until.saturating_duration_since(Instant::now()).max(MIN_SLEEP).min(left);
                     crate::net::spawn::sleep(wait);
-                    *waits = waits.saturating_sub(wait);
+                    *wait_budget = wait_budget.saturating_sub(wait);
                 }
                 Routed::Ended(_) => return Err(End::Stale),
                 Routed::Barred => return Err(End::Barred),
@@ -399,24 +417,25 @@
     }
 }
 
-/// A connection to an address: one that was answered on just now, or a new one.
-fn connection(
+/// Takes an idle connection to an address out of the pool, or opens a new one. Returns it with the pool's epoch.
+fn take_or_connect(
     pool: &Mutex<Pool>,
     address: SocketAddr,
     fresh: bool,
-    patience: Duration,
+    timeout: Duration,
 ) -> Option<(Conn, u64)> {
     let (epoch, taken) = {
         let mut pool = lock(pool);
-        pool.idle.retain(|(_, _, since)| since.elapsed() < IDLE);
-        let usable = |at: usize, pool: &Pool| pool.idle[at].1 == address && pool.idle[at].0.is_quiet();
-        let at = (0..pool.idle.len()).rev().find(|at| !fresh && usable(*at, &pool));
-        (pool.epoch, at.map(|at| pool.idle.remove(at).0))
+        pool.idle.retain(|(_, _, since)| since.elapsed() < IDLE_LIFETIME);
+        let is_usable =
+            |index: usize, pool: &Pool| pool.idle[index].1 == address && pool.idle[index].0.is_quiet();
+        let index = (0..pool.idle.len()).rev().find(|index| !fresh && is_usable(*index, &pool));
+        (pool.epoch, index.map(|index| pool.idle.remove(index).0))
     };
     let conn = match taken {
         Some(conn) => conn,
-        None => Conn::connect(address, CONNECT_PATIENCE.min(patience), WRITE_PATIENCE)
-            .map_err(|e| debug!("no connection to the service below: {e}"))
+        None => Conn::connect(address, CONNECT_TIMEOUT.min(timeout), WRITE_TIMEOUT)
+            .map_err(|e| debug!("cannot connect to the dependency: {e}"))
             .ok()?,
     };
     Some((conn, epoch))
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -1,4 +1,4 @@
-//! The vault's text lines, without I/O: a call in bytes, and the replies.
+//! The vault's wire format, without I/O: encoding of calls and parsing of replies, which are text lines.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use crate::fleet::routes::Fence;
 use crate::net::lines::Lines;
 
-/// The longest reply.
-const MOST_REPLY: usize = 16 << 10;
+/// The longest reply body.
+const MAX_REPLY: usize = 16 << 10;
 
-/// Reads replies off lines, and keeps the head of one whose body is not there yet.
+/// Parses replies incrementally: keeps the head of a reply whose body has not arrived completely.
 #[derive(Debug, Default)]
 pub struct ReplyParser {
-    /// Whose body is awaited, and its length.
+    /// The request whose reply body is awaited, and the length of the body.
     head: Option<(Handle, usize)>,
-    /// That body, whose line is not ended yet.
+    /// That body, if only the line end after it is missing.
     body: Option<Bytes>,
 }
 
 impl ReplyParser {
-    /// The next reply: whose it is, how the call ended, and the body where it went well; none while it is not there
-    /// whole.
+    /// Returns the next reply: the request, how the call ended, and the body if it succeeded. Returns `None` if no complete
+    /// reply has arrived yet.
     pub fn next_reply(&mut self, lines: &mut Lines) -> Result<Option<(Handle, End, Option<Bytes>)>, End> {
         if self.head.is_none() {
             let Some(line) = lines.line()? else { return Ok(None) };
             match parse_reply(&line)? {
-                (whose, _, Some(len)) => self.head = Some((whose, len)),
-                (whose, end, None) => return Ok(Some((whose, end, None))),
+                (handle, _, Some(len)) => self.head = Some((handle, len)),
+                (handle, end, None) => return Ok(Some((handle, end, None))),
             }
         }
-        let Some((whose, len)) = self.head else { return Ok(None) };
+        let Some((handle, len)) = self.head else { return Ok(None) };
         if self.body.is_none() {
             self.body = lines.exact(len).map(Bytes::from);
         }
@@ -40,22 +40,23 @@
             None => Ok(None),
             Some(line) if line.is_empty() => {
                 self.head = None;
-                Ok(Some((whose, End::Complete, self.body.take())))
+                Ok(Some((handle, End::Complete, self.body.take())))
             }
             Some(_) => Err(End::Malformed),
         }
     }
 }
 
-/// A call in bytes. Under a turn of the fleet's routes it carries a fourth word, `TURN.VERSION`: a service that knows it
-/// refuses a lower turn than it saw, with `ID stale`. Without routes, and before any activation, there is no such word.
+/// Encodes a call. If the fleet's routes have been activated, the call carries a fourth field, `TURN.VERSION`: a service
+/// that supports it refuses calls of a lower turn than it has seen, with `ID stale`. Without routes, and before the first
+/// activation, this field is left out.
 pub fn encode_ask(handle: Handle, patience: Duration, body: &[u8], fence: Option<Fence>) -> Vec<u8> {
     let ms = patience.as_millis().max(1);
     let fence = fence.filter(|f| f.turn > 0).map_or(String::new(), |f| format!(" {}.{}", f.turn, f.version));
     [format!("ask {handle} {ms} {}{fence}\r\n", body.len()).as_bytes(), body, b"\r\n"].concat()
 }
 
-/// Reads the line of a reply: the request, how the call ended, and the length of what follows.
+/// Parses the first line of a reply: the request, how the call ended, and the length of the body if one follows.
 pub fn parse_reply(line: &str) -> Result<(Handle, End, Option<usize>), End> {
     let mut words = line.split(' ');
     let handle = words.next().and_then(|h| h.parse().ok()).ok_or(End::Malformed)?;
@@ -73,7 +74,7 @@
     let len: Option<usize> = words.next().map(number).transpose()?;
     if words.next().is_some()
         || len.is_some() != (end == End::Complete)
-        || len.is_some_and(|len| len > MOST_REPLY)
+        || len.is_some_and(|len| len > MAX_REPLY)
     {
         return Err(End::Malformed);
     }
