--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,7 +1,13 @@
-//! The link between the process that runs and a new one that takes over: text lines on a Unix socket.
+//! The handover link between the running process of a matcher (the predecessor) and a new process that takes over from it
+//! (the successor): text lines on a Unix socket.
 //!
-//! It is there for seconds, and a peer that reads nothing must not hold up the reducer: so it has threads of its
-//! own, and a queue with a bound. Where that is not enough the link is cut, which both sides know how to bear.
+//! Over this link the predecessor passes its keys, and forwards the requests that still reach it; the successor returns
+//! their answers. The predecessor calls [`listen_for_successor`], the successor [`connect_to_predecessor`]; both get a
+//! [`PeerProcess`] to send [`HandoverMessage`]s to. What arrives is parsed as a [`ReceivedMessage`] and passed to the
+//! reducer.
+//!
+//! The link exists for seconds, and a peer process that reads nothing must not block the reducer. So the link has threads of
+//! its own and a bounded queue. When the queue is full the link is closed, which both processes handle.
 
 use std::collections::HashMap;
 use std::io::{self, BufWriter, Write};
@@ -28,44 +34,44 @@
 use super::{socket_retry, Hub};
 use crate::core::{Answer, Bytes, ConnId, Input, Key, KeyState, Request, Succession, Verdict};
 
-/// Words that may wait for the other process.
-const QUEUE: usize = 4096;
-/// A process that reads nothing for this long is taken to hang.
-const WRITE_PATIENCE: Duration = Duration::from_secs(2);
-/// The longest line: a result of the longest line that an agent or a service may send, in base64, and a key.
-const MOST_LINE: usize = 96 << 10;
-/// A process that ends closes its links a little before it is gone.
-const END_PATIENCE: Duration = Duration::from_millis(200);
-/// Time between two looks whether it is gone.
-const END_LOOK: Duration = Duration::from_millis(10);
-/// Stack of the link's threads: their buffers are on the heap.
-const STACK: usize = 128 << 10;
-
-/// Something to tell the other process.
+/// How many messages to the peer process may be queued.
+const QUEUE_CAPACITY: usize = 4096;
+/// A peer process that reads nothing for this long counts as hanging.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest line: a key, and in base64 a result as long as the longest line that an agent or a service may send.
+const MAX_LINE: usize = 96 << 10;
+/// A process that exits closes its links shortly before it is gone: if it still runs after this time, the link broke.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval at which the peer process is checked for its exit.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Stack size of the link's threads: their buffers are on the heap.
+const STACK_SIZE: usize = 128 << 10;
+
+/// A message to the peer process.
 #[derive(Debug)]
 pub enum HandoverMessage {
-    /// Decide from now on.
+    /// The successor asks the predecessor to hand over.
     Begin,
-    /// All keys, and whether operators want callers kept away.
+    /// All keys of the predecessor, and whether operators have put it on standby.
     Keys(Vec<KeyState>, bool),
-    /// What came of an open key.
+    /// What became of a key that was open when it was handed over: the key, whether it ran, and the result of the run.
     KeyResolved(Key, bool, Option<Bytes>),
-    /// A request that came to the old process.
+    /// A request that reached the predecessor after it had handed over.
     Request(Box<Request>),
-    /// Its answer, for the connection there.
+    /// The successor's answer to such a request, with its connection in the predecessor.
     Answer(ConnId, Arc<Answer>),
 }
 
-/// The other process, as long as there is one.
+/// The peer process of a handover: the predecessor or the successor. Without a link to it, messages to it are dropped.
 #[derive(Clone, Default)]
 pub(super) struct PeerProcess(Arc<Mutex<Option<Link>>>);
 
 struct Link {
-    words: SyncSender<HandoverMessage>,
+    messages: SyncSender<HandoverMessage>,
     stream: UnixStream,
     writer: Option<JoinHandle<()>>,
-    /// Requests passed on to this process: the connection in the other one.
-    passed_on: HashMap<ConnId, ConnId>,
+    /// The requests that were forwarded to this process: their connections here, and those in the peer process.
+    forwarded: HashMap<ConnId, ConnId>,
 }
 
 impl PeerProcess {
@@ -73,43 +79,47 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues a word; never waits.
-    pub(super) fn send(&self, word: HandoverMessage) {
+    /// Queues a message without waiting. Closes the link if the queue is full.
+    pub(super) fn send(&self, message: HandoverMessage) {
         if let Some(link) = &*self.lock() {
-            if link.words.try_send(word).is_err() {
+            if link.messages.try_send(message).is_err() {
                 let _ = link.stream.shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Answers a request that was passed on to this process; false if `conn` is none.
+    /// Answers a request that was forwarded to this process. Returns false if `conn` does not belong to such a request.
     pub(super) fn answer(&self, conn: ConnId, answer: &Arc<Answer>) -> bool {
-        let there = self.lock().as_mut().and_then(|link| link.passed_on.remove(&conn));
-        there.into_iter().for_each(|there| self.send(HandoverMessage::Answer(there, answer.clone())));
-        there.is_some()
+        let peer_conn = self.lock().as_mut().and_then(|link| link.forwarded.remove(&conn));
+        peer_conn
+            .into_iter()
+            .for_each(|peer_conn| self.send(HandoverMessage::Answer(peer_conn, answer.clone())));
+        peer_conn.is_some()
     }
 
-    /// Waits until all that was queued is written.
+    /// Waits until all queued messages are written. No message can be sent afterwards.
     pub(super) fn flush(&self) {
         let writer = self.lock().take().and_then(|link| {
-            drop(link.words);
+            drop(link.messages);
             link.writer
         });
         writer.map(JoinHandle::join);
     }
 
+    /// Makes `stream` the link to the peer process, and starts the thread that writes to it.
     fn open(&self, stream: UnixStream) -> io::Result<()> {
-        let (words, queue) = sync_channel(QUEUE);
-        stream.set_write_timeout(Some(WRITE_PATIENCE))?;
+        let (messages, queue) = sync_channel(QUEUE_CAPACITY);
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let writes = stream.try_clone()?;
-        let writer = thread::Builder::new().stack_size(STACK).spawn(move || write(&writes, &queue))?;
-        *self.lock() = Some(Link { words, stream, writer: Some(writer), passed_on: HashMap::new() });
+        let writer =
+            thread::Builder::new().stack_size(STACK_SIZE).spawn(move || write_messages(&writes, &queue))?;
+        *self.lock() = Some(Link { messages, stream, writer: Some(writer), forwarded: HashMap::new() });
         Ok(())
     }
 
-    /// Tells the reducer what the other process says, until it is gone.
-    fn listen(&self, stream: UnixStream, hub: &Hub) {
-        let mut lines = Lines::new(MOST_LINE);
+    /// Passes messages of the peer process to the reducer until the link ends, then closes it.
+    fn read_messages(&self, stream: UnixStream, hub: &Hub) {
+        let mut lines = Lines::new(MAX_LINE);
         loop {
             let line = match lines.line() {
                 Ok(Some(line)) => line,
@@ -121,24 +131,25 @@
                 Err(_) => break,
             };
             match parse(&line) {
-                Some(ReceivedMessage::Succession(word)) => {
-                    // What operators ordered of the process before holds here, and the fleet has to know it of this life.
-                    if let (Succession::Complete { standby: true }, Some(fleet)) = (&word, &hub.fleet) {
+                Some(ReceivedMessage::Succession(event)) => {
+                    // If operators put the predecessor on standby, this process is on standby too. The fleet has to learn
+                    // that for the new incarnation.
+                    if let (Succession::Complete { standby: true }, Some(fleet)) = (&event, &hub.fleet) {
                         fleet.draining(true);
                     }
-                    hub.push(Input::Succession(on_own_clock(word, hub)));
+                    hub.push(Input::Succession(to_own_clock(event, hub)));
                 }
                 Some(ReceivedMessage::Request(mut request)) => {
                     let conn = hub.new_conn();
-                    let there = std::mem::replace(&mut request.conn, conn);
+                    let peer_conn = std::mem::replace(&mut request.conn, conn);
                     request.start = hub.clock.resolve_past(request.start);
                     if let Some(link) = self.lock().as_mut() {
-                        link.passed_on.insert(conn, there);
+                        link.forwarded.insert(conn, peer_conn);
                     }
                     hub.push(Input::Request(request));
                 }
                 None => {
-                    warn!("the other process says what cannot be read");
+                    warn!("unreadable line from the peer process: closing the handover link");
                     break;
                 }
             }
@@ -149,20 +160,21 @@
     }
 }
 
-/// What the other process says, with its times, which are the wall clock's, as this process counts them.
-fn on_own_clock(word: Succession, hub: &Hub) -> Succession {
-    match word {
+/// Converts the times in an event of the peer process from the wall clock to this process's clock.
+fn to_own_clock(event: Succession, hub: &Hub) -> Succession {
+    match event {
         Succession::Key(key) => {
             Succession::Key(KeyState { until: hub.clock.resolve_future(key.until), ..key })
         }
-        word => word,
+        event => event,
     }
 }
 
-fn write(stream: &UnixStream, queue: &Receiver<HandoverMessage>) {
+/// Writes queued messages until the queue is closed or a write fails.
+fn write_messages(stream: &UnixStream, queue: &Receiver<HandoverMessage>) {
     let mut writes = BufWriter::new(stream);
-    while let Ok(word) = queue.recv() {
-        let lines = word.to_lines();
+    while let Ok(message) = queue.recv() {
+        let lines = message.to_lines();
         if lines
             .into_iter()
             .try_for_each(|l| writes.write_all(l.as_bytes()))
@@ -175,71 +187,74 @@
     }
 }
 
-/// The process at the other end.
-fn process_of(stream: &UnixStream) -> Option<i32> {
-    getsockopt(stream, PeerCredentials).ok().map(|other| other.pid()).filter(|pid| *pid > 0)
+/// The id of the process at the other end, if the system reports one.
+fn peer_pid(stream: &UnixStream) -> Option<i32> {
+    getsockopt(stream, PeerCredentials).ok().map(|credentials| credentials.pid()).filter(|pid| *pid > 0)
 }
 
-/// It has not ended; one that waits for its parent to ask for its status has. Whoever cannot be looked at, such as for
-/// want of descriptors, is taken to live: it is looked at again.
-fn is_alive(process: i32) -> bool {
-    if kill(Pid::from_raw(process), None) == Err(Errno::ESRCH) {
+/// Whether a process has not ended. A zombie has ended. A process whose state cannot be read, for example because no
+/// descriptor is free, counts as alive: it is checked again later.
+fn is_alive(pid: i32) -> bool {
+    if kill(Pid::from_raw(pid), None) == Err(Errno::ESRCH) {
         return false;
     }
-    let stat = std::fs::read_to_string(format!("/proc/{process}/stat"));
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"));
     let state = stat.as_ref().ok().and_then(|stat| stat.rsplit_once(") ")).map(|(_, state)| state);
     !state.is_some_and(|state| state.starts_with(['Z', 'X']))
 }
 
-/// The link is over: tells the reducer that the other process is gone, as soon as it is. A link can break with both
-/// alive, if one of them stood still for long; then the reducer is told that first, for two must not decide.
-fn ended(other: Option<i32>, hub: &Hub, lost: Succession, gone: Succession) {
+/// Called when the link has ended: waits until the peer process has exited, then reports `exited` to the reducer. If the
+/// link broke while both processes live, as it can when one of them was stopped for long, `disconnected` is reported first:
+/// two processes must not decide at the same time.
+fn wait_for_exit(peer: Option<i32>, hub: &Hub, disconnected: Succession, exited: Succession) {
     let since = Instant::now();
-    let mut lost = Some(lost);
-    while other.is_some_and(is_alive) {
-        if since.elapsed() > END_PATIENCE {
-            if let Some(lost) = lost.take() {
-                warn!("the link to the other process broke, and it lives on");
-                hub.push(Input::Succession(lost));
+    let mut disconnected = Some(disconnected);
+    while peer.is_some_and(is_alive) {
+        if since.elapsed() > EXIT_TIMEOUT {
+            if let Some(disconnected) = disconnected.take() {
+                warn!("the handover link broke, but the peer process is still alive");
+                hub.push(Input::Succession(disconnected));
             }
         }
-        thread::sleep(END_LOOK);
+        thread::sleep(EXIT_CHECK_INTERVAL);
     }
-    hub.push(Input::Succession(gone));
+    hub.push(Input::Succession(exited));
 }
 
-/// A local socket has no address that could be lacking: where the system says so, it is for a moment.
-fn as_for_a_moment(e: io::Error) -> io::Error {
+/// Maps "address not available" to an error that is retried: a Unix socket needs no such address, so the system's report is
+/// temporary.
+fn as_transient(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::AddrNotAvailable => Errno::ENOBUFS.into(),
         _ => e,
     }
 }
 
-/// Connects to the process that serves already, if there is one.
+/// Connects to the predecessor, the process that serves already. Returns `None` if there is none.
 pub(super) fn connect_to_predecessor(path: &Path, hub: &Arc<Hub>) -> Option<PeerProcess> {
-    // Only where nobody listens is there no process: one that is there and not found would keep this one from starting.
-    let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_for_a_moment));
+    // Transient failures are retried: a predecessor that runs but was not found would keep this process from starting.
+    let connected = socket_retry::open(|| UnixStream::connect(path).map_err(as_transient));
     let stream = connected.ok()?;
-    let partner = PeerProcess::default();
+    let predecessor = PeerProcess::default();
     let started = stream.try_clone().and_then(|reads| {
-        partner.open(stream)?;
-        let (partner, hub) = (partner.clone(), hub.clone());
-        let listen = move || {
-            // Before any word on its end: the other way round, this process would be beside it for good.
+        predecessor.open(stream)?;
+        let (predecessor, hub) = (predecessor.clone(), hub.clone());
+        let read = move || {
+            // This must precede any report that the predecessor has ended. Otherwise this process would believe for good
+            // that the predecessor is running.
             hub.push(Input::Succession(Succession::Beside));
-            let other = process_of(&reads);
-            partner.listen(reads, &hub);
-            ended(other, &hub, Succession::PredecessorLost, Succession::PredecessorGone);
+            let pid = peer_pid(&reads);
+            predecessor.read_messages(reads, &hub);
+            wait_for_exit(pid, &hub, Succession::PredecessorLost, Succession::PredecessorGone);
         };
-        thread::Builder::new().stack_size(STACK).spawn(listen)
+        thread::Builder::new().stack_size(STACK_SIZE).spawn(read)
     });
-    started.map_err(|e| warn!("no link to the process that runs: {e}")).ok()?;
-    info!("takes over from the process that runs");
-    Some(partner)
+    started.map_err(|e| warn!("cannot open the handover link to the running process: {e}")).ok()?;
+    info!("taking over from the running process");
+    Some(predecessor)
 }
 
-/// A socket in place of the one that another process left.
+/// Binds the handover socket in place of one that another process left behind.
 fn bind(path: &Path) -> io::Result<UnixListener> {
     let _ = std::fs::remove_file(path);
     let listener = socket_retry::open(|| UnixListener::bind(path))?;
@@ -247,40 +262,41 @@
     Ok(listener)
 }
 
-/// No process listens at this path. One that does hears nothing of the look: the system refuses to connect a socket of
-/// another type, with another error than where there is none.
+/// Whether no process listens at this path. The check does not disturb a listener: it connects a socket of another type,
+/// which the system refuses, with another error than if nobody listens.
 fn is_stale(path: &Path) -> bool {
     let connected = UnixDatagram::unbound().and_then(|socket| socket.connect(path));
     connected.is_err_and(|e| matches!(e.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound))
 }
 
-/// Waits for a process that takes over. A socket that another one left is replaced.
+/// Waits for successors. A socket that another process left behind is replaced.
 pub(super) fn listen_for_successor(path: &Path, hub: &Arc<Hub>) -> io::Result<PeerProcess> {
     let mut listener = bind(path)?;
-    let (partner, hub, path) = (PeerProcess::default(), hub.clone(), path.to_path_buf());
-    let successor = partner.clone();
-    thread::Builder::new().stack_size(STACK).spawn(move || {
-        // One after the other: a second process finds nobody until the first is gone.
+    let (peer, hub, path) = (PeerProcess::default(), hub.clone(), path.to_path_buf());
+    let successor = peer.clone();
+    thread::Builder::new().stack_size(STACK_SIZE).spawn(move || {
+        // One successor at a time: a second one is served after the first has exited.
         loop {
             let Ok((stream, _)) = listener.accept() else {
-                // Without descriptors it fails at once: no busy loop until there are some.
-                thread::sleep(END_LOOK);
+                // Without a free descriptor, accepting fails immediately: the pause avoids a busy loop.
+                thread::sleep(EXIT_CHECK_INTERVAL);
                 continue;
             };
-            match stream.try_clone().and_then(|reads| partner.open(stream).map(|()| reads)) {
+            match stream.try_clone().and_then(|reads| peer.open(stream).map(|()| reads)) {
                 Ok(reads) => {
-                    let other = process_of(&reads);
-                    partner.listen(reads, &hub);
-                    ended(other, &hub, Succession::SuccessorLost, Succession::SuccessorGone);
-                    // Until then the reducer may yet tell the one that is gone something, and no other is to hear it.
+                    let pid = peer_pid(&reads);
+                    peer.read_messages(reads, &hub);
+                    wait_for_exit(pid, &hub, Succession::SuccessorLost, Succession::SuccessorGone);
+                    // Until the reducer has processed the exit, it may still send messages that are meant for the exited
+                    // successor. They must not reach the next one.
                     hub.wait_for_reducer();
                 }
-                Err(e) => warn!("no link to the process that takes over: {e}"),
+                Err(e) => warn!("cannot open the handover link to the new process: {e}"),
             }
-            // The one that is gone may have put its own socket here, behind which nobody would find this process.
+            // The exited successor may have bound its own socket at this path. Then no other process would find this one.
             if is_stale(&path) {
                 match bind(&path) {
-                    Ok(again) => listener = again,
+                    Ok(rebound) => listener = rebound,
                     Err(e) => warn!("no process can take over from this one: {}: {e}", path.display()),
                 }
             }
@@ -289,54 +305,56 @@
     Ok(successor)
 }
 
-fn base64(bytes: Option<&[u8]>) -> String {
+/// Encodes a field: `-` stands for `None`.
+fn encode_base64(bytes: Option<&[u8]>) -> String {
     bytes.map_or("-".to_string(), |bytes| format!("={}", BASE64.encode(bytes)))
 }
 
 impl HandoverMessage {
-    /// In lines, each with its end.
+    /// Encodes the message as lines, each with its line end.
     pub fn to_lines(&self) -> Vec<String> {
-        let key = |key: &Key| base64(Some(key.as_bytes()));
+        let key = |key: &Key| encode_base64(Some(key.as_bytes()));
         match self {
             Self::Begin => vec!["begin\n".to_string()],
             Self::Keys(keys, standby) => {
                 let line = |k: &KeyState| {
                     let (until, open, result) =
-                        (k.until.as_micros(), u8::from(k.open), base64(k.result.as_deref()));
+                        (k.until.as_micros(), u8::from(k.open), encode_base64(k.result.as_deref()));
                     format!("key {} {:x} {until} {open} {result}\n", key(&k.key), k.what)
                 };
                 keys.iter().map(line).chain([format!("complete {}\n", u8::from(*standby))]).collect()
             }
             Self::KeyResolved(k, ran, result) => {
-                vec![format!("settled {} {} {}\n", key(k), u8::from(*ran), base64(result.as_deref()))]
+                vec![format!("settled {} {} {}\n", key(k), u8::from(*ran), encode_base64(result.as_deref()))]
             }
             Self::Request(r) => {
                 let micros = |t: Option<Duration>| t.map_or("-".to_string(), |t| t.as_micros().to_string());
                 let (patience, cost) = (micros(r.patience), micros(r.cost));
-                // Only where there is one: a process of before objects were passed on takes what it can read.
+                // The name of the object is appended only if there is one: a process of a version that does not know this
+                // field can then still read the other requests.
                 let object = r
                     .object
                     .as_ref()
-                    .map_or(String::new(), |o| " ".to_string() + &base64(Some(o.as_bytes())));
+                    .map_or(String::new(), |o| " ".to_string() + &encode_base64(Some(o.as_bytes())));
                 vec![format!(
                     "request {} {} {} {} {patience} {} {} {} {} {} {} {} {cost}{object}\n",
                     r.conn,
                     r.handle,
-                    base64(Some(r.class.as_bytes())),
+                    encode_base64(Some(r.class.as_bytes())),
                     r.start.as_micros(),
                     r.caller,
                     r.size_kb,
                     r.rank,
-                    base64(r.key.as_ref().map(|k| k.as_bytes())),
+                    encode_base64(r.key.as_ref().map(|k| k.as_bytes())),
                     u8::from(r.object.is_some()),
-                    base64(Some(&r.body)),
-                    base64(r.tenant.as_ref().map(|t| t.as_bytes())),
+                    encode_base64(Some(&r.body)),
+                    encode_base64(r.tenant.as_ref().map(|t| t.as_bytes())),
                 )]
             }
             Self::Answer(conn, answer) => {
                 let signal = answer.signal.map_or("-".to_string(), |s| s.to_string());
                 let verdict = match &answer.verdict {
-                    Verdict::Served(result) => format!("served {}", base64(Some(result))),
+                    Verdict::Served(result) => format!("served {}", encode_base64(Some(result))),
                     Verdict::Refused { retry_after, no_retry } => {
                         format!("refused {} {}", retry_after.as_micros(), u8::from(*no_retry))
                     }
@@ -350,32 +368,32 @@
     }
 }
 
-/// What a line says.
+/// A message received from the peer process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReceivedMessage {
-    /// Something for the reducer.
+    /// An event for the reducer.
     Succession(Succession),
-    /// A request, with the connection in the other process.
+    /// A forwarded request, with its connection in the peer process.
     Request(Box<Request>),
 }
 
-/// Reads a line without its end; none if it makes no sense.
+/// Parses a line without its line end. Returns `None` if it is invalid.
 pub fn parse(line: &str) -> Option<ReceivedMessage> {
-    let bytes = |word: &str| -> Option<Option<Bytes>> {
-        match word.strip_prefix('=') {
+    let bytes = |field: &str| -> Option<Option<Bytes>> {
+        match field.strip_prefix('=') {
             Some(text) => Some(Some(BASE64.decode(text).ok()?.into())),
-            None => (word == "-").then_some(None),
+            None => (field == "-").then_some(None),
         }
     };
-    let text = |word: &str| String::from_utf8(bytes(word)??.to_vec()).ok();
-    let time = |word: &str| word.parse().ok().map(Duration::from_micros);
-    let flag = |word: &str| match word {
+    let text = |field: &str| String::from_utf8(bytes(field)??.to_vec()).ok();
+    let time = |field: &str| field.parse().ok().map(Duration::from_micros);
+    let flag = |field: &str| match field {
         "0" => Some(false),
         "1" => Some(true),
         _ => None,
     };
-    let words: Vec<&str> = line.split(' ').collect();
-    let word = match words[..] {
+    let fields: Vec<&str> = line.split(' ').collect();
+    let event = match fields[..] {
         ["begin"] => Succession::Begin,
         ["complete", standby] => Succession::Complete { standby: flag(standby)? },
         ["key", key, what, until, open, result] => Succession::Key(KeyState {
@@ -402,19 +420,19 @@
             let signal = if signal == "-" { None } else { Some(signal.parse().ok()?) };
             Succession::Answered { conn: conn.parse().ok()?, answer: Answer { verdict, signal, close: true } }
         }
-        // A process of before tenants and costs were read passes on requests without the last two; one of before
-        // objects were passed on, only whether there is one.
+        // A process of a version without tenants and costs leaves out these fields. One of a version that does not pass on
+        // the object's name only states whether there is one.
         ["request", conn, handle, class, start, patience, caller, size_kb, rank, key, object, body, ref more @ ..] =>
         {
-            let (tenant, cost, said) = match *more {
+            let (tenant, cost, object_name) = match *more {
                 [] => ("-", "-", "-"),
                 [tenant, cost] => (tenant, cost, "-"),
-                [tenant, cost, said] => (tenant, cost, said),
+                [tenant, cost, object_name] => (tenant, cost, object_name),
                 _ => return None,
             };
-            let object = match (flag(object)?, said) {
+            let object = match (flag(object)?, object_name) {
                 (true, "-") => Some("".into()),
-                (true, said) => Some(text(said)?.into()),
+                (true, object_name) => Some(text(object_name)?.into()),
                 (false, "-") => None,
                 (false, _) => return None,
             };
@@ -436,7 +454,7 @@
         }
         _ => return None,
     };
-    Some(ReceivedMessage::Succession(word))
+    Some(ReceivedMessage::Succession(event))
 }
 
 #[cfg(test)]
@@ -444,10 +462,11 @@
     use super::*;
     use crate::settings::Links;
 
-    /// What the other process of a test is told; nothing in the test's own.
+    /// The environment variable that marks the child process of a test and carries its argument.
     const OTHER_PROCESS: &str = "HOPWALK_TEST_OTHER_PROCESS";
 
-    /// Held while a process begins, which has all descriptors for a moment, and while a closed one must be gone.
+    /// Held while a child process starts, which inherits all descriptors for a moment, and while a descriptor that was
+    /// closed must not be open anywhere else.
     static DESCRIPTORS: Mutex<()> = Mutex::new(());
 
     fn hold_descriptors() -> MutexGuard<'static, ()> {
@@ -455,49 +474,49 @@
     }
 
     #[test]
-    fn that_another_process_runs_is_told_before_anything_that_it_says_or_its_end() {
-        // Guards against a new process that keeps to half of its share for life, as its old one died at once.
+    fn a_running_predecessor_is_reported_before_its_messages_and_its_exit() {
+        // Guards against a successor that uses only half of its share for good because its predecessor exited immediately.
         let path = std::env::temp_dir().join(format!("hopwalk-find-{}.sock", std::process::id()));
         let _ = std::fs::remove_file(&path);
         let listener = UnixListener::bind(&path).unwrap();
         let (sender, inbox) = std::sync::mpsc::channel();
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
-        let found = connect_to_predecessor(&path, &hub);
+        let connected = connect_to_predecessor(&path, &hub);
         std::fs::remove_file(&path).unwrap();
-        assert!(found.is_some());
-        let (mut old, _) = listener.accept().unwrap();
-        old.write_all(b"complete 0\n").unwrap();
-        drop(old);
-        let told = |_| match inbox.recv_timeout(Duration::from_secs(10)) {
-            Ok(Input::Succession(word)) => word,
+        assert!(connected.is_some());
+        let (mut predecessor, _) = listener.accept().unwrap();
+        predecessor.write_all(b"complete 0\n").unwrap();
+        drop(predecessor);
+        let next_event = |_| match inbox.recv_timeout(Duration::from_secs(10)) {
+            Ok(Input::Succession(event)) => event,
             other => panic!("{other:?}"),
         };
         let expected = [
             Succession::Beside,
             Succession::Complete { standby: false },
-            // This test is the other process, and lives on.
+            // The predecessor is the process of this test, which is still alive.
             Succession::PredecessorLost,
         ];
-        assert_eq!([(); 3].map(told), expected);
+        assert_eq!([(); 3].map(next_event), expected);
     }
 
-    /// Runs the test `name` in a process of its own, whose part of it begins with `told` in the environment.
-    fn in_a_process_of_its_own(name: &str, told: &str) -> std::process::ExitStatus {
+    /// Runs the test `name` in a child process with few descriptors, with `argument` in [`OTHER_PROCESS`].
+    fn run_in_child_process(name: &str, argument: &str) -> std::process::ExitStatus {
         let _held = hold_descriptors();
         let test = format!("net::handover::tests::{name}");
         let command = ["-c", "ulimit -n 64; exec \"$@\"", "sh"];
         let mut shell = std::process::Command::new("sh");
         shell.args(command).arg(std::env::current_exe().unwrap()).args(["--exact", &test]);
-        shell.env(OTHER_PROCESS, told).status().unwrap()
+        shell.env(OTHER_PROCESS, argument).status().unwrap()
     }
 
     #[test]
-    fn a_process_that_cannot_be_looked_at_for_want_of_descriptors_is_not_taken_for_gone() {
-        // Guards against two processes that both decide: the one that lives was told to be gone.
+    fn a_process_that_cannot_be_checked_without_free_descriptors_counts_as_alive() {
+        // Guards against two processes that both decide because a live one was reported as exited.
         let Ok(parent) = std::env::var(OTHER_PROCESS) else {
-            let name = "a_process_that_cannot_be_looked_at_for_want_of_descriptors_is_not_taken_for_gone";
-            assert!(in_a_process_of_its_own(name, &std::process::id().to_string()).success());
+            let name = "a_process_that_cannot_be_checked_without_free_descriptors_counts_as_alive";
+            assert!(run_in_child_process(name, &std::process::id().to_string()).success());
             return;
         };
         let parent = parent.parse().unwrap();
@@ -508,9 +527,9 @@
     }
 
     #[test]
-    fn what_is_meant_for_a_successor_that_is_gone_does_not_reach_the_next_one() {
-        // Guards against two processes that both decide: keys handed over to one that ended came to the one after it.
-        let name = "what_is_meant_for_a_successor_that_is_gone_does_not_reach_the_next_one";
+    fn messages_for_an_exited_successor_do_not_reach_the_next_one() {
+        // Guards against two processes that both decide because keys for an exited successor reached the next one.
+        let name = "messages_for_an_exited_successor_do_not_reach_the_next_one";
         if let Ok(path) = std::env::var(OTHER_PROCESS) {
             return UnixStream::connect(path).unwrap().write_all(b"begin\n").unwrap();
         }
@@ -519,16 +538,16 @@
         let links = Links { agent: None, vault: None, control: None };
         let hub = Arc::new(Hub::new(sender, 64, links, Vec::new(), None, None));
         let successor = listen_for_successor(&path, &hub).unwrap();
-        assert!(in_a_process_of_its_own(name, path.to_str().unwrap()).success());
-        let told = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
-        assert!(matches!(told(), Input::Succession(Succession::Begin)));
-        assert!(matches!(told(), Input::Succession(Succession::SuccessorGone)));
+        assert!(run_in_child_process(name, path.to_str().unwrap()).success());
+        let next_input = || inbox.recv_timeout(Duration::from_secs(10)).unwrap();
+        assert!(matches!(next_input(), Input::Succession(Succession::Begin)));
+        assert!(matches!(next_input(), Input::Succession(Succession::SuccessorGone)));
 
-        // The reducer, which is this test, has taken neither yet when the next one connects.
+        // The reducer, which this test stands in for, has processed neither event when the next successor connects.
         let next = UnixStream::connect(&path).unwrap();
         next.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let is_linked = || successor.lock().is_some();
-        let asked = loop {
+        let query = loop {
             match inbox.try_recv() {
                 Ok(Input::Query { ticket, .. }) => break Some(ticket),
                 _ if is_linked() => break None,
@@ -536,9 +555,9 @@
             }
         };
         successor.send(HandoverMessage::Keys(Vec::new(), false));
-        // Now it has taken both.
-        let answered = asked.and_then(|ticket| hub.queries().remove(&ticket));
-        answered.into_iter().for_each(|asker| asker.send(Vec::new()).unwrap());
+        // Now the reducer has processed both.
+        let waiting = query.and_then(|ticket| hub.queries().remove(&ticket));
+        waiting.into_iter().for_each(|sender| sender.send(Vec::new()).unwrap());
         while !is_linked() {
             thread::sleep(END_LOOK);
         }
@@ -546,11 +565,11 @@
         let mut line = String::new();
         std::io::BufRead::read_line(&mut io::BufReader::new(next), &mut line).unwrap();
         std::fs::remove_file(&path).unwrap();
-        assert_eq!(line, "begin\n", "the first word that is meant for it");
+        assert_eq!(line, "begin\n", "the first message that is meant for it");
     }
 
     #[test]
-    fn a_socket_is_stale_once_nobody_listens_there_and_the_look_disturbs_no_listener() {
+    fn a_socket_is_stale_once_nobody_listens_and_the_check_does_not_disturb_a_listener() {
         let _held = hold_descriptors();
         let path = std::env::temp_dir().join(format!("hopwalk-stale-{}.sock", std::process::id()));
         let listener = bind(&path).unwrap();
--- a/tests/handover_fleet.rs
+++ b/tests/handover_fleet.rs
@@ -32,7 +32,7 @@
 /// A member that answers nobody is called down after 1.5 s, and by all after 2 (docs/fleet.md).
 const DEATHS_MS: u64 = 2_500;
 
-const FOUND: &str = "takes over from the process that runs";
+const FOUND: &str = "taking over from the running process";
 const HANDS_OVER: &str = "hands over to a new process";
 const VOTES: &str = "routes: votes folder";
 const DOWN: &str = "fleet: a member is down";
--- a/tests/program/system_calls.rs
+++ b/tests/program/system_calls.rs
@@ -128,7 +128,7 @@
     assert_eq!(exchange(old.http, &Ask::keyed("k", b"x").http()).body, b"made:x");
     turn(&old, &[(Dial::Connect, 500), (Dial::Interrupt, 200), (Dial::Short, 300), (Dial::Accept, 200)]);
     let new = old.successor(&agent, &agent.moved());
-    assert!(new.log().contains("takes over from the process that runs"), "{}", new.log());
+    assert!(new.log().contains("taking over from the running process"), "{}", new.log());
     assert_eq!(exchange(new.http, &Ask::keyed("k", b"x").http()).body, b"made:x");
     assert_eq!(agent.launches().len(), 1, "the key came along");
     assert_eq!((old.counter("violations"), new.counter("violations")), (0, 0));
--- a/tests/program/upgrade.rs
+++ b/tests/program/upgrade.rs
@@ -120,7 +120,7 @@
         told += std::str::from_utf8(&chunk[..len]).unwrap();
     }
     drop(link);
-    old.wait_for_log("it lives on");
+    old.wait_for_log("the peer process is still alive");
     for ask in [Ask::keyed("a", b"x"), Ask::keyed("b", b"x"), Ask::new("queue-status", b"x")] {
         assert_eq!(exchange(old.http, &ask.http()).status, 503);
     }
@@ -206,7 +206,7 @@
     let agent = Agent::start(1, QUICK, false);
     let old = Program::start(with_agent(&agent));
     drop(std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).unwrap());
-    old.wait_for_log("it lives on");
+    old.wait_for_log("the peer process is still alive");
     assert_eq!(exchange(old.http, &Ask::keyed("b", b"x").http()).status, 200);
 }
 
