--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -1,4 +1,5 @@
-//! The fleet's routes, as far as sockets and the reducer need them: where a call goes, and how those of each class stand.
+//! Connects the fleet's routes to the serving path: [`Router`] is the interface to them, which the vault link asks for the
+//! route of each call, and [`start`] keeps the reducer informed of the route state and the call limits of each class.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
@@ -12,29 +13,29 @@
 use crate::fleet::routing::{self, Allows, Call, Order, OrderError, Routed, Routing};
 use crate::interface::Way;
 
-/// The ways of the classes are looked at this often.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which the route states and call limits are checked for changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A process that takes over waits this long for its lease: then it begins without, as the one before may have none too.
-const READY_PATIENCE: Duration = Duration::from_secs(5);
+/// A successor waits this long for its lease. Then it takes over without one, as the predecessor may have none either.
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whoever knows the routes; in the program [`Routing`]. None of it waits for a peer.
+/// The interface to the fleet's routes; the program's implementation is [`Routing`]. No method waits for a peer.
 pub trait Router: Send + Sync {
-    /// What becomes of a call now.
+    /// Routes a call at this moment.
     fn route(&self, call: &Call) -> Routed;
-    /// How the calls of each named class stand, in the order given.
-    fn ways(&self, classes: &[String]) -> Vec<routing::Way>;
-    /// What the routes in force allow, and under which fence; nothing if that is `known`, or without a table.
-    fn allowed(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)>;
-    /// The active version is known, its table is there, and the lease holds.
+    /// The route state of each named class, in the given order.
+    fn route_states(&self, classes: &[String]) -> Vec<routing::Way>;
+    /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no table.
+    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)>;
+    /// Whether the active version is known, its table is present, and the lease holds.
     fn ready(&self) -> bool;
     /// Counts how a request of an experiment was answered.
     fn count(&self, call: &Call, kind: Kind);
-    /// A service refused a call of an older turn.
-    fn stale(&self);
-    /// What was counted, in the text format of Prometheus.
+    /// Counts a call that a service refused because its turn is out of date.
+    fn count_stale(&self);
+    /// The counters of the routes, in the text format of Prometheus.
     fn metrics(&self) -> String;
-    /// Has an order carried out; the answer is a document in JSON.
+    /// Passes on an operator's order, from the client `by`. The answer is a document in JSON.
     fn order(&self, order: Order, by: &str) -> Receiver<Result<String, OrderError>>;
 }
 
@@ -43,11 +44,11 @@
         self.route(call)
     }
 
-    fn ways(&self, classes: &[String]) -> Vec<routing::Way> {
+    fn route_states(&self, classes: &[String]) -> Vec<routing::Way> {
         self.ways(classes)
     }
 
-    fn allowed(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
         self.allowed(known)
     }
 
@@ -59,7 +60,7 @@
         self.count(call, kind);
     }
 
-    fn stale(&self) {
+    fn count_stale(&self) {
         self.stale();
     }
 
@@ -72,67 +73,69 @@
     }
 }
 
-/// The ways of these classes, by their names.
-pub(super) fn ways(router: &dyn Router, classes: &[String]) -> Vec<(String, Way)> {
-    let way = |way| match way {
+/// The route states of these classes, with the names of the classes.
+pub(super) fn route_states(router: &dyn Router, classes: &[String]) -> Vec<(String, Way)> {
+    let convert = |state| match state {
         routing::Way::Open => Way::Open,
         routing::Way::LeaveOut => Way::LeaveOut,
         routing::Way::Shut => Way::Shut,
     };
-    let ways = router.ways(classes).into_iter().map(way);
-    classes.iter().cloned().zip(ways).collect()
+    let states = router.route_states(classes).into_iter().map(convert);
+    classes.iter().cloned().zip(states).collect()
 }
 
-/// Tells the reducer how the calls stand: once now, so that it knows before anything is read, and on each change.
+/// Reports the route states and the call limits to the reducer: once immediately, so that it has them before any request is
+/// read, and then on every change.
 pub(super) fn start(hub: &Arc<Hub>) {
     let Some(router) = hub.routing.clone() else { return };
     let hub = hub.clone();
-    let tell = move |hub: &Hub, told: &Vec<(String, Way)>| {
-        hub.push(Input::Ways(told.clone()));
-        // What is read after a check that found this matcher ready comes behind it in the inbox.
-        hub.calls_blocked.store(told.iter().any(|(_, way)| *way != Way::Open), Ordering::Release);
+    let report_states = move |hub: &Hub, states: &Vec<(String, Way)>| {
+        hub.push(Input::Ways(states.clone()));
+        // The order matters: a request that is read after a readiness check succeeded is behind these states in the inbox.
+        hub.calls_blocked.store(states.iter().any(|(_, state)| *state != Way::Open), Ordering::Release);
     };
-    let allow = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
-        if let Some((fence, routes)) = router.allowed(*known) {
+    let report_limits = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
+        if let Some((fence, limits)) = router.call_limits(*known) {
             *known = Some(fence);
-            hub.push(Input::Allows(routes));
+            hub.push(Input::Allows(limits));
         }
     };
-    let (mut told, mut known) = (ways(&*router, &hub.classes()), None);
-    tell(&hub, &told);
-    allow(&hub, &*router, &mut known);
+    let (mut reported, mut known) = (route_states(&*router, &hub.classes()), None);
+    report_states(&hub, &reported);
+    report_limits(&hub, &*router, &mut known);
     spawn(move || loop {
-        crate::net::spawn::sleep(LOOK);
-        // Before the ways: who is ready has told what the table allows.
-        allow(&hub, &*router, &mut known);
-        let now = ways(&*router, &hub.classes());
-        if now != told {
-            told = now;
-            tell(&hub, &told);
+        crate::net::spawn::sleep(CHECK_INTERVAL);
+        // Before the states: when this matcher is ready, the reducer has the limits of its table.
+        report_limits(&hub, &*router, &mut known);
+        let now = route_states(&*router, &hub.classes());
+        if now != reported {
+            reported = now;
+            report_states(&hub, &reported);
         }
     });
 }
 
-/// Calls may be made, and the reducer knows it; always where routes are off.
+/// Whether calls may be made and the reducer has been informed of it. Always true if the fleet does not route calls.
 pub(super) fn ready(hub: &Hub) -> bool {
     hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_blocked.load(Ordering::Acquire))
 }
 
-/// Does something once calls may be made here, or after a bounded time; at once where routes are off.
-pub(super) fn when_ready(hub: &Arc<Hub>, then: impl FnOnce() + Send + 'static) {
+/// Calls `action` as soon as calls may be made here, or after [`READY_TIMEOUT`]; immediately if the fleet does not route
+/// calls.
+pub(super) fn when_ready(hub: &Arc<Hub>, action: impl FnOnce() + Send + 'static) {
     if hub.routing.is_none() {
-        return then();
+        return action();
     }
     let (hub, since) = (hub.clone(), Instant::now());
     spawn(move || {
-        while !ready(&hub) && since.elapsed() < READY_PATIENCE {
-            crate::net::spawn::sleep(LOOK);
+        while !ready(&hub) && since.elapsed() < READY_TIMEOUT {
+            crate::net::spawn::sleep(CHECK_INTERVAL);
         }
-        then();
+        action();
     });
 }
 
-/// A router whose answers are told beforehand, for tests.
+/// A router with scripted answers, for tests.
 #[cfg(test)]
 pub(super) mod fake {
     use std::collections::VecDeque;
@@ -143,30 +146,30 @@
     use super::*;
     use crate::settings::Links;
 
-    type Done = Result<String, OrderError>;
+    type OrderResult = Result<String, OrderError>;
 
     pub struct FakeRouter {
-        /// What the looks at a call find, one after the other; the last one stays.
-        routed: Mutex<VecDeque<Routed>>,
+        /// The results of routing a call, one after the other; the last one is repeated.
+        results: Mutex<VecDeque<Routed>>,
         routed_calls: Mutex<Vec<Call>>,
         orders: Mutex<Vec<(Order, String)>>,
-        done: Mutex<Done>,
-        /// Where orders wait that are never answered.
-        silent: Mutex<Option<Vec<Sender<Done>>>>,
+        order_result: Mutex<OrderResult>,
+        /// If set, orders are not answered, and their answer channels are kept here.
+        unanswered: Mutex<Option<Vec<Sender<OrderResult>>>>,
         ready: AtomicBool,
-        pub stale: AtomicUsize,
+        pub stale_count: AtomicUsize,
     }
 
     impl FakeRouter {
-        pub fn with_answers(routed: impl IntoIterator<Item = Routed>) -> Self {
+        pub fn with_answers(results: impl IntoIterator<Item = Routed>) -> Self {
             Self {
-                routed: Mutex::new(routed.into_iter().collect()),
+                results: Mutex::new(results.into_iter().collect()),
                 routed_calls: Mutex::default(),
                 orders: Mutex::default(),
-                done: Mutex::new(Ok("{}".into())),
-                silent: Mutex::default(),
+                order_result: Mutex::new(Ok("{}".into())),
+                unanswered: Mutex::default(),
                 ready: AtomicBool::new(true),
-                stale: AtomicUsize::new(0),
+                stale_count: AtomicUsize::new(0),
             }
         }
 
@@ -178,16 +181,16 @@
             self.orders.lock().unwrap()
         }
 
-        pub fn set_answer(&self, done: Done) {
-            *self.done.lock().unwrap() = done;
+        pub fn set_answer(&self, result: OrderResult) {
+            *self.order_result.lock().unwrap() = result;
         }
 
         pub fn leave_unanswered(&self) {
-            *self.silent.lock().unwrap() = Some(Vec::new());
+            *self.unanswered.lock().unwrap() = Some(Vec::new());
         }
 
         pub fn drop_unanswered(&self) {
-            *self.silent.lock().unwrap() = None;
+            *self.unanswered.lock().unwrap() = None;
         }
 
         pub fn set_ready(&self, ready: bool) {
@@ -198,18 +201,18 @@
     impl Router for FakeRouter {
         fn route(&self, call: &Call) -> Routed {
             self.routed_calls.lock().unwrap().push(call.clone());
-            let mut routed = self.routed.lock().unwrap();
-            if routed.len() > 1 {
-                return routed.pop_front().unwrap();
+            let mut results = self.results.lock().unwrap();
+            if results.len() > 1 {
+                return results.pop_front().unwrap();
             }
-            routed[0]
+            results[0]
         }
 
-        fn ways(&self, classes: &[String]) -> Vec<routing::Way> {
+        fn route_states(&self, classes: &[String]) -> Vec<routing::Way> {
             vec![routing::Way::Open; classes.len()]
         }
 
-        fn allowed(&self, _known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+        fn call_limits(&self, _known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
             None
         }
 
@@ -219,35 +222,35 @@
 
         fn count(&self, _call: &Call, _kind: Kind) {}
 
-        fn stale(&self) {
-            self.stale.fetch_add(1, Ordering::Relaxed);
+        fn count_stale(&self) {
+            self.stale_count.fetch_add(1, Ordering::Relaxed);
         }
 
         fn metrics(&self) -> String {
             String::new()
         }
 
-        fn order(&self, order: Order, by: &str) -> Receiver<Done> {
+        fn order(&self, order: Order, by: &str) -> Receiver<OrderResult> {
             let (sender, receiver) = channel();
-            match &mut *self.silent.lock().unwrap() {
-                Some(waiting) => waiting.push(sender),
-                None => sender.send(self.done.lock().unwrap().clone()).unwrap(),
+            match &mut *self.unanswered.lock().unwrap() {
+                Some(unanswered) => unanswered.push(sender),
+                None => sender.send(self.order_result.lock().unwrap().clone()).unwrap(),
             }
             self.orders().push((order, by.into()));
             receiver
         }
     }
 
-    /// A hub with this router and the configuration's vault, and what comes to the reducer.
+    /// A hub with this router and this vault address, and the reducer's inbox.
     pub fn test_hub(
-        double: Option<Arc<FakeRouter>>,
+        router: Option<Arc<FakeRouter>>,
         vault: Option<std::net::SocketAddr>,
     ) -> (Arc<Hub>, Receiver<Input>) {
-        // Coroutines are sound on one worker only, in tests too.
+        // Coroutines are sound only on a single worker, in tests too.
         crate::net::spawn::start_runtime();
         let (sender, inbox) = channel();
         let links = Links { agent: None, vault, control: None };
-        let routing = double.map(|double| double as Arc<dyn Router>);
+        let routing = router.map(|router| router as Arc<dyn Router>);
         (Arc::new(Hub::new(sender, 256, links, Vec::new(), None, routing)), inbox)
     }
 }
@@ -260,25 +263,25 @@
     use super::*;
 
     #[test]
-    fn a_process_that_takes_over_waits_for_its_lease() {
-        // Guards against an upgrade that turns requests away until the new process has its first lease.
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
-        double.set_ready(false);
-        let (hub, _inbox) = test_hub(Some(double.clone()), None);
-        let (sender, begun) = channel();
+    fn a_successor_waits_for_its_lease() {
+        // Guards against an upgrade during which requests are refused until the new process has its first lease.
+        let router = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        router.set_ready(false);
+        let (hub, _inbox) = test_hub(Some(router.clone()), None);
+        let (sender, called) = channel();
         when_ready(&hub, move || sender.send(Instant::now()).unwrap());
-        assert!(begun.recv_timeout(LOOK * 3).is_err());
+        assert!(called.recv_timeout(CHECK_INTERVAL * 3).is_err());
         let since = Instant::now();
-        double.set_ready(true);
-        assert!(begun.recv_timeout(READY_PATIENCE).unwrap() >= since);
+        router.set_ready(true);
+        assert!(called.recv_timeout(READY_TIMEOUT).unwrap() >= since);
     }
 
     #[test]
-    fn the_reducer_hears_of_the_ways_before_anything_else() {
+    fn the_reducer_receives_the_route_states_before_anything_else() {
         let (hub, inbox) = test_hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
-        let told = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
-        assert!(matches!(inbox.try_recv(), Ok(Input::Ways(ways)) if ways == told));
+        let expected = [("a".to_string(), Way::Open), ("b".to_string(), Way::Open)];
+        assert!(matches!(inbox.try_recv(), Ok(Input::Ways(states)) if states == expected));
     }
 }
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -1,4 +1,5 @@
-//! What the coroutines share with the reducer's thread: the inbox, the connections, and what is told to all.
+//! The hub: the state that the coroutines share with the reducer's thread. It holds the reducer's inbox, the table of client
+//! connections, and the settings and flags that the reducer publishes to the coroutines.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -18,69 +19,71 @@
 use crate::fleet;
 use crate::settings::Links;
 
-/// Inputs that may wait for the reducer; beyond that, whoever brings more waits.
-const INBOX_ROOM: usize = 4096;
-/// Descriptors kept back for the agent, the vault, runs and calls at SCGI services, files and the runtime; half
-/// of them where there are few.
-const RESERVED_SOCKETS: usize = 128;
-/// Part of them for connections that are closing, or close after their next answer.
-const SPARE_PART: usize = 8;
-/// An idle connection looks this often whether it is to close: usually, and while the server leaves.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
-const IDLE_LOOK_DRAINING: Duration = Duration::from_millis(20);
-/// A connection that is idle for so long ends once another process takes the new ones.
-const YIELD_IDLE: Duration = Duration::from_millis(300);
+/// How many inputs may be queued for the reducer. Beyond that, senders wait.
+const INBOX_CAPACITY: usize = 4096;
+/// Descriptors reserved for the agent, the vault, runs and calls at SCGI services, files and the runtime. At most half of
+/// all descriptors are reserved.
+const RESERVED_DESCRIPTORS: usize = 128;
+/// One in so many reserved descriptors is for connections that are closing, or that close after their next answer.
+const SPARE_DIVISOR: usize = 8;
+/// Interval at which an idle connection checks whether it is to close: normally, and while the server drains.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL_DRAINING: Duration = Duration::from_millis(20);
+/// Once a successor accepts the new connections, a connection is closed when it has been idle for this long.
+const IDLE_LIMIT_AFTER_YIELD: Duration = Duration::from_millis(300);
 
-/// What all coroutines share.
+/// The state that all coroutines share with the reducer's thread.
 pub struct Hub {
     pub(super) clock: Clock,
     pub(super) inbox: Sender<Input>,
     pub(super) queued_inputs: AtomicUsize,
     connections: Mutex<ConnectionTable<ConnectionHandle>>,
     pub(super) next_conn: AtomicU64,
-    /// Why connections were closed.
+    /// How many connections were closed, by reason.
     pub(super) closes: Closes,
+    /// How many descriptors the process may use.
     pub(super) sockets: usize,
-    most_connections: AtomicUsize,
+    max_connections: AtomicUsize,
     spare_connections: AtomicUsize,
-    /// Calls below that may be out at once: each has a descriptor out of those kept back.
+    /// How many calls to the dependency may be in progress at once. Each uses one of the reserved descriptors.
     pub(super) max_calls: AtomicUsize,
     pub(super) idle_limit_us: AtomicU64,
-    /// The server has begun to leave.
+    /// The server has begun to drain.
     draining: AtomicBool,
-    /// When the server stopped taking new connections.
-    closed: OnceLock<Instant>,
-    /// Another process takes the new connections; those that are here end as they fall idle.
+    /// When the server stopped accepting new connections.
+    stopped_accepting_at: OnceLock<Instant>,
+    /// A successor accepts the new connections. Open ones are closed as soon as they are idle.
     pub(super) has_yielded: AtomicBool,
-    /// The agent was up: requests can be served.
+    /// Requests can be served: the agent has been up, or the server runs without one.
     pub(super) ready: AtomicBool,
-    pub(super) queries: Mutex<HashMap<u64, Sender<Lines>>>,
+    /// Where the results of pending queries are sent, by ticket.
+    pub(super) queries: Mutex<HashMap<u64, Sender<QueryResult>>>,
     pub(super) next_query: AtomicU64,
-    /// Where the links are to lead, since the configuration was last read.
+    /// The addresses of the links, as of the last reading of the configuration.
     pub(super) links: Mutex<Links>,
-    /// This process's part in the fleet, where it has one.
+    /// The connection to the fleet's membership, if this process is a member of a fleet.
     pub(super) fleet: Option<fleet::Link>,
-    /// The fleet's routes, where they are on.
+    /// The fleet's routes, if the fleet routes calls.
     pub(super) routing: Option<Arc<dyn Router>>,
-    /// The reducer was told last that calls of some class are not made.
+    /// According to the last report to the reducer, calls of some class may not be made.
     pub(super) calls_blocked: AtomicBool,
-    /// The names of the site's classes, since the configuration was last read.
+    /// The names of the site's classes, as of the last reading of the configuration.
     pub(super) classes: Mutex<Vec<String>>,
 }
 
-/// Whether an answer was given to its connection.
+/// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerResult {
-    /// It was owed, and its owner has it.
+    /// The connection was owed an answer, and this one was sent to the coroutine that owns it.
     Queued,
-    /// The connection is owed none.
+    /// The connection is not owed an answer.
     NotOwed,
     /// There is no such connection.
     NoConnection,
 }
 
-/// Names and values for people.
-pub(super) type Lines = Vec<(String, String)>;
+/// The result of a query: names and values, for display.
+pub(super) type QueryResult = Vec<(String, String)>;
 
 impl Hub {
     pub(super) fn new(
@@ -99,12 +102,12 @@
             next_conn: AtomicU64::new(1),
             closes: Closes::default(),
             sockets,
-            most_connections: AtomicUsize::new(1),
+            max_connections: AtomicUsize::new(1),
             spare_connections: AtomicUsize::new(0),
             max_calls: AtomicUsize::new(1),
             idle_limit_us: AtomicU64::new(u64::MAX),
             draining: AtomicBool::new(false),
-            closed: OnceLock::new(),
+            stopped_accepting_at: OnceLock::new(),
             has_yielded: AtomicBool::new(false),
             ready: AtomicBool::new(false),
             queries: Mutex::default(),
@@ -119,44 +122,46 @@
         hub
     }
 
-    /// Sets how many descriptors there are: two processes of one server have them together.
-    pub(super) fn set_descriptor_share(&self, with_another: bool) {
-        let parts = if with_another { 2 } else { 1 };
-        let reserved = RESERVED_SOCKETS.min(self.sockets / 2);
-        let most = ((self.sockets - reserved) / parts).max(1);
-        self.most_connections.store(most, Ordering::Relaxed);
-        self.max_calls.store((reserved / 2 / parts).max(1), Ordering::Relaxed);
-        self.spare_connections.store(reserved / SPARE_PART / parts, Ordering::Relaxed);
-        self.connections().shrink(most, Instant::now(), ConnectionHandle::evict);
+    /// Sets the limits that depend on the number of descriptors. During a handover the two processes of a matcher share the
+    /// descriptors, so that each gets half of them.
+    pub(super) fn set_descriptor_share(&self, is_shared: bool) {
+        let processes = if is_shared { 2 } else { 1 };
+        let reserved = RESERVED_DESCRIPTORS.min(self.sockets / 2);
+        let max_connections = ((self.sockets - reserved) / processes).max(1);
+        self.max_connections.store(max_connections, Ordering::Relaxed);
+        self.max_calls.store((reserved / 2 / processes).max(1), Ordering::Relaxed);
+        self.spare_connections.store(reserved / SPARE_DIVISOR / processes, Ordering::Relaxed);
+        self.connections().shrink(max_connections, Instant::now(), ConnectionHandle::evict);
     }
 
-    /// Calls below that may be out at once.
+    /// How many calls to the dependency may be in progress at once.
     pub(super) fn max_calls(&self) -> usize {
         self.max_calls.load(Ordering::Relaxed)
     }
 
-    /// A number for a connection.
+    /// Assigns a number to a connection.
     pub(super) fn new_conn(&self) -> ConnId {
         self.next_conn.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Brings an input to the reducer; called from coroutines, it waits while the inbox is full.
+    /// Sends an input to the reducer. Waits while the inbox is full.
     pub fn push(&self, input: Input) {
-        while self.queued_inputs.load(Ordering::Relaxed) >= INBOX_ROOM {
+        while self.queued_inputs.load(Ordering::Relaxed) >= INBOX_CAPACITY {
             crate::net::spawn::sleep(Duration::from_millis(1));
         }
         self.push_nonblocking(input);
     }
 
-    /// The same for what must not wait, and is rare.
+    /// Sends an input to the reducer even if the inbox is full. For rare inputs that must not wait.
     pub(super) fn push_nonblocking(&self, input: Input) {
         self.queued_inputs.fetch_add(1, Ordering::Relaxed);
-        // The reducer's end is gone only while the process ends.
+        // Sending fails only while the process is exiting.
         let _ = self.inbox.send(input);
     }
 
-    /// Asks the reducer; its answer comes under the ticket, which the asker takes out of the queries at the end.
-    pub(super) fn submit_query(&self, query: Query) -> (u64, Receiver<Lines>) {
+    /// Sends a query to the reducer. Returns its ticket and the channel on which the result arrives; the caller removes the
+    /// ticket from the pending queries when it no longer waits.
+    pub(super) fn submit_query(&self, query: Query) -> (u64, Receiver<QueryResult>) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let ticket = self.next_query.fetch_add(1, Ordering::Relaxed);
         self.queries().insert(ticket, sender);
@@ -164,16 +169,16 @@
         (ticket, receiver)
     }
 
-    /// Waits until the reducer has taken all that was brought before, and what follows from it is done; to be called from
-    /// threads only.
+    /// Waits until the reducer has processed all inputs sent before, and their effects have been carried out. Must be called
+    /// from threads only, not from coroutines.
     pub(super) fn wait_for_reducer(&self) {
-        let (ticket, answer) = self.submit_query(Query::Status);
-        // No answer comes only while the process ends.
-        let _ = answer.recv();
+        let (ticket, result) = self.submit_query(Query::Status);
+        // Receiving fails only while the process is exiting.
+        let _ = result.recv();
         self.queries().remove(&ticket);
     }
 
-    pub(super) fn queries(&self) -> MutexGuard<'_, HashMap<u64, Sender<Lines>>> {
+    pub(super) fn queries(&self) -> MutexGuard<'_, HashMap<u64, Sender<QueryResult>>> {
         self.queries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -181,7 +186,7 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where the links are to lead.
+    /// The addresses of the links.
     pub(super) fn links(&self) -> Links {
         *self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -191,14 +196,15 @@
         self.classes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// A place for a new connection, and where its answers come; none while there is no room.
+    /// Admits a new connection to the connection table. Returns its place, with the channel on which its answers arrive, or
+    /// `None` while there is no room.
     pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<Place> {
         let conn = self.new_conn();
         let (answer, answers) = co::channel();
         let accepted = Instant::now();
         let handle = ConnectionHandle { answer, stream: stream.clone() };
         let capacity = Capacity {
-            open: self.most_connections.load(Ordering::Relaxed),
+            open: self.max_connections.load(Ordering::Relaxed),
             spare: self.spare_connections.load(Ordering::Relaxed),
         };
         let admission = self.connections().admit(conn, handle, accepted, capacity, ConnectionHandle::evict);
@@ -208,59 +214,59 @@
         }
     }
 
-    /// Gives a connection the answer that it is owed.
+    /// Sends an answer to the connection that is owed it.
     pub(super) fn send_answer(&self, conn: ConnId, answer: &Arc<Answer>) -> AnswerResult {
         let owner = match self.connections().give_answer(conn) {
             Giving::Owed(handle) => handle.answer.clone(),
             Giving::NotOwed => return AnswerResult::NotOwed,
             Giving::Gone => return AnswerResult::NoConnection,
         };
-        // Not under the lock: waking a coroutine may wait for the worker, which may wait for the lock.
+        // Not while the lock is held: waking a coroutine may wait for the worker thread, which may wait for the lock.
         let _ = owner.send(answer.clone());
         AnswerResult::Queued
     }
 
-    /// Has all connections closed that are owed nothing.
+    /// Closes all connections that are not owed an answer.
     pub(super) fn evict_all(&self) {
         self.connections().shrink(0, Instant::now(), ConnectionHandle::evict);
     }
 
-    /// How long a connection may be idle; none is kept once the server takes no new ones.
+    /// How long a connection may be idle. No idle connection is kept once the server has stopped accepting new ones.
     pub(super) fn idle_limit(&self) -> Duration {
-        let told = Duration::from_micros(self.idle_limit_us.load(Ordering::Relaxed));
+        let limit = Duration::from_micros(self.idle_limit_us.load(Ordering::Relaxed));
         match (self.has_stopped_accepting(), self.has_yielded.load(Ordering::Relaxed)) {
             (true, _) => Duration::ZERO,
-            (false, true) => told.min(YIELD_IDLE),
-            (false, false) => told,
+            (false, true) => limit.min(IDLE_LIMIT_AFTER_YIELD),
+            (false, false) => limit,
         }
     }
 
-    /// The server begins to leave: connections look more often whether they are to close.
+    /// The server begins to drain: from now on idle connections check more often whether they are to close.
     pub(super) fn begin_drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// How often an idle connection looks whether it is to close.
+    /// The interval at which an idle connection checks whether it is to close.
     pub(super) fn idle_check_interval(&self) -> Duration {
         if self.draining.load(Ordering::Relaxed) {
-            IDLE_LOOK_DRAINING
+            IDLE_CHECK_INTERVAL_DRAINING
         } else {
-            IDLE_LOOK
+            IDLE_CHECK_INTERVAL
         }
     }
 
-    /// The server takes no new connections from now on.
+    /// Records that the server accepts no new connections from now on.
     pub(super) fn stop_accepting(&self) {
-        let _ = self.closed.set(Instant::now());
+        let _ = self.stopped_accepting_at.set(Instant::now());
     }
 
-    /// The server takes no new connections.
+    /// Whether the server has stopped accepting new connections.
     pub(super) fn has_stopped_accepting(&self) -> bool {
-        self.closed.get().is_some()
+        self.stopped_accepting_at.get().is_some()
     }
 
-    /// For how long the server has taken no new connections.
+    /// How long ago the server stopped accepting new connections.
     pub(super) fn stopped_accepting_for(&self) -> Option<Duration> {
-        self.closed.get().map(Instant::elapsed)
+        self.stopped_accepting_at.get().map(Instant::elapsed)
     }
 }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -296,7 +296,7 @@
         }
         drop(pool);
         if let Some(routing) = self.hub.routing.as_ref().filter(|_| end == End::Stale) {
-            routing.stale();
+            routing.count_stale();
         }
         (end, reply, fence.filter(|_| may_have_run))
     }
