--- a/src/net/agent/link_manager.rs
+++ b/src/net/agent/link_manager.rs
@@ -262,7 +262,7 @@
                 is_shut_down = true;
                 link.conn.shutdown(Shutdown::Both);
             }
-            match spawn::receive(&self.events, if is_shut_down { WRITE_TIMEOUT } else { left }) {
+            match spawn::recv_timeout(&self.events, if is_shut_down { WRITE_TIMEOUT } else { left }) {
                 Ok(LinkEvent::MoveAcknowledged(moved)) if moved == link.id => {
                     (is_acknowledged, is_shut_down) = (true, true);
                     link.conn.shutdown(Shutdown::Both);
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -114,8 +114,8 @@
         None
     }
 
-    /// Converts a stamp of a future moment, which another process has just sent, to the time of this clock. The wall clock may
-    /// have been stepped in between; of the possible times, the latest is returned.
+    /// Converts a stamp of a future moment, which another process has just sent, to the time of this clock. The wall clock
+    /// may have been stepped in between; of the possible times, the latest is returned.
     pub fn resolve_future(&self, stamp: Duration, now: Duration) -> Duration {
         let mut latest = None;
         let mut end = now;
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,4 +1,4 @@
-//! Reports to the control plane: one datagram each, without an answer.
+//! Lease reports to the control plane: one UDP datagram each, which is not answered.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -11,57 +11,59 @@
 
 use super::{spawn, Hub};
 
-/// Time between two reports. An entry lapses three seconds after the last one that arrives, and a quarter of
-/// them may be lost: at 700 ms four losses in a row are enough, and did come on every day.
-const EVERY: Duration = Duration::from_millis(200);
+/// Interval between two reports. The control plane's entry for this server expires three seconds after the last report that
+/// arrives, and a quarter of the reports may be lost: at an interval of 700 ms, four losses in a row were enough for that,
+/// and they occurred every day.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reports for as long as the process lives.
+/// Starts the coroutine that sends reports for as long as the process runs.
 pub(super) fn start(hub: &Arc<Hub>, from: IpAddr, name: String, ready: Arc<AtomicBool>) {
     let hub = hub.clone();
     spawn(move || {
         let mut reporter = Reporter::new(move || bind(from));
         while let Some(control) = hub.links().control {
             reporter.report(&encode(&name, ready.load(Ordering::Relaxed)), control);
-            crate::net::spawn::sleep(EVERY);
+            crate::net::spawn::sleep(REPORT_INTERVAL);
         }
     });
 }
 
-/// A socket that gives up what it cannot send before the next report is due.
+/// Binds a socket on which sending times out when the next report is due.
 fn bind(from: IpAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind((from, 0))?;
-    socket.set_write_timeout(Some(EVERY))?;
+    socket.set_write_timeout(Some(REPORT_INTERVAL))?;
     Ok(socket)
 }
 
-/// Sends reports. Whatever fails is tried again with the next one: a process that stops reporting for good would
-/// leave the list while it serves.
+/// Sends reports. After a failure, binding and sending are tried again with the next report: a process that stopped
+/// reporting would be removed from the control plane's list although it serves.
 pub struct Reporter<B> {
     bind: B,
     socket: Option<UdpSocket>,
 }
 
 impl<B: FnMut() -> io::Result<UdpSocket>> Reporter<B> {
-    /// Nothing is bound until there is a report.
+    /// Creates a reporter that calls `bind` for its socket when the first report is sent.
     pub fn new(bind: B) -> Self {
         Self { bind, socket: None }
     }
 
-    /// Sends one report, if it can be sent now.
+    /// Sends one report to the control plane. A failure is logged.
     pub fn report(&mut self, report: &str, control: SocketAddr) {
         if self.socket.is_none() {
             let bound = (self.bind)();
-            self.socket = bound.map_err(|e| warn!("no report to the control plane: {e}")).ok();
+            self.socket =
+                bound.map_err(|e| warn!("cannot open a socket for reports to the control plane: {e}")).ok();
         }
         let Some(socket) = &self.socket else { return };
         if let Err(e) = socket.send_to(report.as_bytes(), control) {
-            // A control plane that is down refuses; the next report may reach it.
-            debug!("a report to the control plane failed: {e}");
+            // A control plane that is down refuses the datagram; the next report may reach it.
+            debug!("cannot send a report to the control plane: {e}");
         }
     }
 }
 
-/// A report.
+/// Encodes a report: the server's name, and whether clients may send requests to it.
 pub fn encode(name: &str, ready: bool) -> String {
     format!("lease {name} {}", if ready { "Ready" } else { "NotReady" })
 }
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -1,4 +1,4 @@
-//! Why a server does not start or go on, and why a line of its agent is none.
+//! The errors of this module: why a server cannot start or continue, and why a line of the agent is not a valid notice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,109 +10,109 @@
 use crate::fleet::{DriverError, LinkError};
 use crate::json::JsonError;
 
-/// Why a server does not start or go on.
+/// Why a server cannot start or continue.
 #[derive(Debug, Error, Diagnostic)]
 pub enum NodeError {
-    /// It cannot be a member of its fleet.
+    /// The membership of the fleet cannot be started.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Fleet(#[from] LinkError),
-    /// It cannot take part in the fleet's routes.
+    /// The driver of the fleet's routes cannot be started.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Routes(#[from] DriverError),
-    /// Nothing can be decided with these settings.
+    /// The settings do not allow any decisions.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Core(#[from] CoreError),
-    /// A front cannot be opened.
+    /// A frontend cannot be opened.
     #[error("{key}: {address}: {source}")]
     #[diagnostic(help(
-        "look who has this address, or set another one; beside a server that runs, start with its TMPDIR"
+        "check which process uses this address, or set another one; beside a running server, start with its TMPDIR"
     ))]
     Frontend {
-        /// The key that names the address.
+        /// The settings key of the address.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The operators' door cannot be opened.
+    /// The admin endpoint cannot be opened.
     #[error("admin: {address}: {source}")]
     #[diagnostic(help(
-        "give each process on this machine an `admin` (or RELAY_ADMIN) of its own, also in an upgrade"
+        "give each process on this machine its own `admin` address (or RELAY_ADMIN), also during an upgrade"
     ))]
     Admin {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// TLS cannot be offered at all.
+    /// TLS cannot be initialized.
     #[error("TLS: {0}")]
     #[diagnostic(help(
-        "this build has no TLS that works: take `tls` out of the appliance's file, or run another build"
+        "this build has no working TLS: remove `tls` from the appliance's file, or run another build"
     ))]
     Tls(rustls::Error),
-    /// The process that runs took back what it was handing over.
-    #[error("handover: the process that runs broke it off, and serves on")]
+    /// The predecessor cancelled the handover.
+    #[error("handover: the running process cancelled it and continues to serve")]
     #[diagnostic(help(
-        "its log says why, such as a drain or a lost link: start the new process again once it is ready"
+        "its log shows the reason, such as a drain or a lost link: start the new process again once it is ready"
     ))]
     HandoverAborted,
 }
 
-/// Why a line of the agent is no notice. The link is made anew.
+/// Why a line of the agent is not a valid notice. A new link is opened after such a line.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum NoticeError {
-    /// A line that goes on for ever, or is no UTF-8.
-    #[error("it is too long, or no text")]
-    #[diagnostic(help("check that `agent` names the agent's port and no other service's"))]
+    /// The line exceeds the maximum length, or is not UTF-8.
+    #[error("the line is too long or not UTF-8")]
+    #[diagnostic(help("check that `agent` names the agent's port and not that of another service"))]
     UnreadableLine,
-    /// No JSON.
+    /// The line is not valid JSON.
     #[error("{0}")]
     #[diagnostic(help("the agent must write one JSON object a line: check its version and its address"))]
     Json(#[from] JsonError),
-    /// JSON, but something else.
-    #[error("it is no object")]
-    #[diagnostic(help("the agent must write objects: look at its log for what it sent"))]
+    /// The line is valid JSON, but not an object.
+    #[error("the JSON value is not an object")]
+    #[diagnostic(help("the agent must write objects: its log may show what it sent"))]
     NotAnObject,
-    /// A member without which it says nothing.
-    #[error("it has no {member}")]
+    /// A required member is missing.
+    #[error("the member {member} is missing")]
     #[diagnostic(help(
-        "the agent leaves out what its protocol asks for: run a version of it that goes with this one"
+        "the protocol requires this member: run a version of the agent that is compatible with this program"
     ))]
     MissingMember {
-        /// Which member.
+        /// The name of the member.
         member: &'static str,
     },
-    /// Base64 that is none.
-    #[error("{member}: {reason}")]
+    /// A member is not valid base64.
+    #[error("the member {member} is not valid base64: {reason}")]
     #[diagnostic(help(
         "the agent must encode bodies in base64 with padding: check what the application returns"
     ))]
     InvalidBase64 {
-        /// Which member.
+        /// The name of the member.
         member: &'static str,
-        /// What the reader says.
+        /// The decoder's error.
         reason: base64::DecodeError,
     },
-    /// A time that would overflow sums later.
-    #[error("it lasted more than {days} days")]
+    /// The duration is so long that sums of durations would overflow.
+    #[error("the duration exceeds the limit of {days} days")]
     #[diagnostic(help("check the clock of the agent's machine: `lasted` is in milliseconds"))]
     DurationTooLong {
-        /// The bound.
+        /// The limit.
         days: u64,
     },
-    /// A number that would make all later notices pass as told before.
-    #[error("its cursor is no number")]
-    #[diagnostic(help("the agent must number notices from 1 on in whole numbers: restart it"))]
+    /// The cursor is so high that all later notices would look like repetitions, or it is not a whole number from 1 on.
+    #[error("the cursor is not a whole number in the allowed range")]
+    #[diagnostic(help("the agent must number its notices with whole numbers from 1 on: restart it"))]
     InvalidCursor,
-    /// An end of a run that is not known.
-    #[error("it has an unknown fate")]
+    /// The outcome of a run has an unknown `fate`.
+    #[error("the outcome has an unknown fate")]
     #[diagnostic(help(
-        "the agent may be newer than this program: complete, error, cancelled and unknown are taken"
+        "the agent may be newer than this program, which knows complete, error, cancelled and unknown"
     ))]
     UnknownFate,
 }
--- a/src/net/socket_retry.rs
+++ b/src/net/socket_retry.rs
@@ -1,4 +1,4 @@
-//! Sockets at a start, where the system may lack descriptors, memory or ways for a moment.
+//! Opens sockets during startup, when the system may temporarily lack descriptors, memory or network routes.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -6,29 +6,30 @@
 use nix::errno::Errno;
 use tracing::warn;
 
-/// Sockets that the system does not give are asked for again for this long, and so often.
-const PATIENCE: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(20);
+/// How long opening a socket is retried, and the delay between two attempts.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Opens a socket. What will not mend itself, as an address in use or nobody who listens, is told at once.
+/// Opens a socket, and retries transient failures. Other failures, such as an address that is in use or a refused
+/// connection, are returned immediately.
 ///
 /// # Errors
-/// What the system says, at last.
+/// The system's last error.
 pub fn open<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let since = Instant::now();
     loop {
         match open() {
-            Err(e) if is_for_a_moment(&e) && since.elapsed() < PATIENCE => {
+            Err(e) if is_transient(&e) && since.elapsed() < RETRY_TIMEOUT => {
                 warn!("a socket cannot be opened yet: {e}");
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_DELAY);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-fn is_for_a_moment(e: &io::Error) -> bool {
-    let lacking = [
+fn is_transient(e: &io::Error) -> bool {
+    let transient = [
         Errno::ENFILE,
         Errno::EMFILE,
         Errno::ENOBUFS,
@@ -38,5 +39,5 @@
         Errno::ECONNABORTED,
         Errno::ENETUNREACH,
     ];
-    e.raw_os_error().is_some_and(|code| lacking.contains(&Errno::from_raw(code)))
+    e.raw_os_error().is_some_and(|code| transient.contains(&Errno::from_raw(code)))
 }
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -198,12 +198,12 @@
 }
 
 #[rstest]
-#[case(r#"{"event":"aside","cursor":1e300}"#, "its cursor is no number")]
-#[case(r#"{"event":"aside","cursor":1.5}"#, "its cursor is no number")]
-#[case(r#"{"event":"aside","cursor":-1}"#, "its cursor is no number")]
+#[case(r#"{"event":"aside","cursor":1e300}"#, "the cursor is not a whole number in the allowed range")]
+#[case(r#"{"event":"aside","cursor":1.5}"#, "the cursor is not a whole number in the allowed range")]
+#[case(r#"{"event":"aside","cursor":-1}"#, "the cursor is not a whole number in the allowed range")]
 #[case(
     r#"{"event":"outcome","cursor":1,"handle":"9b1f03aa5c7e2d41","fate":"error","lasted":1e20}"#,
-    "it lasted more than 1 days"
+    "the duration exceeds the limit of 1 days"
 )]
 fn spoilt_figures_of_the_agent_are_turned_down(#[case] line: &str, #[case] says: &str) {
     // Guards against a number that makes all later notices pass as told before, and times that overflow.
--- a/tests/program/told.rs
+++ b/tests/program/told.rs
@@ -64,6 +64,7 @@
     let output = child.wait_with_output().unwrap();
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{message}");
-    let told = format!("hopwalk: listen: {at}: Address already in use (os error 98)\n  help: look who has");
+    let told =
+        format!("hopwalk: listen: {at}: Address already in use (os error 98)\n  help: check which process");
     assert!(message.contains(&told), "{message}");
 }
