--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -1,4 +1,5 @@
-//! The link and the reducer against a scripted agent, where the test decides when the reducer reads its inbox.
+//! Tests of the agent link together with the reducer, against a scripted agent. Each test decides when the reducer processes
+//! the inputs in its inbox.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -12,12 +13,12 @@
 use crate::net::call_routing::fake::test_hub;
 use crate::settings::Site;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const SITE: &str = include_str!("../../lab/site.json");
 const STOP_AFTER: Duration = Duration::from_millis(3200);
-/// From one input of the reducer to the next.
+/// The time between two inputs of the reducer.
 const TICK: Duration = Duration::from_millis(1);
-/// The one request's handle.
+/// The handle of the only request.
 const HANDLE: &str = "00000000000000aa";
 
 /// The agent's end of a link.
@@ -29,7 +30,7 @@
 impl Agent {
     fn accept(listener: &TcpListener) -> Self {
         let writes = listener.accept().unwrap().0;
-        writes.set_read_timeout(Some(PATIENCE)).unwrap();
+        writes.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut agent = Self { reads: BufReader::new(writes.try_clone().unwrap()), writes };
         agent.read_until("subscribe");
         agent
@@ -43,11 +44,12 @@
         self.write(r#"{"event":"greeting","fate":"hot","lasted":60000}"#);
     }
 
-    fn calls(&mut self, cursor: u64) {
+    /// Sends the notice that the run needs a call.
+    fn request_call(&mut self, cursor: u64) {
         self.write(&format!(r#"{{"event":"request","cursor":{cursor},"handle":"{HANDLE}","arg":"YQ=="}}"#));
     }
 
-    /// The lines up to one with this text, which is the last of them.
+    /// Reads lines up to and including the first one that contains `text`.
     fn read_until(&mut self, text: &str) -> Vec<String> {
         let mut lines = Vec::new();
         loop {
@@ -60,12 +62,12 @@
         }
     }
 
-    fn cut(self) {
+    fn close(self) {
         self.writes.shutdown(Shutdown::Both).unwrap();
     }
 
-    /// Cuts the link, and returns what had come on it unread. A reset at its end is an end like others.
-    fn cut_and_read(mut self) -> String {
+    /// Closes the link, and returns the bytes on it that were not read yet. It may end with a reset.
+    fn close_and_read(mut self) -> String {
         self.writes.shutdown(Shutdown::Both).unwrap();
         let mut rest = Vec::new();
         let _ = self.reads.read_to_end(&mut rest);
@@ -80,7 +82,7 @@
     link: Link,
     listener: TcpListener,
     effects: Vec<Effect>,
-    /// The reducer's own time: calls are not late because a link takes long to come.
+    /// The reducer's time, so that calls do not time out while the test waits for a link.
     now: Duration,
 }
 
@@ -99,8 +101,8 @@
         Agent::accept(&self.listener)
     }
 
-    /// The reducer takes an input, and what it says goes to the link manager of the link.
-    fn take(&mut self, input: Input) {
+    /// The reducer processes an input, and its commands are sent to the link manager.
+    fn process(&mut self, input: Input) {
         self.now += TICK;
         for effect in self.core.step(self.now, [input]) {
             if let Effect::Agent { link, number, command } = &effect {
@@ -110,39 +112,39 @@
         }
     }
 
-    /// The next input that waits for the reducer, which is to be such a notice.
-    fn waiting(&self, is_it: impl Fn(&Notice) -> bool) -> Input {
-        match self.inbox.recv_timeout(PATIENCE) {
-            Ok(Input::Agent { link, notice }) if is_it(&notice) => Input::Agent { link, notice },
+    /// The next input in the reducer's inbox, which must be a notice that `is_expected` accepts.
+    fn next_notice(&self, is_expected: impl Fn(&Notice) -> bool) -> Input {
+        match self.inbox.recv_timeout(TIMEOUT) {
+            Ok(Input::Agent { link, notice }) if is_expected(&notice) => Input::Agent { link, notice },
             other => panic!("{other:?}"),
         }
     }
 
-    fn lost(&self) -> Input {
-        self.waiting(|notice| matches!(notice, Notice::Closed(_)))
+    fn link_end(&self) -> Input {
+        self.next_notice(|notice| matches!(notice, Notice::Closed(_)))
     }
 
     fn greeting(&self) -> Input {
-        self.waiting(|notice| matches!(notice, Notice::Greeting { .. }))
+        self.next_notice(|notice| matches!(notice, Notice::Greeting { .. }))
     }
 
-    /// The first link, on which nothing is in doubt.
-    fn linked(&mut self) -> Agent {
+    /// Opens the first link and waits until the reducer has sent its marker on it.
+    fn open_first_link(&mut self) -> Agent {
         let mut agent = self.accept();
         agent.greet();
         let greeting = self.greeting();
-        self.take(greeting);
+        self.process(greeting);
         agent.read_until("sync-");
         agent
     }
 
-    /// A link is greeted and ends; returns what of it waits for the reducer.
+    /// Opens a link that ends immediately after the greeting. Returns its inputs for the reducer.
     fn brief_link(&self) -> [Input; 2] {
         let mut agent = self.accept();
         agent.greet();
         let greeting = self.greeting();
-        agent.cut();
-        [greeting, self.lost()]
+        agent.close();
+        [greeting, self.link_end()]
     }
 
     fn request(&self, class: &str, key: Option<&str>) -> Input {
@@ -151,7 +153,7 @@
             handle: handle(),
             class: class.to_string(),
             start: self.now,
-            patience: Some(PATIENCE),
+            patience: Some(TIMEOUT),
             caller: 1,
             tenant: None,
             cost: None,
@@ -163,7 +165,7 @@
         }))
     }
 
-    /// The reply to the call that the reducer has made last.
+    /// A reply to the last call that the reducer made.
     fn reply(&self, body: &[u8]) -> Input {
         let attempt = self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Call { attempt, .. } => Some(*attempt),
@@ -179,28 +181,28 @@
         }
     }
 
-    /// A run waits for the reply to its first call, which is out.
-    fn at_call(&mut self, class: &str, key: Option<&str>) -> Agent {
-        let mut agent = self.linked();
+    /// Starts a run that waits for the reply to its first call, which has been made.
+    fn start_run_at_call(&mut self, class: &str, key: Option<&str>) -> Agent {
+        let mut agent = self.open_first_link();
         let request = self.request(class, key);
-        self.take(request);
+        self.process(request);
         agent.read_until("launch");
-        agent.calls(1);
-        let call = self.waiting(|notice| matches!(notice, Notice::CallNeeded { .. }));
-        self.take(call);
+        agent.request_call(1);
+        let call = self.next_notice(|notice| matches!(notice, Notice::CallNeeded { .. }));
+        self.process(call);
         agent
     }
 
-    /// A link stays; returns all that is said on it up to the mark that follows its greeting.
+    /// Greets on a link that stays open. Returns all lines on it up to the marker that follows the greeting.
     fn lasting_link(&mut self, mut agent: Agent) -> Vec<String> {
         agent.greet();
         let greeting = self.greeting();
-        self.take(greeting);
-        let mark = |effect: &Effect| match effect {
+        self.process(greeting);
+        let marker_link = |effect: &Effect| match effect {
             Effect::Agent { link, command: Command::Sync, .. } => Some(*link),
             _ => None,
         };
-        let last = self.effects.iter().rev().find_map(mark).unwrap();
+        let last = self.effects.iter().rev().find_map(marker_link).unwrap();
         agent.read_until(&format!("sync-{last}\""))
     }
 }
@@ -216,143 +218,148 @@
 #[rstest]
 #[case::may_run_again("queue-status", None)]
 #[case::must_run_once("lobby-confirm", Some("k"))]
-fn a_reply_is_said_once_where_links_end_before_the_reducer_reads_of_the_first(
+fn a_reply_is_sent_once_if_links_end_before_the_reducer_learns_of_the_first_end(
     #[case] class: &str,
     #[case] key: Option<&str>,
     #[values(1, 2, 3)] brief_links: usize,
 ) {
-    // Guards against a reply that reaches the next call: the word for one loss lets commands through after a later one.
+    // Guards against a reply that reaches the next call: after the report of one lost link, commands passed although another
+    // link had been lost since.
     let mut bench = Bench::start();
-    bench.at_call(class, key).cut();
-    let mut unread = vec![bench.lost()];
+    bench.start_run_at_call(class, key).close();
+    let mut unread = vec![bench.link_end()];
     unread.extend((0..brief_links).flat_map(|_| bench.brief_link()));
     let agent = bench.accept();
     let last = unread.pop().unwrap();
-    unread.into_iter().for_each(|input| bench.take(input));
-    // The reply comes while the reducer takes the link for one that is up.
+    unread.into_iter().for_each(|input| bench.process(input));
+    // The reply arrives while the reducer believes that the link is up.
     let reply = bench.reply(b"one");
-    bench.take(reply);
-    bench.take(last);
-    let said = bench.lasting_link(agent);
-    assert_eq!(count(&said, "deliver"), 1, "{said:?}");
+    bench.process(reply);
+    bench.process(last);
+    let sent = bench.lasting_link(agent);
+    assert_eq!(count(&sent, "deliver"), 1, "{sent:?}");
 }
 
 #[test]
-fn a_reply_that_came_between_links_is_said_once_where_the_next_link_has_ended() {
-    // Guards against the same for a reply that the reducer kept for the next link.
+fn a_reply_that_arrived_between_links_is_sent_once_if_the_next_link_has_ended() {
+    // Guards against the same fault for a reply that the reducer kept for the next link.
     let mut bench = Bench::start();
-    bench.at_call("queue-status", None).cut();
-    let lost = bench.lost();
-    bench.take(lost);
+    bench.start_run_at_call("queue-status", None).close();
+    let end = bench.link_end();
+    bench.process(end);
     let reply = bench.reply(b"one");
-    bench.take(reply);
-    let [greeting, lost] = bench.brief_link();
+    bench.process(reply);
+    let [greeting, end] = bench.brief_link();
     let agent = bench.accept();
-    bench.take(greeting);
-    bench.take(lost);
-    let said = bench.lasting_link(agent);
-    assert_eq!(count(&said, "deliver"), 1, "{said:?}");
+    bench.process(greeting);
+    bench.process(end);
+    let sent = bench.lasting_link(agent);
+    assert_eq!(count(&sent, "deliver"), 1, "{sent:?}");
 }
 
 #[test]
-fn what_must_run_once_is_launched_once_where_links_end_before_the_reducer_reads_of_the_first() {
-    // Guards against a second run by the word for one loss that lets commands through after a later one.
+fn a_request_that_must_run_once_is_launched_once_if_links_end_before_the_reducer_learns_of_it() {
+    // Guards against a second run: after the report of one lost link, commands passed although another link had been lost
+    // since.
     let mut bench = Bench::start();
-    bench.linked().cut();
-    let first = bench.lost();
-    let [greeting, lost] = bench.brief_link();
+    bench.open_first_link().close();
+    let first = bench.link_end();
+    let [greeting, end] = bench.brief_link();
     let agent = bench.accept();
-    bench.take(first);
-    bench.take(greeting);
+    bench.process(first);
+    bench.process(greeting);
     let request = bench.request("lobby-confirm", Some("k"));
-    bench.take(request);
-    bench.take(lost);
-    let said = bench.lasting_link(agent);
-    assert_eq!(count(&said, "launch"), 1, "{said:?}");
+    bench.process(request);
+    bench.process(end);
+    let sent = bench.lasting_link(agent);
+    assert_eq!(count(&sent, "launch"), 1, "{sent:?}");
 }
 
 #[test]
-fn the_last_mark_of_one_link_cannot_pass_for_that_of_the_next() {
-    // Guards against a link that moves with commands unread, on the word that a link before it still owed.
+fn the_last_marker_of_one_link_differs_from_that_of_the_next() {
+    // Guards against a link that moves while commands on it are unread, because the late answer to an earlier link's marker
+    // is taken for an answer to its own.
     let mut bench = Bench::start();
-    let mut agent = bench.linked();
-    let mut marks = Vec::new();
+    let mut agent = bench.open_first_link();
+    let mut markers = Vec::new();
     for _ in 0..2 {
         let next = TcpListener::bind("127.0.0.1:0").unwrap();
         bench.hub.links.lock().unwrap().agent = Some(next.local_addr().unwrap());
         bench.link.relink();
-        marks.extend(agent.read_until("move").pop());
-        // The mark stays unanswered.
-        bench.lost();
+        markers.extend(agent.read_until("move").pop());
+        // The marker stays unanswered.
+        bench.link_end();
         bench.listener = next;
         agent = bench.accept();
     }
-    assert_ne!(marks[0], marks[1]);
+    assert_ne!(markers[0], markers[1]);
 }
 
 #[rstest]
-fn whatever_the_order_of_links_and_inputs_a_reply_is_said_once_a_call(
+fn a_reply_is_sent_once_per_call_in_any_order_of_links_and_inputs(
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
 ) {
-    // Guards against a reply that reaches the next call, in orders that nobody thought of.
+    // Guards against a reply that reaches the next call, in random orders of events.
     const ROUNDS: u64 = 12;
     let mut random = seed;
-    let mut draw = move |most: u64| {
+    let mut draw = move |bound: u64| {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (random >> 33) % most
+        (random >> 33) % bound
     };
     let mut bench = Bench::start();
-    let mut agent = bench.at_call("queue-status", None);
+    let mut agent = bench.start_run_at_call("queue-status", None);
     let mut unread = std::collections::VecDeque::new();
     let mut reply = Some(bench.reply(b"one"));
-    let mut said = Vec::new();
+    let mut sent = Vec::new();
     for _ in 0..ROUNDS {
         match draw(3) {
             0 => {
-                said.push(agent.cut_and_read());
-                unread.push_back(bench.lost());
+                sent.push(agent.close_and_read());
+                unread.push_back(bench.link_end());
                 agent = bench.accept();
                 if draw(4) > 0 {
                     agent.greet();
                     unread.push_back(bench.greeting());
                 }
             }
-            1 => unread.drain(..draw(unread.len() as u64 + 1) as usize).for_each(|input| bench.take(input)),
-            _ if draw(3) == 0 => reply.take().into_iter().for_each(|reply| bench.take(reply)),
+            1 => {
+                unread.drain(..draw(unread.len() as u64 + 1) as usize).for_each(|input| bench.process(input))
+            }
+            _ if draw(3) == 0 => reply.take().into_iter().for_each(|reply| bench.process(reply)),
             _ => {}
         }
     }
-    said.push(agent.cut_and_read());
-    unread.push_back(bench.lost());
-    unread.into_iter().for_each(|input| bench.take(input));
-    reply.into_iter().for_each(|reply| bench.take(reply));
+    sent.push(agent.close_and_read());
+    unread.push_back(bench.link_end());
+    unread.into_iter().for_each(|input| bench.process(input));
+    reply.into_iter().for_each(|reply| bench.process(reply));
     let agent = bench.accept();
-    said.extend(bench.lasting_link(agent));
-    let all = said.concat();
+    sent.extend(bench.lasting_link(agent));
+    let all = sent.concat();
     assert!(all.matches(r#""event":"deliver""#).count() <= 1, "{all}");
 }
 
 #[test]
-fn no_run_is_given_the_reply_to_its_last_call_for_its_next_one() {
-    // Guards against a run that hears a reply at once, calls again, and is handed that reply once more.
+fn no_run_receives_the_reply_to_its_last_call_as_the_reply_to_its_next_one() {
+    // Guards against a run that receives a reply, calls again immediately, and receives the same reply once more.
     let mut bench = Bench::start();
-    bench.at_call("queue-status", None).cut();
-    let first = bench.lost();
+    bench.start_run_at_call("queue-status", None).close();
+    let first = bench.link_end();
     let [greeting, last] = bench.brief_link();
     let mut agent = bench.accept();
     let reply = bench.reply(b"one");
-    [first, greeting, reply, last].into_iter().for_each(|input| bench.take(input));
-    // What was said before the greeting is heard, and the run is at its next call.
+    [first, greeting, reply, last].into_iter().for_each(|input| bench.process(input));
+    // The agent reads what was sent before the greeting, and the run is at its next call.
     agent.writes.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     let mut line = String::new();
     while !line.contains("deliver") && agent.reads.read_line(&mut line).is_ok_and(|len| len > 0) {}
     agent.greet();
     let greeting = bench.greeting();
     if line.contains("deliver") {
-        agent.calls(2);
+        agent.request_call(2);
     }
-    bench.take(greeting);
-    let said = agent.read_until("sync-3");
-    let heard = usize::from(line.contains("deliver")) + count(&said, "deliver");
-    assert_eq!(heard, 1, "no reply to the second call was made yet: {said:?}");
+    bench.process(greeting);
+    let sent = agent.read_until("sync-3");
+    let delivered = usize::from(line.contains("deliver")) + count(&sent, "deliver");
+    assert_eq!(delivered, 1, "the second call has no reply yet: {sent:?}");
 }
