--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -1,4 +1,4 @@
-//! The link against a router whose answers are told beforehand, and services on loopback.
+//! Tests of the vault link against a fake router with scripted answers, and services on loopback.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpListener;
@@ -8,22 +8,22 @@
 use super::*;
 use crate::net::call_routing::fake::{test_hub, FakeRouter};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A service below that notes each ask with the number of its connection, and answers with these words.
+/// A service that records the connection number and the fence of each call, and sends the same reply to all of them.
 struct Service {
-    at: SocketAddr,
+    address: SocketAddr,
     asks: Arc<Mutex<Vec<(usize, String)>>>,
 }
 
 impl Service {
-    fn start(words: &'static str) -> Self {
+    fn start(reply: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (at, asks) = (listener.local_addr().unwrap(), Arc::<Mutex<Vec<(usize, String)>>>::default());
-        let noted = asks.clone();
+        let (address, asks) = (listener.local_addr().unwrap(), Arc::<Mutex<Vec<(usize, String)>>>::default());
+        let recorded = asks.clone();
         std::thread::spawn(move || {
             for (n, stream) in listener.incoming().flatten().enumerate() {
-                let noted = noted.clone();
+                let recorded = recorded.clone();
                 std::thread::spawn(move || {
                     let mut writes = stream.try_clone().unwrap();
                     let (mut reads, mut line) = (BufReader::new(stream), String::new());
@@ -31,19 +31,19 @@
                         let ask: Vec<_> = line.trim_end().split(' ').map(str::to_string).collect();
                         let mut body = vec![0; ask[3].parse::<usize>().unwrap() + 2];
                         reads.read_exact(&mut body).unwrap();
-                        noted.lock().unwrap().push((n, ask[4..].concat()));
-                        if !words.is_empty() {
-                            write!(writes, "{} {words}", ask[1]).unwrap();
+                        recorded.lock().unwrap().push((n, ask[4..].concat()));
+                        if !reply.is_empty() {
+                            write!(writes, "{} {reply}", ask[1]).unwrap();
                         }
                         line.clear();
                     }
                 });
             }
         });
-        Self { at, asks }
+        Self { address, asks }
     }
 
-    /// The connection and the fence of each ask so far.
+    /// The connection number and the fence of each call so far.
     fn asks(&self) -> Vec<(usize, String)> {
         self.asks.lock().unwrap().clone()
     }
@@ -53,21 +53,22 @@
     Fence { turn, version: turn * 10 }
 }
 
-fn go(turn: u64, service: Option<&Service>) -> Routed {
-    Routed::Go { fence: fence(turn), address: service.map(|s| s.at), timeout: None, allowed: None }
+/// A routing result that sends the call to `service`, under this turn.
+fn route_to(turn: u64, service: Option<&Service>) -> Routed {
+    Routed::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, allowed: None }
 }
 
 struct Bench {
     link: Link,
     inbox: Receiver<Input>,
-    double: Arc<FakeRouter>,
+    router: Arc<FakeRouter>,
 }
 
 impl Bench {
-    fn new(routed: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
-        let double = Arc::new(FakeRouter::with_answers(routed));
-        let (hub, inbox) = test_hub(Some(double.clone()), vault.map(|v| v.at));
-        Self { link: Link::start(&hub), inbox, double }
+    fn new(results: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
+        let router = Arc::new(FakeRouter::with_answers(results));
+        let (hub, inbox) = test_hub(Some(router.clone()), vault.map(|v| v.address));
+        Self { link: Link::start(&hub), inbox, router }
     }
 
     fn ask(&self, attempt: u32, fresh: bool, patience: Duration) {
@@ -84,137 +85,139 @@
         });
     }
 
-    /// How the next call ended, and what it went out under.
-    fn ended(&self) -> (End, Option<Fence>) {
-        match self.inbox.recv_timeout(PATIENCE) {
+    /// How the next call to end has ended, and the fence that it was sent under.
+    fn next_end(&self) -> (End, Option<Fence>) {
+        match self.inbox.recv_timeout(TIMEOUT) {
             Ok(Input::CallEnded { end, fence, .. }) => (end, fence),
             other => panic!("{other:?}"),
         }
     }
 }
 
-const YES: &str = "yes 1\r\ny\r\n";
+const YES_REPLY: &str = "yes 1\r\ny\r\n";
 
 #[test]
-fn a_call_goes_where_its_route_says_and_carries_the_fence_only_after_an_activation() {
-    let (own, other) = (Service::start(YES), Service::start(YES));
-    for (turn, service, words) in [(0, &own, ""), (3, &other, "3.30")] {
-        let bench = Bench::new([go(turn, Some(&other).filter(|_| turn > 0))], Some(&own));
-        bench.ask(1, true, PATIENCE);
-        assert_eq!(bench.ended(), (End::Complete, Some(fence(turn))));
-        assert_eq!(service.asks(), [(0, words.to_string())]);
+fn a_call_goes_to_the_address_of_its_route_and_carries_the_fence_only_after_an_activation() {
+    let (own, other) = (Service::start(YES_REPLY), Service::start(YES_REPLY));
+    for (turn, service, sent_fence) in [(0, &own, ""), (3, &other, "3.30")] {
+        let bench = Bench::new([route_to(turn, Some(&other).filter(|_| turn > 0))], Some(&own));
+        bench.ask(1, true, TIMEOUT);
+        assert_eq!(bench.next_end(), (End::Complete, Some(fence(turn))));
+        assert_eq!(service.asks(), [(0, sent_fence.to_string())]);
     }
 }
 
 #[test]
-fn it_is_routed_again_right_before_the_write() {
-    // Guards against a call under a version that ended while its connection was made.
-    let (old, new) = (Service::start(YES), Service::start(YES));
-    let bench = Bench::new([go(1, Some(&old)), go(2, Some(&new))], None);
-    bench.ask(1, true, PATIENCE);
-    assert_eq!(bench.ended(), (End::Complete, Some(fence(2))));
+fn a_call_is_routed_again_immediately_before_it_is_written() {
+    // Guards against a call under a version that was replaced while its connection was opened.
+    let (old, new) = (Service::start(YES_REPLY), Service::start(YES_REPLY));
+    let bench = Bench::new([route_to(1, Some(&old)), route_to(2, Some(&new))], None);
+    bench.ask(1, true, TIMEOUT);
+    assert_eq!(bench.next_end(), (End::Complete, Some(fence(2))));
     assert_eq!((old.asks(), new.asks()), (vec![], vec![(0, "2.20".to_string())]));
-    for (then, end) in [(Routed::Barred, End::Barred), (Routed::Ended(fence(1)), End::Stale)] {
-        let bench = Bench::new([go(1, Some(&old)), then], None);
-        bench.ask(1, true, PATIENCE);
-        assert_eq!(bench.ended(), (end, None));
+    for (second, end) in [(Routed::Barred, End::Barred), (Routed::Ended(fence(1)), End::Stale)] {
+        let bench = Bench::new([route_to(1, Some(&old)), second], None);
+        bench.ask(1, true, TIMEOUT);
+        assert_eq!(bench.next_end(), (end, None));
     }
     assert!(old.asks().is_empty());
 }
 
 #[test]
-fn inside_a_switch_it_waits_and_not_for_long() {
-    let service = Service::start(YES);
-    let moment = Instant::now() + Duration::from_millis(8);
-    let bench = Bench::new([Routed::Wait(moment), go(2, Some(&service))], None);
-    bench.ask(1, true, PATIENCE);
-    assert_eq!(bench.ended(), (End::Complete, Some(fence(2))));
-    assert!(Instant::now() >= moment);
-    // A moment that never passes, by the clock of a member that is wrong.
-    let bench = Bench::new([Routed::Wait(Instant::now() + PATIENCE)], None);
+fn a_call_waits_for_a_switch_for_a_bounded_time() {
+    let service = Service::start(YES_REPLY);
+    let switch_end = Instant::now() + Duration::from_millis(8);
+    let bench = Bench::new([Routed::Wait(switch_end), route_to(2, Some(&service))], None);
+    bench.ask(1, true, TIMEOUT);
+    assert_eq!(bench.next_end(), (End::Complete, Some(fence(2))));
+    assert!(Instant::now() >= switch_end);
+    // A switch that never ends, as for a member whose clock is wrong.
+    let bench = Bench::new([Routed::Wait(Instant::now() + TIMEOUT)], None);
     let since = Instant::now();
-    bench.ask(1, true, PATIENCE);
-    assert_eq!(bench.ended(), (End::Barred, None));
-    assert!(since.elapsed() >= MOST_WAIT && since.elapsed() < PATIENCE / 2, "{:?}", since.elapsed());
+    bench.ask(1, true, TIMEOUT);
+    assert_eq!(bench.next_end(), (End::Barred, None));
+    assert!(since.elapsed() >= MAX_SWITCH_WAIT && since.elapsed() < TIMEOUT / 2, "{:?}", since.elapsed());
 }
 
 #[test]
-fn a_later_call_of_a_request_is_routed_with_what_the_one_before_went_out_under() {
-    // Guards against a second call under another version, made before the reducer read of the first one's end.
+fn a_later_call_of_a_request_is_routed_with_the_fence_of_the_previous_call() {
+    // Guards against a second call under another version, made before the reducer processed the end of the first one.
     let silent = Service::start("");
-    let bench = Bench::new([go(1, Some(&silent))], None);
-    bench.ask(1, false, PATIENCE);
+    let bench = Bench::new([route_to(1, Some(&silent))], None);
+    bench.ask(1, false, TIMEOUT);
     let since = Instant::now();
     while silent.asks().is_empty() {
-        assert!(since.elapsed() < PATIENCE);
+        assert!(since.elapsed() < TIMEOUT);
         std::thread::sleep(Duration::from_millis(1));
     }
     bench.link.send(Order::Unask { handle: "00000000000000aa".parse().unwrap(), attempt: 1 });
     bench.ask(2, false, Duration::from_millis(50));
     for _ in 0..2 {
-        assert_eq!(bench.ended().1, Some(fence(1)));
+        assert_eq!(bench.next_end().1, Some(fence(1)));
     }
-    let tried: Vec<_> = bench.double.routed_calls().iter().map(|call| call.tried).collect();
+    let tried: Vec<_> = bench.router.routed_calls().iter().map(|call| call.tried).collect();
     assert_eq!((tried.first(), tried.last()), (Some(&None), Some(&Some(fence(1)))));
 }
 
 #[test]
-fn connections_are_kept_by_address_and_a_timeout_ends_a_call_earlier() {
-    let (a, b, silent) = (Service::start(YES), Service::start(YES), Service::start(""));
-    let each = [&a, &b, &a, &b].into_iter().flat_map(|s| [go(1, Some(s)), go(1, Some(s))]);
-    let bench = Bench::new(each, None);
+fn connections_are_reused_per_address_and_a_route_timeout_shortens_the_timeout_of_a_call() {
+    let (a, b, silent) = (Service::start(YES_REPLY), Service::start(YES_REPLY), Service::start(""));
+    let results = [&a, &b, &a, &b].into_iter().flat_map(|s| [route_to(1, Some(s)), route_to(1, Some(s))]);
+    let bench = Bench::new(results, None);
     for _ in 0..4 {
-        bench.ask(1, false, PATIENCE);
-        assert_eq!(bench.ended().0, End::Complete);
+        bench.ask(1, false, TIMEOUT);
+        assert_eq!(bench.next_end().0, End::Complete);
     }
     for service in [a, b] {
         assert_eq!(service.asks(), vec![(0, "1.10".to_string()); 2]);
     }
     let timeout = Some(Duration::from_millis(30));
-    let bench =
-        Bench::new([Routed::Go { fence: fence(1), address: Some(silent.at), timeout, allowed: None }], None);
+    let bench = Bench::new(
+        [Routed::Go { fence: fence(1), address: Some(silent.address), timeout, allowed: None }],
+        None,
+    );
     let since = Instant::now();
-    bench.ask(1, true, PATIENCE);
-    assert_eq!(bench.ended(), (End::Overdue, Some(fence(1))));
-    assert!(since.elapsed() < PATIENCE / 2);
+    bench.ask(1, true, TIMEOUT);
+    assert_eq!(bench.next_end(), (End::Overdue, Some(fence(1))));
+    assert!(since.elapsed() < TIMEOUT / 2);
 }
 
 #[test]
-fn a_service_that_saw_a_newer_turn_ends_the_call_and_it_is_counted() {
+fn a_call_that_a_service_refuses_as_stale_ends_and_is_counted() {
     let service = Service::start("stale\r\n");
-    let bench = Bench::new([go(1, Some(&service))], None);
-    bench.ask(1, true, PATIENCE);
-    assert_eq!(bench.ended(), (End::Stale, Some(fence(1))));
-    assert_eq!(bench.double.stale.load(Ordering::Relaxed), 1);
+    let bench = Bench::new([route_to(1, Some(&service))], None);
+    bench.ask(1, true, TIMEOUT);
+    assert_eq!(bench.next_end(), (End::Stale, Some(fence(1))));
+    assert_eq!(bench.router.stale_count.load(Ordering::Relaxed), 1);
 }
 
 #[test]
-fn a_call_that_was_sent_back_unseen_binds_its_request_to_no_version() {
-    // Guards against requests that a switch fails although nothing of them has happened.
+fn a_call_that_was_returned_unexecuted_does_not_bind_its_request_to_a_version() {
+    // Guards against requests that fail at a switch although none of their calls was executed.
     let busy = Service::start("notnow\r\n");
-    let bench = Bench::new([go(1, Some(&busy))], None);
+    let bench = Bench::new([route_to(1, Some(&busy))], None);
     for attempt in [1, 2] {
-        bench.ask(attempt, true, PATIENCE);
-        assert_eq!(bench.ended(), (End::NotNow, None));
+        bench.ask(attempt, true, TIMEOUT);
+        assert_eq!(bench.next_end(), (End::NotNow, None));
     }
-    assert!(bench.double.routed_calls().iter().all(|call| call.tried.is_none()));
+    assert!(bench.router.routed_calls().iter().all(|call| call.tried.is_none()));
 }
 
-/// A service below whose connections, one after the other, follow a script each; returns its address.
+/// Starts a service that follows one script per connection, in the order of the connections. Returns its address.
 fn scripted(scripts: Vec<fn(&mut Scripted)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for (script, stream) in scripts.into_iter().zip(listener.incoming().flatten()) {
             let mut side = Scripted { writes: stream.try_clone().unwrap(), reads: BufReader::new(stream) };
             std::thread::spawn(move || {
                 script(&mut side);
-                // Open until the other side closes it.
+                // The connection stays open until the client closes it.
                 let _ = side.reads.read_to_end(&mut Vec::new());
             });
         }
     });
-    at
+    address
 }
 
 /// The service's side of a connection.
@@ -224,8 +227,8 @@
 }
 
 impl Scripted {
-    /// Reads a call; none where the other side has closed.
-    fn ask(&mut self) -> Option<()> {
+    /// Reads a call. Returns `None` if the client has closed the connection.
+    fn read_ask(&mut self) -> Option<()> {
         let mut line = String::new();
         self.reads.read_line(&mut line).ok()?;
         let len: usize = line.trim_end().split(' ').nth(3)?.parse().unwrap();
@@ -237,27 +240,28 @@
     }
 }
 
-const ID: &str = "00000000000000aa";
-const OTHER: &str = "00000000000000bb";
+const REQUEST: &str = "00000000000000aa";
+const OTHER_REQUEST: &str = "00000000000000bb";
 
-/// Makes the second call of a request, after its first one was answered on a connection of its own.
-fn second_call(then: &[fn(&mut Scripted)], looks: Vec<Routed>) -> Option<Bytes> {
+/// Makes two calls of a request and returns the reply to the second one. The first call is answered on a connection of its
+/// own; `later_scripts` are those of the later connections.
+fn reply_to_second_call(later_scripts: &[fn(&mut Scripted)], results: Vec<Routed>) -> Option<Bytes> {
     fn first(side: &mut Scripted) {
-        side.ask().unwrap();
-        side.reply(ID, "one");
+        side.read_ask().unwrap();
+        side.reply(REQUEST, "one");
     }
-    let double = Arc::new(FakeRouter::with_answers(looks));
-    let scripts = [&[first as fn(&mut Scripted)], then].concat();
-    let (hub, inbox) = test_hub(Some(double), Some(scripted(scripts)));
+    let router = Arc::new(FakeRouter::with_answers(results));
+    let scripts = [&[first as fn(&mut Scripted)], later_scripts].concat();
+    let (hub, inbox) = test_hub(Some(router), Some(scripted(scripts)));
     let link = Link::start(&hub);
     let mut last = None;
     for attempt in [1, 2] {
-        let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
+        let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
         let earlier = last.iter().map(|reply: &Bytes| ReplyDigest::of(reply)).collect();
-        let (patience, body) = (PATIENCE, [b'x'].into());
+        let (patience, body) = (TIMEOUT, [b'x'].into());
         link.send(Order::Ask { handle, attempt, fresh: true, earlier, patience, body, route });
         last = loop {
-            match inbox.recv_timeout(PATIENCE) {
+            match inbox.recv_timeout(TIMEOUT) {
                 Ok(Input::CallEnded { reply, .. }) => break reply,
                 Ok(Input::StrayReply) => {}
                 other => panic!("{other:?}"),
@@ -268,61 +272,66 @@
 }
 
 #[test]
-fn a_late_copy_of_a_reply_that_comes_before_the_next_call_is_written_is_not_its_reply() {
-    // Guards against a reply to the call before, which comes first on the connection of this one.
+fn a_late_copy_of_a_reply_that_arrives_before_the_next_call_is_written_is_not_its_reply() {
+    // Guards against a reply to the previous call that arrives first on the connection of this one.
     fn early(side: &mut Scripted) {
-        side.reply(ID, "one");
-        // Where the call was written before that came.
-        side.ask().into_iter().for_each(|()| side.reply(ID, "two"));
+        side.reply(REQUEST, "one");
+        // In case the call was written before the copy arrived.
+        side.read_ask().into_iter().for_each(|()| side.reply(REQUEST, "two"));
     }
     fn then(side: &mut Scripted) {
-        side.ask().unwrap();
-        side.reply(ID, "two");
+        side.read_ask().unwrap();
+        side.reply(REQUEST, "two");
     }
-    // The call waits for the moment of a switch, connected and not written.
+    // The call is connected and waits for a switch before it is written.
     let wait = Routed::Wait(Instant::now() + Duration::from_millis(100));
-    let reply = second_call(&[early, then], vec![go(1, None), go(1, None), go(1, None), wait, go(1, None)]);
+    let reply = reply_to_second_call(
+        &[early, then],
+        vec![route_to(1, None), route_to(1, None), route_to(1, None), wait, route_to(1, None)],
+    );
     assert_eq!(reply.as_deref(), Some(&b"two"[..]));
 }
 
 #[test]
-fn a_late_copy_of_a_reply_that_comes_after_the_next_call_is_written_is_not_its_reply() {
-    // Guards against a reply to the call before, which names the request and not the call.
+fn a_late_copy_of_a_reply_that_arrives_after_the_next_call_is_written_is_not_its_reply() {
+    // Guards against a reply to the previous call: a reply names the request, not the call.
     fn then(side: &mut Scripted) {
-        side.ask().unwrap();
-        side.reply(ID, "one");
-        side.reply(ID, "two");
+        side.read_ask().unwrap();
+        side.reply(REQUEST, "one");
+        side.reply(REQUEST, "two");
     }
-    let reply = second_call(&[then], vec![go(1, None)]);
+    let reply = reply_to_second_call(&[then], vec![route_to(1, None)]);
     assert_eq!(reply.as_deref(), Some(&b"two"[..]));
 }
 
 #[test]
-fn a_reply_to_another_request_over_the_connection_of_a_call_is_not_its_reply() {
+fn a_reply_to_another_request_on_the_connection_of_a_call_is_not_its_reply() {
     fn then(side: &mut Scripted) {
-        side.ask().unwrap();
-        side.reply(OTHER, "other");
-        side.reply(ID, "two");
+        side.read_ask().unwrap();
+        side.reply(OTHER_REQUEST, "other");
+        side.reply(REQUEST, "two");
     }
-    assert_eq!(second_call(&[then], vec![go(1, None)]).as_deref(), Some(&b"two"[..]));
+    assert_eq!(reply_to_second_call(&[then], vec![route_to(1, None)]).as_deref(), Some(&b"two"[..]));
 }
 
 #[test]
-fn a_connection_that_is_closed_before_its_call_is_written_is_no_stray_reply() {
-    // Guards against a counter that blames late replies for a vault that closes connections.
+fn a_connection_that_is_closed_before_its_call_is_written_is_not_counted_as_a_stray_reply() {
+    // Guards against a counter of late replies that also counts a vault's closed connections.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
     let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
-    let (hub, inbox) =
-        test_hub(Some(Arc::new(FakeRouter::with_answers([go(1, None), wait(100), go(1, None)]))), Some(at));
+    let (hub, inbox) = test_hub(
+        Some(Arc::new(FakeRouter::with_answers([route_to(1, None), wait(100), route_to(1, None)]))),
+        Some(address),
+    );
     let link = Link::start(&hub);
-    let (handle, route) = (ID.parse().unwrap(), Some(Box::default()));
+    let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
-    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier, patience: PATIENCE, body, route });
+    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier, patience: TIMEOUT, body, route });
     let mut strays = 0;
     loop {
-        match inbox.recv_timeout(PATIENCE) {
+        match inbox.recv_timeout(TIMEOUT) {
             Ok(Input::CallEnded { .. }) => break,
             Ok(Input::StrayReply) => strays += 1,
             other => panic!("{other:?}"),
@@ -332,17 +341,17 @@
 }
 
 #[test]
-fn a_reply_that_reads_like_an_earlier_one_of_its_request_is_not_taken() {
-    // Guards against a late copy that comes where the reply itself never does.
+fn a_reply_equal_to_an_earlier_one_of_its_request_is_ignored() {
+    // Guards against accepting a late copy when the call's own reply never arrives.
     fn then(side: &mut Scripted) {
-        side.ask().unwrap();
-        side.reply(ID, "one");
+        side.read_ask().unwrap();
+        side.reply(REQUEST, "one");
     }
     let (hub, inbox) = test_hub(None, Some(scripted(vec![then])));
     let link = Link::start(&hub);
-    let (handle, earlier) = (ID.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
+    let (handle, earlier) = (REQUEST.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
     let (patience, body) = (Duration::from_millis(300), [b'x'].into());
     link.send(Order::Ask { handle, attempt: 2, fresh: true, earlier, patience, body, route: None });
-    assert!(matches!(inbox.recv_timeout(PATIENCE), Ok(Input::StrayReply)));
-    assert!(matches!(inbox.recv_timeout(PATIENCE), Ok(Input::CallEnded { end: End::Overdue, .. })));
+    assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::StrayReply)));
+    assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::CallEnded { end: End::Overdue, .. })));
 }
