--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -557,7 +557,7 @@
         successor.send(HandoverMessage::Keys(Vec::new(), false));
         // Now the reducer has processed both.
         let waiting = query.and_then(|ticket| hub.queries().remove(&ticket));
-        waiting.into_iter().for_each(|sender| sender.send(Vec::new()).unwrap());
+        waiting.into_iter().for_each(|reply_to| reply_to.send(Vec::new()).unwrap());
         while !is_linked() {
             thread::sleep(END_LOOK);
         }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -305,7 +305,7 @@
     /// it is written: connecting takes time, during which the routes may switch or a lease may end.
     fn connect(&self, ask: &mut Ask) -> Result<Ready, End> {
         let mut wait_budget = MAX_SWITCH_WAIT;
-        let mut target = self.route(ask, &mut wait_budget)?;
+        let mut target = self.route_call(ask, &mut wait_budget)?;
         for _ in 0..MAX_ROUTINGS {
             let address = target.address.or_else(|| self.hub.links().vault).ok_or(End::Refused)?;
             let connected = take_or_connect(self.pool, address, ask.fresh, ask.time_left());
@@ -326,7 +326,7 @@
                 }
                 return Ok(Ready { conn, address, epoch, fence: None, previous: None });
             };
-            let now = self.route(ask, &mut wait_budget)?;
+            let now = self.route_call(ask, &mut wait_budget)?;
             if !conn.is_quiet() {
                 self.discard(&conn);
                 target = now;
@@ -388,7 +388,7 @@
     }
 
     /// Routes the call. During a switch of the routes it waits, for no longer than `wait_budget` over all routings.
-    fn route(&self, ask: &mut Ask, wait_budget: &mut Duration) -> Result<Target, End> {
+    fn route_call(&self, ask: &mut Ask, wait_budget: &mut Duration) -> Result<Target, End> {
         let Some(routing) = &self.hub.routing else { return Ok(Target::default()) };
         // Without these properties nothing is known about earlier calls of the request.
         let Some(call) = &mut ask.route else { return Err(End::Barred) };
