--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -551,7 +551,7 @@
             match inbox.try_recv() {
                 Ok(Input::Query { ticket, .. }) => break Some(ticket),
                 _ if is_linked() => break None,
-                _ => thread::sleep(END_LOOK),
+                _ => thread::sleep(EXIT_CHECK_INTERVAL),
             }
         };
         successor.send(HandoverMessage::Keys(Vec::new(), false));
@@ -559,7 +559,7 @@
         let waiting = query.and_then(|ticket| hub.queries().remove(&ticket));
         waiting.into_iter().for_each(|reply_to| reply_to.send(Vec::new()).unwrap());
         while !is_linked() {
-            thread::sleep(END_LOOK);
+            thread::sleep(EXIT_CHECK_INTERVAL);
         }
         successor.send(HandoverMessage::Begin);
         let mut line = String::new();
