--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -1,5 +1,5 @@
 //! Connects the fleet's routes to the serving path: [`Router`] is the interface to them, which the vault link asks for the
-//! route of each call, and [`start`] keeps the reducer informed of the route state and the call limits of each class.
+//! route of each call, and `start` keeps the reducer informed of the route state and the call limits of each class.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -2,8 +2,8 @@
 //! (the successor): text lines on a Unix socket.
 //!
 //! Over this link the predecessor passes its keys, and forwards the requests that still reach it; the successor returns
-//! their answers. The predecessor calls [`listen_for_successor`], the successor [`connect_to_predecessor`]; both get a
-//! [`PeerProcess`] to send [`HandoverMessage`]s to. What arrives is parsed as a [`ReceivedMessage`] and passed to the
+//! their answers. The predecessor calls `listen_for_successor`, the successor [`connect_to_predecessor`]; both get a
+//! `PeerProcess` to send [`HandoverMessage`]s to. What arrives is parsed as a [`ReceivedMessage`] and passed to the
 //! reducer.
 //!
 //! The link exists for seconds, and a peer process that reads nothing must not block the reducer. So the link has threads of
