--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -2,7 +2,7 @@
 //! (the successor): text lines on a Unix socket.
 //!
 //! Over this link the predecessor passes its keys, and forwards the requests that still reach it; the successor returns
-//! their answers. The predecessor calls `listen_for_successor`, the successor [`connect_to_predecessor`]; both get a
+//! their answers. The predecessor calls `listen_for_successor`, the successor `connect_to_predecessor`; both get a
 //! `PeerProcess` to send [`HandoverMessage`]s to. What arrives is parsed as a [`ReceivedMessage`] and passed to the
 //! reducer.
 //!
