--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,10 +1,12 @@
-//! The operators' door: HTTP/1.1 on an address of its own, one call a connection.
+//! The admin endpoint for operators: HTTP/1.1 on an address of its own, one request per connection.
 //!
-//! It shares nothing with the callers' connections but the reducer's inbox, so that it answers whatever the load:
-//! it has few places of its own, and a client that sends nothing or half a call loses its place to the next.
+//! It shares nothing with the client connections but the reducer's inbox, so that it answers under any load. It serves
+//! a small number of connections at once; a client that sends nothing or a partial request is closed when newer ones
+//! need its slot.
 //!
-//! What is asked of the fleet's routes is answered in JSON: 200 with a document, 409 with `error` and `help` where it is
-//! refused, 503 with them where no leader answers, 404 where this matcher has no routes, 400 for a body that says nothing.
+//! Requests about the fleet's routes and experiments are answered in JSON: 200 with a document, 409 with `error` and
+//! `help` where the order is refused, 503 with both where no leader answers, 404 where this matcher has no routes, and
+//! 400 for an invalid body.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -18,71 +20,71 @@
 use miette::Diagnostic;
 use tracing::info;
 
-use super::decoder::{Framing, Headed, MessageDecoder, Scan};
+use super::decoder::{Framing, MessageDecoder, ParsedHead, Scan};
 use super::fields::RequestError;
 use super::frontend::read_some;
-use super::http::{body_len, read_head, response};
-use super::lingering_close::{close, Ending, PATIENCE};
+use super::http::{content_length, encode_response, parse_request_head};
+use super::lingering_close::{close, ConnectionEnd, TIMEOUT};
 use super::stream::Conn;
-use super::{at_start, metrics, next, routed, spawn, Hub};
+use super::{accept_next, at_start, metrics, routed, spawn, Hub};
 use crate::core::Input;
 use crate::fleet;
 use crate::fleet::routes::table::MOST_BYTES;
 use crate::fleet::routing::{Order, OrderError};
 
-/// Clients at once. They take descriptors out of those kept back.
-const MOST_CLIENTS: usize = 16;
-/// A call must be there whole this long after its client connected.
-const READ_PATIENCE: Duration = Duration::from_secs(3);
-/// A client that reads nothing for this long has stopped reading.
-const WRITE_PATIENCE: Duration = Duration::from_secs(1);
-/// The longest head of a call, and the longest body that is no table and no experiment.
-const MOST_CALL: usize = 4096;
-/// An order to the fleet is waited for this long.
-const ORDER_PATIENCE: Duration = Duration::from_secs(6);
-/// Between two looks at whether an order was answered.
-const ORDER_LOOK: Duration = Duration::from_millis(5);
-/// Fields that a head may have.
-const MOST_FIELDS: usize = 32;
+/// The highest number of clients at once. They use reserved descriptors.
+const MAX_CLIENTS: usize = 16;
+/// A request must have arrived completely within this time of the accept.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client that reads nothing for this long is taken to have stopped reading.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest head of a request, and the longest body other than a route table or an experiment document, in bytes.
+const MAX_SMALL_REQUEST: usize = 4096;
+/// The timeout of an order to the fleet.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
+/// How often to check whether an order has been answered.
+const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The highest number of header fields in a request.
+const MAX_HEADERS: usize = 32;
 
-/// What operators may ask for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    /// Can this process serve?
+pub enum AdminRequest {
+    /// Asks whether this process can serve requests.
     Ready,
-    /// Have health checks answered badly, so that callers go elsewhere.
+    /// Lets health checks fail, so that clients go elsewhere.
     Drain,
-    /// Take callers again.
+    /// Ends the effect of [`AdminRequest::Drain`].
     Undrain,
-    /// Who else is in the fleet?
+    /// Asks for the members of the fleet.
     Fleet,
-    /// What was counted, in the text format of Prometheus.
+    /// Asks for the metrics, in the text format of Prometheus.
     Metrics,
-    /// Something of the fleet's routes and experiments.
+    /// An order about the fleet's routes, experiments or voters.
     Order(Order),
-    /// The body does not say what it is to be.
-    Unclear(&'static str),
+    /// The body is invalid, for this reason.
+    Invalid(&'static str),
 }
 
-/// What a call's head asks for, before its body is there.
+/// The endpoint of a request, known before its body has been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// One whose body says nothing. It is read so that the answer is not lost to a reset.
-    Plain(Plain),
-    /// A table is in the body.
+pub enum Endpoint {
+    /// The body has no meaning. It is read all the same, so that the answer is not lost to a reset.
+    Simple(SimpleEndpoint),
+    /// The body is a route table.
     Propose,
-    /// The number of a version is in the body.
+    /// The body is the version of a route table.
     Activate,
-    /// The document of an experiment is in the body.
+    /// The body is the document of an experiment.
     Start,
-    /// The name of a voter is in the body.
+    /// The body is the name of a voter.
     Admit,
 }
 
-/// A call without a body.
+/// An endpoint whose requests need no body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
-pub enum Plain {
+pub enum SimpleEndpoint {
     Ready,
     Drain,
     Undrain,
@@ -96,115 +98,121 @@
     ShowExperiment,
 }
 
-/// All calls: method, path, and what they ask for.
-const CALLS: [(&str, &str, Asked); 15] = [
-    ("GET", "/ready", Asked::Plain(Plain::Ready)),
-    ("POST", "/drain", Asked::Plain(Plain::Drain)),
-    ("POST", "/undrain", Asked::Plain(Plain::Undrain)),
-    ("GET", "/fleet", Asked::Plain(Plain::Fleet)),
-    ("GET", "/metrics", Asked::Plain(Plain::Metrics)),
-    ("GET", "/fleet/routes", Asked::Plain(Plain::Show)),
-    ("GET", "/fleet/routes/history", Asked::Plain(Plain::History)),
-    ("POST", "/fleet/routes/propose", Asked::Propose),
-    ("POST", "/fleet/routes/activate", Asked::Activate),
-    ("POST", "/fleet/routes/abort", Asked::Plain(Plain::Abort)),
-    ("POST", "/fleet/routes/rollback", Asked::Plain(Plain::Rollback)),
-    ("GET", "/fleet/experiment", Asked::Plain(Plain::ShowExperiment)),
-    ("POST", "/fleet/experiment/start", Asked::Start),
-    ("POST", "/fleet/experiment/stop", Asked::Plain(Plain::Stop)),
-    ("POST", "/fleet/record/admit", Asked::Admit),
+/// All endpoints, with their methods and paths.
+const ENDPOINTS: [(&str, &str, Endpoint); 15] = [
+    ("GET", "/ready", Endpoint::Simple(SimpleEndpoint::Ready)),
+    ("POST", "/drain", Endpoint::Simple(SimpleEndpoint::Drain)),
+    ("POST", "/undrain", Endpoint::Simple(SimpleEndpoint::Undrain)),
+    ("GET", "/fleet", Endpoint::Simple(SimpleEndpoint::Fleet)),
+    ("GET", "/metrics", Endpoint::Simple(SimpleEndpoint::Metrics)),
+    ("GET", "/fleet/routes", Endpoint::Simple(SimpleEndpoint::Show)),
+    ("GET", "/fleet/routes/history", Endpoint::Simple(SimpleEndpoint::History)),
+    ("POST", "/fleet/routes/propose", Endpoint::Propose),
+    ("POST", "/fleet/routes/activate", Endpoint::Activate),
+    ("POST", "/fleet/routes/abort", Endpoint::Simple(SimpleEndpoint::Abort)),
+    ("POST", "/fleet/routes/rollback", Endpoint::Simple(SimpleEndpoint::Rollback)),
+    ("GET", "/fleet/experiment", Endpoint::Simple(SimpleEndpoint::ShowExperiment)),
+    ("POST", "/fleet/experiment/start", Endpoint::Start),
+    ("POST", "/fleet/experiment/stop", Endpoint::Simple(SimpleEndpoint::Stop)),
+    ("POST", "/fleet/record/admit", Endpoint::Admit),
 ];
 
-impl Asked {
-    fn most_body(self) -> usize {
+impl Endpoint {
+    fn max_body(self) -> usize {
         match self {
             Self::Propose | Self::Start => MOST_BYTES,
-            _ => MOST_CALL,
+            _ => MAX_SMALL_REQUEST,
         }
     }
 
-    fn with(self, body: &[u8]) -> Call {
+    fn into_request(self, body: &[u8]) -> AdminRequest {
         let text = std::str::from_utf8(body).map(str::trim);
         let order = match (self, text) {
-            (Self::Plain(plain), _) => return plain.call(),
-            (_, Err(_)) => return Call::Unclear("the body is no text in UTF-8"),
-            // A document is passed on as it came: who reads it names the line of a mistake.
+            (Self::Simple(endpoint), _) => return endpoint.request(),
+            (_, Err(_)) => return AdminRequest::Invalid("the body is no text in UTF-8"),
+            // Documents are passed on unchanged, because their parser reports the line of an error.
             (Self::Propose, _) => Order::Propose { table: String::from_utf8_lossy(body).into_owned() },
             (Self::Start, _) => Order::Start { document: String::from_utf8_lossy(body).into_owned() },
             (Self::Activate, Ok(text)) => match text.parse() {
                 Ok(version) => Order::Activate { version },
-                Err(_) => return Call::Unclear("the body is no version"),
+                Err(_) => return AdminRequest::Invalid("the body is no version"),
             },
-            (Self::Admit, Ok("")) => return Call::Unclear("the body names no voter"),
+            (Self::Admit, Ok("")) => return AdminRequest::Invalid("the body names no voter"),
             (Self::Admit, Ok(name)) => Order::Admit { name: name.to_string() },
         };
-        Call::Order(order)
+        AdminRequest::Order(order)
     }
 }
 
-impl Plain {
-    fn call(self) -> Call {
+impl SimpleEndpoint {
+    fn request(self) -> AdminRequest {
         match self {
-            Self::Ready => Call::Ready,
-            Self::Drain => Call::Drain,
-            Self::Undrain => Call::Undrain,
-            Self::Fleet => Call::Fleet,
-            Self::Metrics => Call::Metrics,
-            Self::Abort => Call::Order(Order::Abort),
-            Self::Rollback => Call::Order(Order::Rollback),
-            Self::Show => Call::Order(Order::Show),
-            Self::History => Call::Order(Order::History),
-            Self::Stop => Call::Order(Order::Stop),
-            Self::ShowExperiment => Call::Order(Order::ShowExperiment),
+            Self::Ready => AdminRequest::Ready,
+            Self::Drain => AdminRequest::Drain,
+            Self::Undrain => AdminRequest::Undrain,
+            Self::Fleet => AdminRequest::Fleet,
+            Self::Metrics => AdminRequest::Metrics,
+            Self::Abort => AdminRequest::Order(Order::Abort),
+            Self::Rollback => AdminRequest::Order(Order::Rollback),
+            Self::Show => AdminRequest::Order(Order::Show),
+            Self::History => AdminRequest::Order(Order::History),
+            Self::Stop => AdminRequest::Order(Order::Stop),
+            Self::ShowExperiment => AdminRequest::Order(Order::ShowExperiment),
         }
     }
 }
 
-/// The door's wire.
+/// The HTTP protocol of the admin endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct AdminHttp;
 
 impl Framing for AdminHttp {
-    type Head = Asked;
-    type Message = Call;
-    const MOST_HEAD: usize = MOST_CALL;
+    type Head = Endpoint;
+    type Message = AdminRequest;
+    const MAX_HEAD: usize = MAX_SMALL_REQUEST;
 
-    fn may_end(&self, bytes: &[u8], scan: &mut Scan) -> bool {
+    fn head_may_be_complete(&self, bytes: &[u8], scan: &mut Scan) -> bool {
         scan.finds_blank_line(bytes)
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Asked>>, RequestError> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let Some((head, len)) = read_head(bytes, &mut fields)? else { return Ok(None) };
-        let body = body_len(head.headers)?;
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<ParsedHead<Endpoint>>, RequestError> {
+        let mut buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let Some((head, head_len)) = parse_request_head(bytes, &mut buffer)? else { return Ok(None) };
+        let body_len = content_length(head.headers)?;
         let (method, path) =
             (head.method.unwrap_or(""), head.path.unwrap_or("").split('?').next().unwrap_or(""));
-        let known = CALLS.iter().find(|(m, p, _)| (*m, *p) == (method, path)).map(|(.., asked)| *asked);
-        if body > known.map_or(MOST_CALL, Asked::most_body) {
+        let known =
+            ENDPOINTS.iter().find(|(m, p, _)| (*m, *p) == (method, path)).map(|(.., endpoint)| *endpoint);
+        if body_len > known.map_or(MAX_SMALL_REQUEST, Endpoint::max_body) {
             return Err(RequestError { status: 413, reason: "the body is too large" });
         }
         match known {
-            Some(head) => Ok(Some(Headed { head, len, body })),
-            None if CALLS.iter().any(|(_, p, _)| *p == path) => {
+            Some(head) => Ok(Some(ParsedHead { head, head_len, body_len })),
+            None if ENDPOINTS.iter().any(|(_, p, _)| *p == path) => {
                 Err(RequestError { status: 405, reason: "not with this method" })
             }
             None => Err(RequestError { status: 404, reason: "no such call" }),
         }
     }
 
-    fn message(&self, headed: Headed<Asked>, body: &[u8], _behind: bool) -> Result<Call, RequestError> {
-        Ok(headed.head.with(body))
+    fn build_message(
+        &self,
+        parsed: ParsedHead<Endpoint>,
+        body: &[u8],
+        _has_more: bool,
+    ) -> Result<AdminRequest, RequestError> {
+        Ok(parsed.head.into_request(body))
     }
 }
 
-/// The clients that are connected, the oldest first.
+/// The connected clients, the oldest first.
 type Clients = Arc<Mutex<VecDeque<(u64, Conn)>>>;
 
 fn lock(clients: &Clients) -> MutexGuard<'_, VecDeque<(u64, Conn)>> {
     clients.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Listens for as long as the process lives; where.
+/// Starts the endpoint, which listens as long as the process runs, and returns its address.
 pub(super) fn start(address: SocketAddr, hub: &Arc<Hub>) -> io::Result<SocketAddr> {
     drop(at_start::open(|| std::net::TcpListener::bind(address))?);
     let listener = at_start::open(|| TcpListener::bind(address))?;
@@ -212,42 +220,42 @@
     info!("takes operators' calls on {at}");
     let hub = hub.clone();
     spawn(move || {
-        let (clients, mut number) = (Clients::default(), 0);
+        let (clients, mut id) = (Clients::default(), 0);
         loop {
-            let stream = next(&listener);
-            let by = stream.peer_addr().map_or("an operator".to_string(), |at| at.to_string());
-            let conn = Conn::new(stream, WRITE_PATIENCE);
-            number += 1;
+            let stream = accept_next(&listener);
+            let operator = stream.peer_addr().map_or("an operator".to_string(), |at| at.to_string());
+            let conn = Conn::new(stream, WRITE_TIMEOUT);
+            id += 1;
             {
                 let mut clients = lock(&clients);
-                clients.push_back((number, conn.clone()));
-                if clients.len() > MOST_CLIENTS {
+                clients.push_back((id, conn.clone()));
+                if clients.len() > MAX_CLIENTS {
                     clients.pop_front().into_iter().for_each(|(_, oldest)| oldest.shutdown(Shutdown::Both));
                 }
             }
             let (hub, clients) = (hub.clone(), clients.clone());
             spawn(move || {
-                serve(conn, &by, &hub);
-                lock(&clients).retain(|(n, _)| *n != number);
+                serve(conn, &operator, &hub);
+                lock(&clients).retain(|(n, _)| *n != id);
             });
         }
     });
     Ok(at)
 }
 
-fn serve(mut conn: Conn, by: &str, hub: &Hub) {
+fn serve(mut conn: Conn, operator: &str, hub: &Hub) {
     let (mut decoder, since) = (MessageDecoder::new(AdminHttp), Instant::now());
-    let asked = loop {
+    let request = loop {
         match decoder.next_message() {
             Ok(None) => {}
-            Ok(Some((call, _))) => break Ok(call),
-            Err(bad) => break Err(bad.status),
+            Ok(Some((request, _))) => break Ok(request),
+            Err(error) => break Err(error.status),
         }
-        let left = READ_PATIENCE.saturating_sub(since.elapsed());
-        if left.is_zero() {
+        let remaining = READ_TIMEOUT.saturating_sub(since.elapsed());
+        if remaining.is_zero() {
             break Err(408);
         }
-        conn.set_read_patience(left);
+        conn.set_read_timeout(remaining);
         match read_some(&mut conn, decoder.buffer_mut()) {
             Ok(0) => return,
             Ok(_) => {}
@@ -255,69 +263,75 @@
             Err(_) => return,
         }
     };
-    let mut told = None;
-    let status = match asked {
-        Ok(Call::Ready) if hub.ready.load(Ordering::Acquire) && !hub.is_closed() && routed::ready(hub) => 200,
-        Ok(Call::Ready) => 503,
-        Ok(Call::Fleet) => {
-            told = hub.fleet.as_ref().and_then(fleet::Link::status).map(|status| status.to_json() + "\n");
-            if told.is_some() {
+    let mut body_text = None;
+    let status = match request {
+        Ok(AdminRequest::Ready)
+            if hub.ready.load(Ordering::Acquire) && !hub.is_closed() && routed::ready(hub) =>
+        {
+            200
+        }
+        Ok(AdminRequest::Ready) => 503,
+        Ok(AdminRequest::Fleet) => {
+            body_text =
+                hub.fleet.as_ref().and_then(fleet::Link::status).map(|status| status.to_json() + "\n");
+            if body_text.is_some() {
                 200
             } else {
                 404
             }
         }
-        Ok(Call::Metrics) => match metrics::text(hub, READ_PATIENCE) {
+        Ok(AdminRequest::Metrics) => match metrics::text(hub, READ_TIMEOUT) {
             Some(text) => {
-                told = Some(text);
+                body_text = Some(text);
                 200
             }
             None => 503,
         },
-        Ok(Call::Order(order)) => {
-            let (status, document) = carry_out(hub, order, by);
-            told = Some(document);
+        Ok(AdminRequest::Order(order)) => {
+            let (status, document) = execute_order(hub, order, operator);
+            body_text = Some(document);
             status
         }
-        Ok(Call::Unclear(reason)) => {
-            told = Some(refusal(reason, Some("`hopwalk fleet --help` shows what each call is given")));
+        Ok(AdminRequest::Invalid(reason)) => {
+            body_text =
+                Some(error_document(reason, Some("`hopwalk fleet --help` shows what each call is given")));
             400
         }
-        Ok(call @ (Call::Drain | Call::Undrain)) => {
+        Ok(request @ (AdminRequest::Drain | AdminRequest::Undrain)) => {
             if let Some(fleet) = &hub.fleet {
-                fleet.draining(call == Call::Drain);
+                fleet.draining(request == AdminRequest::Drain);
             }
-            // What is read behind this in the inbox, health checks among it, is answered as it asks.
-            hub.push(Input::Standby(call == Call::Drain));
+            // Inputs that are queued after this one, health checks included, are answered accordingly.
+            hub.push(Input::Standby(request == AdminRequest::Drain));
             200
         }
         Err(status) => status,
     };
-    let body = told.as_deref().unwrap_or(if status == 200 { "yes\n" } else { "no\n" });
-    if conn.write_all(&response(status, "", body.as_bytes(), true)).is_ok() {
-        close(&mut conn, Ending::Finished, PATIENCE);
+    let body = body_text.as_deref().unwrap_or(if status == 200 { "yes\n" } else { "no\n" });
+    if conn.write_all(&encode_response(status, "", body.as_bytes(), true)).is_ok() {
+        close(&mut conn, ConnectionEnd::Finished, TIMEOUT);
     }
 }
 
-/// Has an order carried out; a status, and what there is to say. It waits in a coroutine, for a bounded time.
-fn carry_out(hub: &Hub, order: Order, by: &str) -> (u16, String) {
-    let done = match &hub.routing {
+/// Executes an order; returns the status and body of the answer. It waits in a coroutine, for a limited time.
+fn execute_order(hub: &Hub, order: Order, operator: &str) -> (u16, String) {
+    let result = match &hub.routing {
         None => Err(OrderError::Off),
         Some(routing) => {
-            let (answer, since) = (routing.order(order, by), Instant::now());
+            let (answer, since) = (routing.order(order, operator), Instant::now());
             loop {
                 match answer.try_recv() {
-                    Ok(done) => break done,
+                    Ok(result) => break result,
                     Err(TryRecvError::Disconnected) => break Err(OrderError::Gone),
-                    Err(TryRecvError::Empty) if since.elapsed() >= ORDER_PATIENCE => {
-                        break Err(OrderError::NoLeader { patience: ORDER_PATIENCE });
+                    Err(TryRecvError::Empty) if since.elapsed() >= ORDER_TIMEOUT => {
+                        break Err(OrderError::NoLeader { patience: ORDER_TIMEOUT });
                     }
-                    Err(TryRecvError::Empty) => crate::net::spawn::sleep(ORDER_LOOK),
+                    Err(TryRecvError::Empty) => crate::net::spawn::sleep(ORDER_POLL_INTERVAL),
                 }
             }
         }
     };
-    match done {
+    match result {
         Ok(document) => (200, document + "\n"),
         Err(e) => {
             let status = match e {
@@ -326,13 +340,13 @@
                 OrderError::Document { .. } => 400,
                 OrderError::Refused(_) | OrderError::Admit(_) | OrderError::Unknown => 409,
             };
-            (status, refusal(&e.to_string(), e.help().map(|help| help.to_string()).as_deref()))
+            (status, error_document(&e.to_string(), e.help().map(|help| help.to_string()).as_deref()))
         }
     }
 }
 
-/// What is wrong and what can be done, as a document.
-fn refusal(error: &str, help: Option<&str>) -> String {
+/// The JSON document that gives an error and what to do about it.
+fn error_document(error: &str, help: Option<&str>) -> String {
     serde_json::json!({ "error": error, "help": help.unwrap_or_default() }).to_string() + "\n"
 }
 
@@ -344,25 +358,25 @@
     use crate::fleet::routes::record::RecordError;
     use crate::fleet::routing::Routed;
 
-    const PATIENCE: Duration = Duration::from_secs(10);
+    const TIMEOUT: Duration = Duration::from_secs(10);
 
-    fn door(double: Option<Arc<Double>>) -> (SocketAddr, Arc<Hub>) {
+    fn start_admin(double: Option<Arc<Double>>) -> (SocketAddr, Arc<Hub>) {
         let hub = hub(double, None).0;
         hub.ready.store(true, Ordering::Release);
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
 
-    fn refused(done: Result<String, DoorError>) -> (u16, String, String) {
-        match done {
+    fn refused(result: Result<String, DoorError>) -> (u16, String, String) {
+        match result {
             Err(DoorError::Refused { status, error, help }) => (status, error, help),
             other => panic!("{other:?}"),
         }
     }
 
     #[test]
-    fn each_call_becomes_its_order_and_brings_the_document() {
+    fn each_request_becomes_its_order_and_returns_the_document() {
         let double = Arc::new(Double::of([Routed::Barred]));
-        let (at, _hub) = door(Some(double.clone()));
+        let (at, _hub) = start_admin(Some(double.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
             ("GET", "/fleet/routes", "", Order::Show),
@@ -377,61 +391,62 @@
             ("POST", "/fleet/record/admit", "m2", Order::Admit { name: "m2".into() }),
         ];
         for (method, path, body, order) in calls {
-            assert_eq!(send(at, method, path, body, PATIENCE).unwrap(), "{}\n", "{path}");
-            let (asked, by) = double.orders().pop().unwrap();
-            assert_eq!(asked, order);
-            assert!(by.starts_with("127.0.0.1:"), "{by}");
+            assert_eq!(send(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
+            let (received, operator) = double.orders().pop().unwrap();
+            assert_eq!(received, order);
+            assert!(operator.starts_with("127.0.0.1:"), "{operator}");
         }
     }
 
     #[test]
-    fn a_refusal_tells_why_and_what_to_do() {
+    fn a_refusal_gives_the_reason_and_what_to_do() {
         let double = Arc::new(Double::of([Routed::Barred]));
-        let (at, _hub) = door(Some(double.clone()));
+        let (at, _hub) = start_admin(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
         double.answer(Err(OrderError::Refused(error.clone().into())));
-        let (status, told, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", PATIENCE));
-        assert_eq!((status, told, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.answer(Err(OrderError::NoLeader { patience: ORDER_PATIENCE }));
-        let (status, told, help) = refused(ask(at, "GET", "/fleet/routes", PATIENCE));
-        assert!(status == 503 && told.contains("leader") && !help.is_empty(), "{told}");
+        let (status, reason, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
+        assert_eq!((status, reason, help), (409, error.to_string(), error.help().unwrap().to_string()));
+        double.answer(Err(OrderError::NoLeader { patience: ORDER_TIMEOUT }));
+        let (status, reason, help) = refused(ask(at, "GET", "/fleet/routes", TIMEOUT));
+        assert!(status == 503 && reason.contains("leader") && !help.is_empty(), "{reason}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
-            assert_eq!(refused(send(at, "POST", path, body, PATIENCE)).0, 400, "{path}");
+            assert_eq!(refused(send(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
         }
         let long = "x".repeat(MOST_BYTES + 1);
-        let told = send(at, "POST", "/fleet/routes/propose", &long, PATIENCE);
-        assert!(matches!(told, Err(DoorError::Status { status: 413, .. })), "{told:?}");
-        let (off, _hub) = door(None);
-        assert_eq!(refused(ask(off, "GET", "/fleet/routes", PATIENCE)).0, 404);
+        let result = send(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
+        assert!(matches!(result, Err(DoorError::Status { status: 413, .. })), "{result:?}");
+        let (off, _hub) = start_admin(None);
+        assert_eq!(refused(ask(off, "GET", "/fleet/routes", TIMEOUT)).0, 404);
     }
 
     #[test]
-    fn an_order_that_nobody_answers_holds_up_no_other_call() {
-        // Guards against a worker that waits in a system call: with as many as there are workers the door stands still.
+    fn an_unanswered_order_does_not_block_other_requests() {
+        // Guards against orders that block a worker thread: as many orders as there are worker threads would stop the
+        // whole endpoint.
         let double = Arc::new(Double::of([Routed::Barred]));
         double.silent();
-        let (at, _hub) = door(Some(double.clone()));
+        let (at, _hub) = start_admin(Some(double.clone()));
         let since = Instant::now();
-        let waits: Vec<_> = (0..10)
-            .map(|_| std::thread::spawn(move || refused(ask(at, "GET", "/fleet/routes", PATIENCE)).0))
+        let pending: Vec<_> = (0..10)
+            .map(|_| std::thread::spawn(move || refused(ask(at, "GET", "/fleet/routes", TIMEOUT)).0))
             .collect();
         while double.orders().len() < 10 {
-            assert!(since.elapsed() < PATIENCE, "{} orders", double.orders().len());
+            assert!(since.elapsed() < TIMEOUT, "{} orders", double.orders().len());
             std::thread::sleep(Duration::from_millis(1));
         }
-        assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
-        assert!(since.elapsed() < ORDER_PATIENCE, "{:?}", since.elapsed());
+        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
+        assert!(since.elapsed() < ORDER_TIMEOUT, "{:?}", since.elapsed());
         double.hang_up();
-        assert!(waits.into_iter().all(|w| w.join().unwrap() == 503));
+        assert!(pending.into_iter().all(|order| order.join().unwrap() == 503));
     }
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
         let double = Arc::new(Double::of([Routed::Barred]));
-        let (at, _hub) = door(Some(double.clone()));
-        assert!(ask(at, "GET", "/ready", PATIENCE).is_ok());
+        let (at, _hub) = start_admin(Some(double.clone()));
+        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
         double.set_ready(false);
-        let told = ask(at, "GET", "/ready", PATIENCE);
-        assert!(matches!(told, Err(DoorError::Status { status: 503, .. })), "{told:?}");
+        let result = ask(at, "GET", "/ready", TIMEOUT);
+        assert!(matches!(result, Err(DoorError::Status { status: 503, .. })), "{result:?}");
     }
 }
--- a/src/net/close_counts.rs
+++ b/src/net/close_counts.rs
@@ -1,5 +1,5 @@
-//! Why callers' connections were closed, counted: with the reducer's counters this tells whether a caller without an answer
-//! lost its connection here.
+//! Counts closed client connections by reason. Together with the reducer's counters, these counts show whether a client
+//! that got no answer lost its connection in this process.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,17 +7,17 @@
 /// Why a connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Nothing of a request was there for as long as a connection may be idle, or it made room for another one.
+    /// No part of a request arrived within the idle limit, or the connection was evicted to make room for another one.
     Idle,
-    /// The caller closed it, or it broke.
+    /// The client closed the connection, or it broke.
     PeerGone,
-    /// It brought what is no request, or not all of one in time.
+    /// The client sent an invalid request, or did not send all of it in time.
     Malformed,
-    /// An answer on it said that it would be closed.
+    /// An answer announced that the connection would be closed.
     AfterAnswer,
-    /// An answer could not be written.
+    /// An answer could not be written completely.
     Unsent,
-    /// A request on it was not answered: a violation.
+    /// A request on the connection was not answered: a violation.
     Unanswered,
 }
 
@@ -32,7 +32,7 @@
     ];
 }
 
-/// Connections that were closed so far, by reason.
+/// The number of connections closed so far, by reason.
 #[derive(Debug, Default)]
 pub(super) struct CloseCounts([AtomicU64; CloseReason::ALL.len()]);
 
@@ -44,8 +44,8 @@
 
 impl fmt::Display for CloseCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (reason, name)) in CloseReason::ALL.into_iter().enumerate() {
-            let separator = if place > 0 { " " } else { "" };
+        for (index, (reason, name)) in CloseReason::ALL.into_iter().enumerate() {
+            let separator = if index > 0 { " " } else { "" };
             write!(f, "{separator}{name}={}", self.0[reason as usize].load(Ordering::Relaxed))?;
         }
         Ok(())
--- a/src/net/decoder.rs
+++ b/src/net/decoder.rs
@@ -1,167 +1,169 @@
-//! Messages out of the pieces in which a connection brings them, without I/O.
+//! Incremental decoding of messages from a byte stream, without I/O.
 //!
-//! A message is a head, which tells how long the body is, and that body. However the bytes are cut into pieces the
-//! same messages come out, and each byte is looked at a bounded number of times: a head is read when its end is
-//! there, and before that only each time the bytes have doubled, so that what can never become a head is turned
-//! down early. Without this a head of 8 KiB that comes byte by byte would cost 33 MB of reading.
+//! A message consists of a head, which gives the length of the body, and that body. A [`Framing`] knows the format of
+//! one protocol; a [`MessageDecoder`] buffers the received bytes and returns whole messages. The result does not depend
+//! on how the stream is split into reads, and each byte is processed a bounded number of times. The head is parsed once
+//! its end has been found, and before that only each time the number of buffered bytes has doubled, so that input that
+//! can never become a head is rejected early. If the head were parsed again after every read, a head of 8 KiB that
+//! arrives byte by byte would cost 33 MB of parsing.
 
 use super::fields::RequestError;
 
-/// How messages stand on a wire.
+/// The message format of a protocol.
 pub trait Framing: Copy {
-    /// What a head says.
+    /// The content of a parsed head.
     type Head;
-    /// What is made of a head and its body.
+    /// The message that is built from a head and its body.
     type Message;
     /// The longest head in bytes.
-    const MOST_HEAD: usize;
+    const MAX_HEAD: usize;
 
-    /// Looks for the end of a head in `bytes`, of which `scan` has seen some; true if one may be there now.
-    fn may_end(&self, bytes: &[u8], scan: &mut Scan) -> bool;
+    /// Searches `bytes` for the end of the head, from where `scan` stopped; true if the head may be complete.
+    fn head_may_be_complete(&self, bytes: &[u8], scan: &mut Scan) -> bool;
 
-    /// Reads the head at the start of `bytes`, which are no more than [`Framing::MOST_HEAD`]; none while it is
-    /// not there whole.
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Self::Head>>, RequestError>;
+    /// Parses the head at the start of `bytes`, which holds at most [`Framing::MAX_HEAD`] bytes. Returns `None` while
+    /// the head is incomplete.
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<ParsedHead<Self::Head>>, RequestError>;
 
-    /// Makes the message; `behind` tells whether more bytes came behind its body.
-    fn message(
+    /// Builds the message; `has_more` says whether further bytes have been received after its body.
+    fn build_message(
         &self,
-        head: Headed<Self::Head>,
+        head: ParsedHead<Self::Head>,
         body: &[u8],
-        behind: bool,
+        has_more: bool,
     ) -> Result<Self::Message, RequestError>;
 
-    /// The answer to a head that does not end within its bound.
-    fn too_large(&self) -> RequestError {
+    /// The error for a head that does not end within [`Framing::MAX_HEAD`] bytes.
+    fn head_too_large(&self) -> RequestError {
         RequestError { status: 431, reason: "the head is too large" }
     }
 }
 
-/// A head, and where its message ends.
+/// A parsed head and the lengths of both parts of its message.
 #[derive(Clone, Debug)]
-pub struct Headed<H> {
-    /// What it says.
+pub struct ParsedHead<H> {
+    /// The content of the head.
     pub head: H,
-    /// Its length in bytes.
-    pub len: usize,
-    /// The length of the body behind it.
-    pub body: usize,
+    /// The length of the head in bytes.
+    pub head_len: usize,
+    /// The length of the body that follows, in bytes.
+    pub body_len: usize,
 }
 
-/// How far bytes were looked through for the end of a head.
+/// The progress of the search for the end of a head.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Scan {
-    seen: usize,
-    /// Something other than an end of a line was there.
-    text: bool,
-    /// Nothing but ends of lines came since the last one.
-    blank: bool,
+    scanned: usize,
+    /// A byte other than CR and LF has been found.
+    has_text: bool,
+    /// Nothing but CR bytes has been found since the last LF.
+    after_line_feed: bool,
 }
 
 impl Scan {
-    /// Looks for an empty line behind one with text, where `\n` or `\r\n` ends a line.
+    /// Searches for an empty line after a line with text, where `\n` or `\r\n` ends a line.
     pub fn finds_blank_line(&mut self, bytes: &[u8]) -> bool {
-        while let Some(byte) = bytes.get(self.seen) {
-            self.seen += 1;
+        while let Some(byte) = bytes.get(self.scanned) {
+            self.scanned += 1;
             match byte {
-                b'\n' if self.blank && self.text => return true,
-                b'\n' => self.blank = true,
+                b'\n' if self.after_line_feed && self.has_text => return true,
+                b'\n' => self.after_line_feed = true,
                 b'\r' => {}
-                _ => (self.text, self.blank) = (true, false),
+                _ => (self.has_text, self.after_line_feed) = (true, false),
             }
         }
         false
     }
 }
 
-/// Bytes at which a first look is taken at a head without an end.
-const FIRST_LOOK: usize = 16;
+/// An incomplete head is first parsed when this many bytes are buffered.
+const FIRST_PARSE_AT: usize = 16;
 
-/// What a connection brought and was not yet taken as a message.
+/// Buffers the bytes received on a connection and decodes them into messages.
 #[derive(Debug)]
 pub struct MessageDecoder<F: Framing> {
     framing: F,
     bytes: Vec<u8>,
-    /// Bytes at the start that were taken.
-    used: usize,
+    /// Bytes at the start of `bytes` that belong to messages already returned.
+    consumed: usize,
     scan: Scan,
-    next_look: usize,
-    headed: Option<Headed<F::Head>>,
-    work: u64,
+    next_parse_at: usize,
+    parsed: Option<ParsedHead<F::Head>>,
+    bytes_processed: u64,
 }
 
 impl<F: Framing> MessageDecoder<F> {
-    /// Nothing was brought yet.
+    /// Creates a decoder with an empty buffer.
     pub fn new(framing: F) -> Self {
         Self {
             framing,
             bytes: Vec::new(),
-            used: 0,
+            consumed: 0,
             scan: Scan::default(),
-            next_look: FIRST_LOOK,
-            headed: None,
-            work: 0,
+            next_parse_at: FIRST_PARSE_AT,
+            parsed: None,
+            bytes_processed: 0,
         }
     }
 
-    /// Where more bytes are to be put, behind those that are there.
+    /// The buffer, to which the caller appends received bytes.
     pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
-        // Only what is left of a piece is moved, once a piece.
-        self.work += (self.bytes.len() - self.used) as u64 * u64::from(self.used > 0);
-        self.bytes.drain(..std::mem::take(&mut self.used));
+        // Only bytes that are not decoded yet are moved, once per read.
+        self.bytes_processed += (self.bytes.len() - self.consumed) as u64 * u64::from(self.consumed > 0);
+        self.bytes.drain(..std::mem::take(&mut self.consumed));
         &mut self.bytes
     }
 
-    /// All that came was taken.
+    /// All received bytes have been returned in messages.
     pub fn is_empty(&self) -> bool {
-        self.used == self.bytes.len()
+        self.consumed == self.bytes.len()
     }
 
-    /// Bytes that were looked at or moved so far: the cost of all that was read.
+    /// The number of bytes scanned, parsed or moved so far, which measures the cost of decoding.
     pub fn bytes_processed(&self) -> u64 {
-        self.work
+        self.bytes_processed
     }
 
-    /// What is wrong with what is there, now that nothing more comes. A head is looked at only now and then before
-    /// it ends, so this may be more than [`MessageDecoder::next_message`] told.
+    /// Reports the error in the remaining bytes once the input has ended. An incomplete head is not parsed after every
+    /// read, so this may find an error that [`MessageDecoder::next_message`] has not reported.
     pub fn finish(&mut self) -> Option<RequestError> {
-        self.next_look = 0;
+        self.next_parse_at = 0;
         self.next_message().err()
     }
 
-    /// The next message, and the bytes that it took; none while it is not there whole. After an error nothing
-    /// behind it may be read.
+    /// Returns the next message and its length in bytes, or `None` while it is incomplete. After an error the rest of
+    /// the input must not be decoded.
     pub fn next_message(&mut self) -> Result<Option<(F::Message, usize)>, RequestError> {
-        let bytes = &self.bytes[self.used..];
-        let headed = match self.headed.take() {
-            Some(headed) => headed,
+        let bytes = &self.bytes[self.consumed..];
+        let parsed = match self.parsed.take() {
+            Some(parsed) => parsed,
             None => {
-                let before = self.scan.seen;
-                let look = self.framing.may_end(bytes, &mut self.scan)
-                    || bytes.len() >= self.next_look.min(F::MOST_HEAD);
-                self.work += (self.scan.seen - before) as u64;
-                if !look {
+                let before = self.scan.scanned;
+                let parse_now = self.framing.head_may_be_complete(bytes, &mut self.scan)
+                    || bytes.len() >= self.next_parse_at.min(F::MAX_HEAD);
+                self.bytes_processed += (self.scan.scanned - before) as u64;
+                if !parse_now {
                     return Ok(None);
                 }
-                let seen = &bytes[..bytes.len().min(F::MOST_HEAD)];
-                self.work += seen.len() as u64;
-                self.next_look = seen.len() * 2;
-                match self.framing.head(seen)? {
-                    Some(headed) => headed,
-                    None if seen.len() >= F::MOST_HEAD => return Err(self.framing.too_large()),
+                let available = &bytes[..bytes.len().min(F::MAX_HEAD)];
+                self.bytes_processed += available.len() as u64;
+                self.next_parse_at = available.len() * 2;
+                match self.framing.parse_head(available)? {
+                    Some(parsed) => parsed,
+                    None if available.len() >= F::MAX_HEAD => return Err(self.framing.head_too_large()),
                     None => return Ok(None),
                 }
             }
         };
-        let taken = headed.len + headed.body;
-        let Some(body) = bytes.get(headed.len..taken) else {
-            self.headed = Some(headed);
+        let message_len = parsed.head_len + parsed.body_len;
+        let Some(body) = bytes.get(parsed.head_len..message_len) else {
+            self.parsed = Some(parsed);
             return Ok(None);
         };
-        let message = self.framing.message(headed, body, bytes.len() > taken)?;
-        self.work += taken as u64;
-        self.used += taken;
-        (self.scan, self.next_look) = (Scan::default(), FIRST_LOOK);
-        Ok(Some((message, taken)))
+        let message = self.framing.build_message(parsed, body, bytes.len() > message_len)?;
+        self.bytes_processed += message_len as u64;
+        self.consumed += message_len;
+        (self.scan, self.next_parse_at) = (Scan::default(), FIRST_PARSE_AT);
+        Ok(Some((message, message_len)))
     }
 }
--- a/src/net/fields.rs
+++ b/src/net/fields.rs
@@ -1,149 +1,157 @@
-//! The fields of a request, which all fronts share, and what is wrong with input that is none.
+//! The header fields of a request, which all frontends share, and the error for invalid requests.
+//!
+//! A frontend passes each header field to [`Fields`], which validates it, and gets the whole [`Request`] from
+//! [`Fields::finish`]. [`Message`] is what a frontend decodes from its connection; [`RequestError`] rejects input.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::core::{Bytes, Handle, Key, Request};
 
-/// The longest body of a request.
+/// The longest body of a request, in bytes.
 pub const MAX_BODY: usize = 2048;
-/// The longest head of a request, on whichever front.
-pub const MOST_HEAD: usize = 8192;
-/// The longest key.
-const MOST_KEY: usize = 256;
-/// Memory that a request may book, in kilobytes.
-const MOST_SIZE_KB: f64 = 2000.0;
+/// The longest head of a request on any frontend, in bytes.
+pub const MAX_HEAD: usize = 8192;
+/// The longest idempotency key.
+const MAX_KEY_BYTES: usize = 256;
+/// The memory that a request announces must be below this, in kilobytes.
+const MAX_MEMORY_KB: f64 = 2000.0;
 /// The longest name of a tenant.
-const MOST_TENANT: usize = 256;
-/// Bytes that are kept of what a request says it is about.
-const MOST_OBJECT: usize = 128;
-/// The most work that a request may announce, in milliseconds: an hour on one core.
-const MOST_COST_MS: f64 = 3_600_000.0;
-/// The longest wait that a caller may state: an hour.
-const MOST_PATIENCE_MS: u64 = 3_600_000;
+const MAX_TENANT_BYTES: usize = 256;
+/// The number of bytes that are kept of the name of a request's object.
+const MAX_OBJECT_BYTES: usize = 128;
+/// The highest cost that a request may announce, in milliseconds: an hour on one core.
+const MAX_COST_MS: f64 = 3_600_000.0;
+/// The longest timeout that a client may state: an hour.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// Input that is answered with an error and a close.
+/// Why a request is rejected. The client gets this as an answer, and the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// Its HTTP status.
+    /// The HTTP status of the answer.
     pub status: u16,
-    /// What is wrong.
+    /// The reason, which is the body of the answer.
     pub reason: &'static str,
 }
 
 impl RequestError {
-    /// A request that cannot be read.
+    /// A malformed request (status 400).
     pub const fn bad_request(reason: &'static str) -> Self {
         Self { status: 400, reason }
     }
 }
 
-/// What a front read.
+/// A request of either kind, decoded.
 #[derive(Clone, Debug)]
 pub enum Parsed {
-    /// A request. Its connection is filled in by the front.
+    /// A request that is to run. The frontend fills in its connection.
     Request(Box<Request>),
     /// A health check.
-    Check {
-        /// The caller wants to know whether work gets done.
+    HealthCheck {
+        /// The client asks whether requests are being served, and not only whether the process responds.
         deep: bool,
     },
 }
 
-/// What a front read, and what comes after it.
+/// A decoded message of a client.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// What it is.
+    /// The content.
     pub parsed: Parsed,
-    /// Bytes that it took.
+    /// The length of the message in bytes.
     pub consumed: usize,
-    /// The connection is closed after the answer.
+    /// The connection is to be closed after the answer.
     pub close: bool,
 }
 
-/// The fields of a request, as they are read one by one.
+/// Collects the header fields of a request.
 #[derive(Debug, Default)]
 pub struct Fields {
     handle: Option<Handle>,
     start: Option<Duration>,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
     caller: Option<u32>,
     tenant: Option<Arc<str>>,
     cost: Option<Duration>,
     size_kb: Option<f64>,
     rank: Option<f64>,
     key: Option<Key>,
-    /// Whether it names what it is about, and what it says.
+    /// The outer option says whether the field is present; the inner one is `None` where its value is empty.
     object: Option<Option<Arc<str>>>,
 }
 
-/// Notes a value. A field that stands twice with different values leaves open which of them counts.
-fn note<T: PartialEq>(
-    held: &mut Option<T>,
+/// Stores a value. A field that is repeated with a different value is rejected, since it is ambiguous which one counts.
+fn set_once<T: PartialEq>(
+    stored: &mut Option<T>,
     value: Option<T>,
-    wrong: &'static str,
+    reason: &'static str,
 ) -> Result<(), RequestError> {
-    let value = value.ok_or(RequestError::bad_request(wrong))?;
-    match held.as_ref().is_some_and(|before| *before != value) {
+    let value = value.ok_or(RequestError::bad_request(reason))?;
+    match stored.as_ref().is_some_and(|earlier| *earlier != value) {
         true => Err(RequestError::bad_request("a field stands twice")),
         false => {
-            *held = Some(value);
+            *stored = Some(value);
             Ok(())
         }
     }
 }
 
-/// The first `most` bytes of a text, or a few less where that would cut a character.
-fn clip(text: &str, most: usize) -> &str {
-    &text[..text.floor_char_boundary(most)]
+/// The first `max_bytes` bytes of a text, or a few less so as not to split a character.
+fn truncate(text: &str, max_bytes: usize) -> &str {
+    &text[..text.floor_char_boundary(max_bytes)]
 }
 
-/// A number in digits alone: signs are read by some servers, and not by others.
-fn digits<T: std::str::FromStr>(value: &str) -> Option<T> {
+/// Parses a number that consists of digits alone. Some servers accept signs, and others do not.
+fn parse_digits<T: std::str::FromStr>(value: &str) -> Option<T> {
     value.bytes().all(|b| b.is_ascii_digit()).then(|| value.parse().ok()).flatten()
 }
 
-/// A number in digits with at most one point.
-fn decimal(value: &str) -> Option<f64> {
-    let plain = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    plain.then(|| value.parse().ok()).flatten()
+/// Parses a number that consists of digits and at most one point.
+fn parse_decimal(value: &str) -> Option<f64> {
+    let is_decimal = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    is_decimal.then(|| value.parse().ok()).flatten()
 }
 
 impl Fields {
-    /// Takes one field; `name` in any case. Names that are not known are passed over.
+    /// Adds a header field; `name` may be in any case. Unknown names are ignored.
     pub fn set(&mut self, name: &str, value: &str) -> Result<(), RequestError> {
         let value = value.trim();
-        let is = |known: &str| name.eq_ignore_ascii_case(known);
+        let is = |field: &str| name.eq_ignore_ascii_case(field);
         if is("x-request-id") {
-            note(&mut self.handle, value.parse().ok(), "X-Request-Id is not 16 hex digits")
+            set_once(&mut self.handle, value.parse().ok(), "X-Request-Id is not 16 hex digits")
         } else if is("x-request-start") {
-            note(&mut self.start, digits(value).map(Duration::from_millis), "X-Request-Start is no time")
+            set_once(
+                &mut self.start,
+                parse_digits(value).map(Duration::from_millis),
+                "X-Request-Start is no time",
+            )
         } else if is("x-timeout-ms") {
-            let ms = digits(value).filter(|ms| (1..=MOST_PATIENCE_MS).contains(ms));
-            note(&mut self.patience, ms.map(Duration::from_millis), "X-Timeout-Ms is no usable time")
+            let ms = parse_digits(value).filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
+            set_once(&mut self.timeout, ms.map(Duration::from_millis), "X-Timeout-Ms is no usable time")
         } else if is("x-caller") {
-            note(&mut self.caller, digits(value), "X-Caller is no number")
+            set_once(&mut self.caller, parse_digits(value), "X-Caller is no number")
         } else if is("x-tenant") {
-            let name = Some(value).filter(|name| !name.is_empty() && name.len() <= MOST_TENANT);
-            note(&mut self.tenant, name.map(Arc::from), "X-Tenant is empty or too long")
+            let name = Some(value).filter(|name| !name.is_empty() && name.len() <= MAX_TENANT_BYTES);
+            set_once(&mut self.tenant, name.map(Arc::from), "X-Tenant is empty or too long")
         } else if is("x-cost-ms") {
-            let ms = decimal(value).filter(|ms| *ms <= MOST_COST_MS);
+            let ms = parse_decimal(value).filter(|ms| *ms <= MAX_COST_MS);
             let cost = ms.map(|ms| Duration::from_secs_f64(ms / 1000.0));
-            note(&mut self.cost, cost, "X-Cost-Ms is no usable number of milliseconds")
+            set_once(&mut self.cost, cost, "X-Cost-Ms is no usable number of milliseconds")
         } else if is("x-memory-kb") {
-            let kb = value.parse().ok().filter(|kb| *kb > 0.0 && *kb < MOST_SIZE_KB);
-            note(&mut self.size_kb, kb, "X-Memory-Kb is not above 0 and under 2000")
+            let kb = value.parse().ok().filter(|kb| *kb > 0.0 && *kb < MAX_MEMORY_KB);
+            set_once(&mut self.size_kb, kb, "X-Memory-Kb is not above 0 and under 2000")
         } else if is("x-rank") {
             let rank = value.parse().ok().filter(|rank| (0.0..1.0).contains(rank));
-            note(&mut self.rank, rank, "X-Rank is not from 0 to under 1")
+            set_once(&mut self.rank, rank, "X-Rank is not from 0 to under 1")
         } else if is("idempotency-key") {
-            let key = Some(value).filter(|key| !key.is_empty() && key.len() <= MOST_KEY);
-            note(&mut self.key, key.map(Key::from), "Idempotency-Key is empty or too long")
+            let key = Some(value).filter(|key| !key.is_empty() && key.len() <= MAX_KEY_BYTES);
+            set_once(&mut self.key, key.map(Key::from), "Idempotency-Key is empty or too long")
         } else if is("x-object") {
-            // It may be of any length, and stand twice as long as both name something: the first one counts.
-            let object = (!value.is_empty()).then(|| clip(value, MOST_OBJECT).into());
+            // The value may be of any length, and the field may be repeated: the first value counts. Only an empty and
+            // a non-empty value contradict each other.
+            let object = (!value.is_empty()).then(|| truncate(value, MAX_OBJECT_BYTES).into());
             match &self.object {
-                Some(before) if before.is_some() != object.is_some() => {
+                Some(earlier) if earlier.is_some() != object.is_some() => {
                     Err(RequestError::bad_request("a field stands twice"))
                 }
                 Some(_) => Ok(()),
@@ -157,17 +165,17 @@
         }
     }
 
-    /// The request, if all that it needs is there.
+    /// Builds the request, if all required fields are present.
     pub fn finish(self, class: &str, body: Bytes) -> Result<Request, RequestError> {
         Ok(Request {
             conn: 0,
             handle: self.handle.ok_or(RequestError::bad_request("X-Request-Id is missing"))?,
             class: class.to_string(),
             start: self.start.ok_or(RequestError::bad_request("X-Request-Start is missing"))?,
-            patience: self.patience,
+            patience: self.timeout,
             caller: self.caller.unwrap_or_default(),
             tenant: self.tenant,
-            // No work at all is no hint.
+            // A cost of 0 is no hint.
             cost: self.cost.filter(|cost| !cost.is_zero()),
             size_kb: self.size_kb.unwrap_or_default(),
             rank: self.rank.unwrap_or_default(),
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -1,4 +1,7 @@
-//! A connection of a caller: read a request, wait for its answer, write it, again.
+//! Serves a client's connection: reads a request, waits for its answer, writes the answer, and repeats.
+//!
+//! This is the same for every frontend. A frontend consists of a protocol ([`Wire`]) and of a byte stream
+//! (`ClientStream`), which is a TCP connection or TLS on one. [`WaitTimes`] holds the rules for read timeouts.
 
 use std::io::{self, Read, Write};
 use std::time::{Duration, Instant};
@@ -9,96 +12,96 @@
 use super::connection_table::{AfterAnswer, EVICT_AFTER};
 use super::decoder::{Framing, MessageDecoder};
 use super::fields::{Message, Parsed, RequestError};
-use super::lingering_close::{self, Ending};
+use super::lingering_close::{self, ConnectionEnd};
 use super::stream::Conn;
 use super::{ConnectionSlot, Hub};
 use crate::core::{Answer, End, Input, Verdict};
 
-/// A request must be there whole this long after its first byte.
-pub const READ_PATIENCE: Duration = Duration::from_secs(10);
-/// A new connection must bring its first whole request within this time of being accepted, whether it says half
-/// of one or nothing at all: callers connect when they have something to say.
-pub const FIRST_PATIENCE: Duration = Duration::from_millis(2500);
-/// A new connection is not closed as idle before this time: its first request is on the way.
-pub const NEW_PATIENCE: Duration = Duration::from_secs(1);
-/// A caller that reads nothing for this long has stopped reading.
-pub(super) const WRITE_PATIENCE: Duration = Duration::from_secs(2);
-/// Bytes read at once.
-const CHUNK: usize = 4096;
-/// Once the server takes no new connections, the rest of a request is waited for this long: half of the time that
-/// there is between then and the stop.
-pub const CLOSING_PATIENCE: Duration = Duration::from_millis(400);
-/// The answer to a request that does not come whole in its time.
+/// A request must have arrived completely within this time of its first byte.
+pub const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// The first request must have arrived completely within this time of the accept, whether a part of it or nothing has
+/// been received: clients connect when they have a request to send.
+pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A new connection is not closed as idle before this time, because its first request is probably on the way.
+pub const MIN_FIRST_IDLE: Duration = Duration::from_secs(1);
+/// A client that reads nothing for this long is taken to have stopped reading.
+pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The number of bytes to read at once.
+const READ_CHUNK: usize = 4096;
+/// Once the server has stopped accepting connections, the rest of a partial request must arrive within this time. It is
+/// half of the time between then and the stop.
+pub const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(400);
+/// The answer to a request that does not arrive completely in time.
 const TOO_SLOW: RequestError = RequestError { status: 408, reason: "too slow" };
 
-/// How requests and answers look on a front.
+/// The protocol of a frontend: decodes requests ([`Framing`]) and encodes answers.
 pub trait Wire: Framing<Message = Message> + Send + 'static {
-    /// An answer in bytes.
+    /// Encodes an answer.
     fn encode(&self, answer: &Answer, close: bool) -> Vec<u8>;
-    /// The answer to input that is no message.
-    fn encode_bad(&self, bad: RequestError) -> Vec<u8>;
+    /// Encodes the answer to an invalid request.
+    fn encode_error(&self, error: RequestError) -> Vec<u8>;
 }
 
-/// The bytes under a wire: a connection, or TLS on one.
-pub(super) trait Stream: Read + Write {
-    /// The connection itself.
+/// The byte stream of a client: a TCP connection, or TLS on one.
+pub(super) trait ClientStream: Read + Write {
+    /// The TCP connection.
     fn conn(&mut self) -> &mut Conn;
-    /// Tells the other side that nothing more comes.
-    fn end(&mut self);
+    /// Notifies the client that nothing more will be sent, where the protocol has such a message.
+    fn notify_close(&mut self);
 }
 
-impl Stream for Conn {
+impl ClientStream for Conn {
     fn conn(&mut self) -> &mut Conn {
         self
     }
 
-    fn end(&mut self) {}
+    fn notify_close(&mut self) {}
 }
 
-/// Why a connection is read no further.
-enum Stop {
-    /// Nothing of a request is there, and none is waited for any longer.
+/// Why no further request is read from a connection.
+enum ReadStop {
+    /// No part of a request has arrived, and the connection is closed as idle.
     Idle,
-    /// Nothing of a request is there, and the caller has closed its side.
+    /// No part of a request has arrived, and the client has closed its side.
     PeerClosed,
-    /// The caller closed it, or it broke.
+    /// The connection is broken.
     PeerGone,
-    /// It sent what is no request.
-    Bad(RequestError),
+    /// The client sent an invalid or incomplete request.
+    Invalid(RequestError),
 }
 
-/// Serves one connection until it ends.
-pub(super) fn serve<S: Stream, W: Wire>(mut stream: S, wire: W, slot: &ConnectionSlot) {
-    let (ending, reason) = serve_requests(&mut stream, wire, slot);
+/// Serves a connection until it ends, and closes it.
+pub(super) fn serve<S: ClientStream, W: Wire>(mut stream: S, wire: W, slot: &ConnectionSlot) {
+    let (end, reason) = serve_requests(&mut stream, wire, slot);
     slot.hub.closes.count(reason);
     slot.begin_closing();
-    let patience =
-        if slot.hub.is_closed() { lingering_close::LAST_PATIENCE } else { lingering_close::PATIENCE };
-    lingering_close::close(&mut stream, ending, patience);
+    let timeout =
+        if slot.hub.is_closed() { lingering_close::FINAL_TIMEOUT } else { lingering_close::TIMEOUT };
+    lingering_close::close(&mut stream, end, timeout);
 }
 
-fn serve_requests<S: Stream, W: Wire>(
+fn serve_requests<S: ClientStream, W: Wire>(
     stream: &mut S,
     wire: W,
     slot: &ConnectionSlot,
-) -> (Ending, CloseReason) {
+) -> (ConnectionEnd, CloseReason) {
     let (conn, hub) = (slot.conn, &*slot.hub);
     let mut decoder = MessageDecoder::new(wire);
     let mut accepted = Some(slot.accepted);
     loop {
         let message = match read_message(stream, &mut decoder, slot, accepted.take()) {
             Ok(message) => message,
-            Err(Stop::Idle) => return (Ending::Finished, CloseReason::Idle),
-            Err(Stop::PeerClosed) => return (Ending::Finished, CloseReason::PeerGone),
-            Err(Stop::PeerGone) => return (Ending::PeerGone, CloseReason::PeerGone),
-            Err(Stop::Bad(bad)) => {
+            Err(ReadStop::Idle) => return (ConnectionEnd::Finished, CloseReason::Idle),
+            Err(ReadStop::PeerClosed) => return (ConnectionEnd::Finished, CloseReason::PeerGone),
+            Err(ReadStop::PeerGone) => return (ConnectionEnd::PeerGone, CloseReason::PeerGone),
+            Err(ReadStop::Invalid(error)) => {
                 hub.push(Input::Rejected);
-                return (write(stream, &wire.encode_bad(bad), hub), CloseReason::Malformed);
+                return (write(stream, &wire.encode_error(error), hub), CloseReason::Malformed);
             }
         };
         let after = slot.request_read();
         hub.push(match message.parsed {
-            Parsed::Check { deep } => Input::Check { conn, deep },
+            Parsed::HealthCheck { deep } => Input::Check { conn, deep },
             Parsed::Request(mut request) => {
                 request.conn = conn;
                 request.start = hub.clock.past(request.start);
@@ -106,68 +109,68 @@
             }
         });
         let Ok(answer) = slot.answers.recv() else {
-            warn!("violation: a connection ends without the answer that it is owed: {conn}");
+            warn!("violation: connection {conn} closed without the answer to its request");
             hub.push(Input::Violated);
-            return (Ending::Finished, CloseReason::Unanswered);
+            return (ConnectionEnd::Finished, CloseReason::Unanswered);
         };
         let invalid = matches!(answer.verdict, Verdict::Invalid(_) | Verdict::NoSuchClass);
         let close = message.close || answer.close || invalid || after == AfterAnswer::Closes;
-        let ending = write(stream, &wire.encode(&answer, close), hub);
-        match ending {
-            Ending::PeerGone => return (ending, CloseReason::Unsent),
-            Ending::Finished if close => return (ending, CloseReason::AfterAnswer),
-            Ending::Finished => {}
+        let end = write(stream, &wire.encode(&answer, close), hub);
+        match end {
+            ConnectionEnd::PeerGone => return (end, CloseReason::Unsent),
+            ConnectionEnd::Finished if close => return (end, CloseReason::AfterAnswer),
+            ConnectionEnd::Finished => {}
         }
         slot.answered();
     }
 }
 
 fn read_message<W: Wire>(
-    stream: &mut impl Stream,
+    stream: &mut impl ClientStream,
     decoder: &mut MessageDecoder<W>,
     slot: &ConnectionSlot,
     accepted: Option<Instant>,
-) -> Result<Message, Stop> {
+) -> Result<Message, ReadStop> {
     let hub = &*slot.hub;
     let since = Instant::now();
     let mut first_byte = (!decoder.is_empty()).then_some(since);
-    let (mut last_look, mut noted) = (false, false);
+    let (mut final_read_done, mut part_reported) = (false, false);
     loop {
-        if let Some((message, _)) = decoder.next_message().map_err(Stop::Bad)? {
+        if let Some((message, _)) = decoder.next_message().map_err(ReadStop::Invalid)? {
             return Ok(message);
         }
-        if first_byte.is_some() && !noted {
-            noted = true;
+        if first_byte.is_some() && !part_reported {
+            part_reported = true;
             slot.part_read();
         }
-        let idle = first_byte.is_none();
-        let waited = Waited {
+        let is_idle = first_byte.is_none();
+        let times = WaitTimes {
             idle: since.elapsed(),
-            partial: first_byte.map(|at| at.elapsed()),
-            unasked: accepted.map(|at| at.elapsed()),
+            since_first_byte: first_byte.map(|at| at.elapsed()),
+            since_accept: accepted.map(|at| at.elapsed()),
         };
-        let left = waited.left(hub.idle_limit(), hub.closed_for());
-        // What came while the timer fired is read before the connection is closed as idle.
-        if left.is_zero() && last_look && stream.conn().is_open_and_idle() {
-            return Err(if idle { Stop::Idle } else { Stop::Bad(TOO_SLOW) });
+        let remaining = times.remaining(hub.idle_limit(), hub.closed_for());
+        // Bytes that arrived while the timer fired are read before the connection is closed as idle.
+        if remaining.is_zero() && final_read_done && stream.conn().is_open_and_idle() {
+            return Err(if is_idle { ReadStop::Idle } else { ReadStop::Invalid(TOO_SLOW) });
         }
-        last_look = left.is_zero();
-        stream.conn().set_read_patience(left.clamp(Duration::from_millis(1), hub.idle_look()));
+        final_read_done = remaining.is_zero();
+        stream.conn().set_read_timeout(remaining.clamp(Duration::from_millis(1), hub.idle_look()));
         match read_some(stream, decoder.buffer_mut()) {
-            // Nothing more comes, as this one was evicted or the caller has closed its side.
-            Ok(0) if idle && slot.is_evicted() => return Err(Stop::Idle),
-            Ok(0) if idle => return Err(Stop::PeerClosed),
-            Ok(0) if slot.is_evicted() => return Err(Stop::Bad(TOO_SLOW)),
-            // The caller may have closed only its own side, and still read.
+            // End of the input: the connection was evicted, or the client has closed its side.
+            Ok(0) if is_idle && slot.is_evicted() => return Err(ReadStop::Idle),
+            Ok(0) if is_idle => return Err(ReadStop::PeerClosed),
+            Ok(0) if slot.is_evicted() => return Err(ReadStop::Invalid(TOO_SLOW)),
+            // The client may have closed only its sending side, and may still read the answer.
             Ok(0) => {
-                return Err(Stop::Bad(
+                return Err(ReadStop::Invalid(
                     decoder.finish().unwrap_or(RequestError::bad_request("the request ends early")),
                 ));
             }
             Ok(_) => {}
             Err(e) if is_timeout(&e) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(_) => return Err(Stop::PeerGone),
+            Err(_) => return Err(ReadStop::PeerGone),
         }
         if !decoder.is_empty() {
             first_byte.get_or_insert_with(Instant::now);
@@ -175,46 +178,47 @@
     }
 }
 
-/// How long a connection has been waited on.
-pub struct Waited {
-    /// Since its last message.
+/// How long the server has been waiting for the next message of a connection.
+pub struct WaitTimes {
+    /// Time since the wait for this message began: since the accept or the last answer.
     pub idle: Duration,
-    /// Since the first byte of its next message, if a part is there.
-    pub partial: Option<Duration>,
-    /// Since it was accepted, if it has not brought a message yet.
-    pub unasked: Option<Duration>,
+    /// Time since the first byte of the message, if a part of it has arrived.
+    pub since_first_byte: Option<Duration>,
+    /// Time since the connection was accepted, if it has not sent a message yet.
+    pub since_accept: Option<Duration>,
 }
 
-impl Waited {
-    /// How much longer it is read; `closed_for` tells since when the server takes no new connections.
-    pub fn left(&self, idle_limit: Duration, closed_for: Option<Duration>) -> Duration {
-        let first = self.unasked.map_or(Duration::MAX, |since| FIRST_PATIENCE.saturating_sub(since));
-        let next = match (self.partial, self.unasked, closed_for) {
-            // A length that lies must not hold up the end of a drain.
+impl WaitTimes {
+    /// How much longer to wait. `closed_for` is the time since the server stopped accepting connections, if it has.
+    pub fn remaining(&self, idle_limit: Duration, closed_for: Option<Duration>) -> Duration {
+        let first =
+            self.since_accept.map_or(Duration::MAX, |since| FIRST_REQUEST_TIMEOUT.saturating_sub(since));
+        let next = match (self.since_first_byte, self.since_accept, closed_for) {
+            // A request whose announced length is wrong must not delay the end of a drain.
             (Some(since), _, Some(closed)) => {
-                READ_PATIENCE.saturating_sub(since).min(CLOSING_PATIENCE.saturating_sub(closed))
+                READ_TIMEOUT.saturating_sub(since).min(FINAL_READ_TIMEOUT.saturating_sub(closed))
             }
-            // Counted from the first byte: an idle connection may bring a request in two parts at any time.
-            (Some(since), _, None) => READ_PATIENCE.saturating_sub(since),
-            // It was accepted while the listener closed: its request is on the way.
+            // Counted from the first byte, because an idle connection may send a request in two parts at any time.
+            (Some(since), _, None) => READ_TIMEOUT.saturating_sub(since),
+            // The connection was accepted while the listener was closing, and its request is probably on the way.
             (None, Some(since), Some(_)) => EVICT_AFTER.saturating_sub(since),
-            (None, Some(_), None) => idle_limit.max(NEW_PATIENCE).saturating_sub(self.idle),
+            (None, Some(_), None) => idle_limit.max(MIN_FIRST_IDLE).saturating_sub(self.idle),
             (None, None, _) => idle_limit.saturating_sub(self.idle),
         };
         next.min(first)
     }
 }
 
-/// Reads once, behind what is there; the number of bytes that came.
+/// Reads once and appends to `bytes`; returns the number of bytes read.
 pub(crate) fn read_some(stream: &mut impl Read, bytes: &mut Vec<u8>) -> io::Result<usize> {
-    let had = bytes.len();
-    bytes.resize(had + CHUNK, 0);
-    let read = stream.read(&mut bytes[had..]);
-    bytes.truncate(had + *read.as_ref().unwrap_or(&0));
+    let old_len = bytes.len();
+    bytes.resize(old_len + READ_CHUNK, 0);
+    let read = stream.read(&mut bytes[old_len..]);
+    bytes.truncate(old_len + *read.as_ref().unwrap_or(&0));
     read
 }
 
-/// A wait of this program's own is over. A connection that the system gave up (`ETIMEDOUT`) is not one: it is broken.
+/// The error is a timeout set by this program. `ETIMEDOUT` from the operating system is not: that connection is broken.
 pub(super) fn is_timeout(e: &io::Error) -> bool {
     match e.kind() {
         io::ErrorKind::WouldBlock => true,
@@ -223,13 +227,13 @@
     }
 }
 
-/// Writes an answer; how the connection ends if it ends now.
-fn write(stream: &mut impl Stream, bytes: &[u8], hub: &Hub) -> Ending {
+/// Writes an answer; returns how the connection is to be closed if it is closed now.
+fn write(stream: &mut impl ClientStream, bytes: &[u8], hub: &Hub) -> ConnectionEnd {
     match stream.write_all(bytes).and_then(|()| stream.flush()) {
-        Ok(()) => Ending::Finished,
+        Ok(()) => ConnectionEnd::Finished,
         Err(e) => {
             hub.push(Input::Unsent(if is_timeout(&e) { End::Stalled } else { End::Broken }));
-            Ending::PeerGone
+            ConnectionEnd::PeerGone
         }
     }
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,88 +1,98 @@
-//! The platform's front: HTTP/1.1, one request at a time on a connection.
+//! The HTTP/1.1 frontend: one request at a time on a connection.
+//!
+//! [`Http`] decodes requests and encodes answers. The SCGI frontend and the admin endpoint share parts of it.
 
-use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Fields, Message, Parsed, RequestError, MAX_BODY, MOST_HEAD};
+use super::decoder::{Framing, ParsedHead, Scan};
+use super::fields::{Fields, Message, Parsed, RequestError, MAX_BODY, MAX_HEAD};
 use super::frontend::Wire;
 use crate::core::{Answer, Verdict};
 
-/// Where requests go; the class follows.
-const PATH: &str = "/do/";
-/// Where health checks go.
-const CHECK: &str = "/check";
-/// Fields that a head may have.
-const MOST_FIELDS: usize = 64;
+/// The path prefix of requests; the class follows.
+const REQUEST_PATH_PREFIX: &str = "/do/";
+/// The path of health checks.
+const HEALTH_CHECK_PATH: &str = "/check";
+/// The highest number of header fields in a request.
+const MAX_HEADERS: usize = 64;
 
-/// The HTTP wire.
+/// The HTTP protocol of the frontend.
 #[derive(Clone, Copy, Debug)]
 pub struct Http;
 
 impl Framing for Http {
-    type Head = Head;
+    type Head = RequestHead;
     type Message = Message;
-    const MOST_HEAD: usize = MOST_HEAD;
+    const MAX_HEAD: usize = MAX_HEAD;
 
-    fn may_end(&self, bytes: &[u8], scan: &mut Scan) -> bool {
+    fn head_may_be_complete(&self, bytes: &[u8], scan: &mut Scan) -> bool {
         scan.finds_blank_line(bytes)
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Head>>, RequestError> {
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let Some((head, len)) = read_head(bytes, &mut fields)? else { return Ok(None) };
-        let mut known = Fields::default();
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<ParsedHead<RequestHead>>, RequestError> {
+        let mut buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let Some((head, head_len)) = parse_request_head(bytes, &mut buffer)? else { return Ok(None) };
+        let mut fields = Fields::default();
         let mut close = head.version == Some(0);
-        for field in head.headers.iter() {
-            if ["content-length", "transfer-encoding"].iter().any(|f| field.name.eq_ignore_ascii_case(f)) {
+        for header in head.headers.iter() {
+            if ["content-length", "transfer-encoding"]
+                .iter()
+                .any(|name| header.name.eq_ignore_ascii_case(name))
+            {
                 continue;
             }
-            let value = std::str::from_utf8(field.value)
+            let value = std::str::from_utf8(header.value)
                 .map_err(|_| RequestError::bad_request("a field is no text"))?;
-            if field.name.eq_ignore_ascii_case("connection") {
-                close |= value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close"));
+            if header.name.eq_ignore_ascii_case("connection") {
+                close |= value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close"));
             } else {
-                known.set(field.name, value)?;
+                fields.set(header.name, value)?;
             }
         }
-        let body = body_len(head.headers)?;
-        if body > MAX_BODY {
+        let body_len = content_length(head.headers)?;
+        if body_len > MAX_BODY {
             return Err(RequestError { status: 413, reason: "the body is too large" });
         }
-        let route = route(head.method.unwrap_or(""), head.path.unwrap_or(""), known)?;
-        Ok(Some(Headed { head: Head { route, close }, len, body }))
+        let target = parse_target(head.method.unwrap_or(""), head.path.unwrap_or(""), fields)?;
+        Ok(Some(ParsedHead { head: RequestHead { target, close }, head_len, body_len }))
     }
 
-    fn message(&self, headed: Headed<Head>, body: &[u8], _behind: bool) -> Result<Message, RequestError> {
-        let taken = headed.len + headed.body;
-        Ok(Message { parsed: headed.head.route.with(body)?, consumed: taken, close: headed.head.close })
+    fn build_message(
+        &self,
+        parsed: ParsedHead<RequestHead>,
+        body: &[u8],
+        _has_more: bool,
+    ) -> Result<Message, RequestError> {
+        let consumed = parsed.head_len + parsed.body_len;
+        Ok(Message { parsed: parsed.head.target.into_parsed(body)?, consumed, close: parsed.head.close })
     }
 }
 
 impl Wire for Http {
     fn encode(&self, answer: &Answer, close: bool) -> Vec<u8> {
-        let (status, fields, body) = parts(answer);
-        response(status, &fields, body, close)
+        let (status, fields, body) = answer_parts(answer);
+        encode_response(status, &fields, body, close)
     }
 
-    fn encode_bad(&self, bad: RequestError) -> Vec<u8> {
-        response(bad.status, "", bad.reason.as_bytes(), true)
+    fn encode_error(&self, error: RequestError) -> Vec<u8> {
+        encode_response(error.status, "", error.reason.as_bytes(), true)
     }
 }
 
-/// What the head of a request says.
+/// The parsed head of a request.
 #[derive(Debug)]
-pub struct Head {
-    route: Route,
-    /// The connection is closed after the answer.
+pub struct RequestHead {
+    target: Target,
+    /// The connection is to be closed after the answer.
     close: bool,
 }
 
-/// Reads the head of an HTTP request and tells its length; none while it is not there whole.
-pub(super) fn read_head<'h, 'b>(
+/// Parses the head of an HTTP request. Returns it with its length in bytes, or `None` while it is incomplete.
+pub(super) fn parse_request_head<'h, 'b>(
     bytes: &'b [u8],
-    fields: &'h mut [httparse::Header<'b>],
+    buffer: &'h mut [httparse::Header<'b>],
 ) -> Result<Option<(httparse::Request<'h, 'b>, usize)>, RequestError> {
-    let mut head = httparse::Request::new(fields);
+    let mut head = httparse::Request::new(buffer);
     match head.parse(bytes) {
-        // An end of a line that is a line feed alone is one to some servers on the way, and none to others.
+        // Some intermediaries take a line feed alone as the end of a line, and others do not.
         Ok(httparse::Status::Complete(len)) => match has_bare_line_feed(&bytes[..len]) {
             true => Err(RequestError::bad_request("a line does not end in CR LF")),
             false => Ok(Some((head, len))),
@@ -99,75 +109,75 @@
     head.first() == Some(&b'\n') || head.windows(2).any(|pair| pair[1] == b'\n' && pair[0] != b'\r')
 }
 
-/// How long the body behind a head is. What leaves open where the next request starts is turned down: another
-/// server on the way could see another request there.
-pub(super) fn body_len(fields: &[httparse::Header]) -> Result<usize, RequestError> {
-    let mut told = None;
-    for field in fields {
-        if field.name.eq_ignore_ascii_case("transfer-encoding") {
+/// The length of the body. Headers that leave the start of the next request ambiguous are rejected, because an
+/// intermediary could read a different request there (request smuggling).
+pub(super) fn content_length(headers: &[httparse::Header]) -> Result<usize, RequestError> {
+    let mut length = None;
+    for header in headers {
+        if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(RequestError { status: 411, reason: "a body needs a Content-Length" });
         }
-        if !field.name.eq_ignore_ascii_case("content-length") {
+        if !header.name.eq_ignore_ascii_case("content-length") {
             continue;
         }
-        let digits = !field.value.is_empty() && field.value.iter().all(u8::is_ascii_digit);
-        let len = std::str::from_utf8(field.value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
+        let digits = !header.value.is_empty() && header.value.iter().all(u8::is_ascii_digit);
+        let len = std::str::from_utf8(header.value).ok().filter(|_| digits).and_then(|v| v.parse().ok());
         let len: usize = len.ok_or(RequestError::bad_request("Content-Length is no length"))?;
-        if told.replace(len).is_some_and(|before| before != len) {
+        if length.replace(len).is_some_and(|earlier| earlier != len) {
             return Err(RequestError::bad_request("Content-Length stands twice"));
         }
     }
-    Ok(told.unwrap_or(0))
+    Ok(length.unwrap_or(0))
 }
 
-/// What a message asks for, before its body is there.
+/// What a request is for, known before its body has been received.
 #[derive(Debug)]
-pub enum Route {
+pub enum Target {
     /// A health check.
-    Check {
-        /// The caller wants to know whether work gets done.
+    HealthCheck {
+        /// The client asks whether requests are being served, and not only whether the process responds.
         deep: bool,
     },
-    /// A request of a class.
+    /// A request that is to run.
     Request {
-        /// The class.
+        /// The class of the request.
         class: String,
-        /// Its fields.
+        /// The header fields of the request.
         fields: Box<Fields>,
     },
 }
 
-impl Route {
-    /// What was read, with its body.
-    pub(super) fn with(self, body: &[u8]) -> Result<Parsed, RequestError> {
+impl Target {
+    /// Builds the request from its target and its body.
+    pub(super) fn into_parsed(self, body: &[u8]) -> Result<Parsed, RequestError> {
         Ok(match self {
-            Self::Check { deep } => Parsed::Check { deep },
+            Self::HealthCheck { deep } => Parsed::HealthCheck { deep },
             Self::Request { class, fields } => Parsed::Request(Box::new(fields.finish(&class, body.into())?)),
         })
     }
 }
 
-/// Tells what a method and a target ask for; shared with the other front.
-pub(super) fn route(method: &str, target: &str, fields: Fields) -> Result<Route, RequestError> {
+/// Parses a method and a request target; shared with the SCGI frontend.
+pub(super) fn parse_target(method: &str, target: &str, fields: Fields) -> Result<Target, RequestError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    if path == CHECK {
+    if path == HEALTH_CHECK_PATH {
         return match method {
-            "GET" => Ok(Route::Check { deep: query.split('&').any(|pair| pair == "deep=1") }),
+            "GET" => Ok(Target::HealthCheck { deep: query.split('&').any(|pair| pair == "deep=1") }),
             _ => Err(RequestError { status: 405, reason: "a check is a GET" }),
         };
     }
-    let Some(class) = path.strip_prefix(PATH) else {
+    let Some(class) = path.strip_prefix(REQUEST_PATH_PREFIX) else {
         return Err(RequestError { status: 404, reason: "no such path" });
     };
-    // A request may have an effect: what a GET or a PUT promises does not hold for it.
+    // A request may have effects, so it is neither safe as a GET is, nor idempotent as a PUT is.
     if method != "POST" {
         return Err(RequestError { status: 405, reason: "a request is a POST" });
     }
-    Ok(Route::Request { class: class.to_string(), fields: Box::new(fields) })
+    Ok(Target::Request { class: class.to_string(), fields: Box::new(fields) })
 }
 
-/// Status, fields and body of an answer; shared with the other front.
-pub(super) fn parts(answer: &Answer) -> (u16, String, &[u8]) {
+/// The status, header fields and body of an answer; shared with the SCGI frontend.
+pub(super) fn answer_parts(answer: &Answer) -> (u16, String, &[u8]) {
     let mut fields = answer.signal.map_or(String::new(), |value| format!("X-Load-Signal: {value:.4}\r\n"));
     let (status, body): (u16, &[u8]) = match &answer.verdict {
         Verdict::Served(result) => (200, result),
@@ -189,8 +199,8 @@
     (status, fields, body)
 }
 
-/// The phrase that goes with a status.
-pub(super) fn phrase(status: u16) -> &'static str {
+/// The reason phrase of a status.
+pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -206,9 +216,10 @@
     }
 }
 
-pub(super) fn response(status: u16, fields: &str, body: &[u8], close: bool) -> Vec<u8> {
+/// Encodes a response; each header field in `fields` ends in CR LF.
+pub(super) fn encode_response(status: u16, fields: &str, body: &[u8], close: bool) -> Vec<u8> {
     let close = if close { "Connection: close\r\n" } else { "" };
-    let phrase = phrase(status);
+    let phrase = reason_phrase(status);
     let head = format!("HTTP/1.1 {status} {phrase}\r\nContent-Length: {}\r\n{fields}{close}\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,4 +1,7 @@
-//! Lines and counted bytes off a stream, within a bound.
+//! Decoding of lines and of bodies of a given length from a byte stream, within a length limit.
+//!
+//! [`LineDecoder`] decodes received bytes without I/O. `LinkReader` reads a link's connection into such a decoder, with
+//! a deadline, and records how the stream ended.
 
 use std::io;
 use std::time::Instant;
@@ -7,137 +10,137 @@
 use super::stream::Conn;
 use crate::core::End;
 
-/// The longest line or body that a link may bring.
+/// The longest line or body accepted on a link, in bytes.
 pub const MAX_LINE: usize = 64 << 10;
 
-/// Lines out of the pieces in which they come, without I/O. Each byte is looked at once for the end of a line.
+/// An incremental decoder of lines, without I/O. Each byte is searched once for the end of a line.
 #[derive(Debug)]
 pub struct LineDecoder {
     bytes: Vec<u8>,
-    used: usize,
-    /// Bytes behind `used` in which there is no end of a line.
-    looked: usize,
-    most: usize,
-    work: u64,
+    consumed: usize,
+    /// The number of bytes after `consumed` that are known to contain no end of a line.
+    scanned: usize,
+    max_len: usize,
+    bytes_processed: u64,
 }
 
 impl LineDecoder {
-    /// Lines of at most `most` bytes without their ends.
-    pub fn new(most: usize) -> Self {
-        Self { bytes: Vec::new(), used: 0, looked: 0, most, work: 0 }
+    /// Creates a decoder of lines of at most `max_len` bytes, not counting the end of the line.
+    pub fn new(max_len: usize) -> Self {
+        Self { bytes: Vec::new(), consumed: 0, scanned: 0, max_len, bytes_processed: 0 }
     }
 
-    /// Where more bytes are to be put, behind those that are there.
+    /// The buffer, to which the caller appends received bytes.
     pub fn buffer_mut(&mut self) -> &mut Vec<u8> {
-        self.work += (self.bytes.len() - self.used) as u64 * u64::from(self.used > 0);
-        self.bytes.drain(..std::mem::take(&mut self.used));
+        self.bytes_processed += (self.bytes.len() - self.consumed) as u64 * u64::from(self.consumed > 0);
+        self.bytes.drain(..std::mem::take(&mut self.consumed));
         &mut self.bytes
     }
 
-    /// All that came was used.
+    /// All received bytes have been decoded.
     pub fn is_empty(&self) -> bool {
-        self.used == self.bytes.len()
+        self.consumed == self.bytes.len()
     }
 
-    /// Bytes that came and were not used.
+    /// The number of received bytes that have not been decoded.
     pub fn unread(&self) -> usize {
-        self.bytes.len() - self.used
+        self.bytes.len() - self.consumed
     }
 
-    /// Bytes that were looked at or moved so far.
+    /// The number of bytes scanned, copied or moved so far, which measures the cost of decoding.
     pub fn bytes_processed(&self) -> u64 {
-        self.work
+        self.bytes_processed
     }
 
-    /// The next line, without its end; none while it is not there whole. [`End::Malformed`] where it is longer
-    /// than it may be, or no text.
+    /// Returns the next line without its end, or `None` while it is incomplete. The error is [`End::Malformed`] where
+    /// the line is too long or not UTF-8.
     pub fn next_line(&mut self) -> Result<Option<String>, End> {
-        let rest = &self.bytes[self.used..];
-        let found = rest[self.looked..].iter().position(|b| *b == b'\n').map(|at| self.looked + at);
-        self.work += (found.map_or(rest.len(), |at| at + 1) - self.looked) as u64;
+        let rest = &self.bytes[self.consumed..];
+        let found = rest[self.scanned..].iter().position(|b| *b == b'\n').map(|at| self.scanned + at);
+        self.bytes_processed += (found.map_or(rest.len(), |at| at + 1) - self.scanned) as u64;
         let Some(len) = found else {
-            self.looked = rest.len();
-            return if rest.len() > self.most { Err(End::Malformed) } else { Ok(None) };
+            self.scanned = rest.len();
+            return if rest.len() > self.max_len { Err(End::Malformed) } else { Ok(None) };
         };
-        if len > self.most {
+        if len > self.max_len {
             return Err(End::Malformed);
         }
         let line = rest[..len].strip_suffix(b"\r").unwrap_or(&rest[..len]);
         let line = std::str::from_utf8(line).map_err(|_| End::Malformed)?.to_string();
-        self.work += len as u64;
-        (self.used, self.looked) = (self.used + len + 1, 0);
+        self.bytes_processed += len as u64;
+        (self.consumed, self.scanned) = (self.consumed + len + 1, 0);
         Ok(Some(line))
     }
 
-    /// The next `len` bytes, once they are there.
+    /// Returns the next `len` bytes, or `None` while fewer have been received.
     pub fn take_exact(&mut self, len: usize) -> Option<Vec<u8>> {
-        let bytes = self.bytes[self.used..].get(..len)?.to_vec();
-        self.work += len as u64;
-        (self.used, self.looked) = (self.used + len, 0);
+        let bytes = self.bytes[self.consumed..].get(..len)?.to_vec();
+        self.bytes_processed += len as u64;
+        (self.consumed, self.scanned) = (self.consumed + len, 0);
         Some(bytes)
     }
 }
 
-/// What was read off a link and not yet used.
+/// Reads a link's connection into a line decoder.
 pub(super) struct LinkReader {
     stream: Conn,
     pub(super) lines: LineDecoder,
-    until: Option<Instant>,
-    /// Why nothing more comes, where the stream itself has ended.
-    closed: Option<Closed>,
+    deadline: Option<Instant>,
+    /// How the stream ended, if it has.
+    stream_end: Option<StreamEnd>,
 }
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug)]
-enum Closed {
-    /// The other side closed it, or this one did.
-    Cleanly,
-    /// The system reported an error.
-    WithError(io::ErrorKind),
+enum StreamEnd {
+    /// Either side closed the connection.
+    EndOfFile,
+    /// The operating system reported an error.
+    Error(io::ErrorKind),
 }
 
 impl LinkReader {
     pub(super) fn new(stream: Conn) -> Self {
-        Self { stream, lines: LineDecoder::new(MAX_LINE), until: None, closed: None }
+        Self { stream, lines: LineDecoder::new(MAX_LINE), deadline: None, stream_end: None }
     }
 
-    /// Waits no longer than to this time.
-    pub(super) fn set_deadline(&mut self, until: Instant) {
-        self.until = Some(until);
+    /// Sets the time at which [`LinkReader::read_more`] stops waiting.
+    pub(super) fn set_deadline(&mut self, deadline: Instant) {
+        self.deadline = Some(deadline);
     }
 
-    /// Why nothing more came, in words for the log.
+    /// Describes for the log why reading ended.
     pub(super) fn describe_end(&self) -> String {
         let cut = match self.lines.unread() {
             0 => String::new(),
-            bytes => format!(", {bytes} bytes of a line cut"),
+            bytes => format!(", {bytes} bytes of an incomplete line lost"),
         };
-        match self.closed {
-            Some(Closed::Cleanly) => format!("closed by a side{cut}"),
-            Some(Closed::WithError(kind)) => format!("{kind}{cut}"),
-            None => "given up by this side".to_string(),
+        match self.stream_end {
+            Some(StreamEnd::EndOfFile) => format!("connection closed{cut}"),
+            Some(StreamEnd::Error(kind)) => format!("{kind}{cut}"),
+            None => "abandoned by this side".to_string(),
         }
     }
 
-    /// Waits for more bytes.
+    /// Waits for more bytes and appends them to the decoder's buffer.
     pub(super) fn read_more(&mut self) -> Result<(), End> {
         loop {
-            if let Some(until) = self.until {
-                let left = until.saturating_duration_since(Instant::now());
-                if left.is_zero() {
+            if let Some(deadline) = self.deadline {
+                let remaining = deadline.saturating_duration_since(Instant::now());
+                if remaining.is_zero() {
                     return Err(End::Overdue);
                 }
-                self.stream.set_read_patience(left);
+                self.stream.set_read_timeout(remaining);
             }
             match read_some(&mut self.stream, self.lines.buffer_mut()) {
                 Ok(0) => {
-                    self.closed = Some(Closed::Cleanly);
+                    self.stream_end = Some(StreamEnd::EndOfFile);
                     return Err(End::Broken);
                 }
                 Ok(_) => return Ok(()),
                 Err(e) if is_timeout(&e) || e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    self.closed = Some(Closed::WithError(e.kind()));
+                    self.stream_end = Some(StreamEnd::Error(e.kind()));
                     return Err(End::Broken);
                 }
             }
--- a/src/net/lingering_close.rs
+++ b/src/net/lingering_close.rs
@@ -1,48 +1,49 @@
-//! How a caller's connection ends: the one place where it is closed, whatever the reason.
+//! The lingering close of client connections. Every client connection is closed here, whatever the reason.
 //!
-//! A connection that is closed while bytes wait there unread is reset, and the reset may overtake an answer that was
-//! written before it. So an end has four steps: the last answer is written, the write side is closed, what still comes
-//! is read and thrown away for a moment, and only then the descriptor is closed. Whether there is anything left to
-//! answer is decided before the first step, by the owner of the connection ([`super::frontend`]).
+//! Closing a socket with unread bytes resets the connection, and the reset may overtake an answer that was written
+//! before. A connection therefore ends in four steps: the last answer is written, the write side is shut down, further
+//! input is read and discarded for a moment, and only then the descriptor is closed. The owner of the connection
+//! ([`super::frontend`]) decides before the first step whether anything is left to answer.
 
 use std::io::{self, Read};
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-use super::frontend::{read_some, Stream};
+use super::frontend::{read_some, ClientStream};
 
-/// Bytes that are read and thrown away at most, so that a client that writes without end costs no more than this.
-const MOST_DISCARDED: usize = 1 << 20;
-/// How long the other side may take to close as well.
-pub(super) const PATIENCE: Duration = Duration::from_millis(200);
-/// The same once the process is about to end: bytes that cross a close come within this time.
-pub(super) const LAST_PATIENCE: Duration = Duration::from_millis(50);
+/// At most this many bytes are read and discarded, which bounds the cost of a client that never stops writing.
+const MAX_DISCARDED: usize = 1 << 20;
+/// How long the client may take to close its side as well.
+pub(super) const TIMEOUT: Duration = Duration::from_millis(200);
+/// The same once the process is about to end: bytes that were sent before the client saw the close arrive within this
+/// time.
+pub(super) const FINAL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How a connection came to its end.
+/// How a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
-    /// All that was read is answered, and this side closes.
+pub(super) enum ConnectionEnd {
+    /// All requests that were read are answered, and this side closes.
     Finished,
-    /// The other side is gone: there is nobody to close towards.
+    /// The client is gone, so that a lingering close has no purpose.
     PeerGone,
 }
 
-/// Closes a connection, towards a side that may take up to `patience` to close as well; the descriptor goes with the
-/// last owner of `stream`.
-pub(super) fn close(stream: &mut impl Stream, ending: Ending, patience: Duration) {
-    if ending == Ending::PeerGone {
+/// Closes a connection; the client may take up to `timeout` to close its side. The descriptor is closed when the last
+/// owner of `stream` drops it.
+pub(super) fn close(stream: &mut impl ClientStream, end: ConnectionEnd, timeout: Duration) {
+    if end == ConnectionEnd::PeerGone {
         return;
     }
-    stream.end();
+    stream.notify_close();
     stream.conn().shutdown(Shutdown::Write);
-    stream.conn().set_read_patience(patience);
-    discard(stream, patience);
+    stream.conn().set_read_timeout(timeout);
+    discard(stream, timeout);
 }
 
-/// Reads until the other side closes, within bounds of time and bytes.
-fn discard(stream: &mut impl Read, patience: Duration) {
+/// Reads until the client closes its side, within limits of time and bytes.
+fn discard(stream: &mut impl Read, timeout: Duration) {
     let (mut bytes, mut discarded, since) = (Vec::new(), 0, Instant::now());
-    while discarded < MOST_DISCARDED && since.elapsed() < patience {
+    while discarded < MAX_DISCARDED && since.elapsed() < timeout {
         bytes.clear();
         match read_some(stream, &mut bytes) {
             Ok(read) if read > 0 => discarded += read,
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -1,8 +1,9 @@
-//! Fronts that callers connect to: listeners, and the place of each connection among all.
+//! The listeners of the frontends, and the slot of each client connection in the connection table.
 //!
-//! A connection counts as accepted once the system has completed its handshake, before this process takes it out of
-//! the listener's backlog. So a listener stops in an order that loses none: the handshakes end, what is in the backlog
-//! is taken in, and only then the listener is closed.
+//! To a client, a connection is open once the operating system has completed its handshake, before this process takes
+//! it out of the listener's backlog. A listener therefore stops in an order that loses no connection: new handshakes
+//! are kept away and those under way end, the connections in the backlog are accepted, and only then the listener is
+//! closed.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -24,36 +25,36 @@
 use super::{at_start, frontend, newcomers, spawn};
 use crate::core::{Answer, ConnId};
 
-/// Bytes of answers that the system may hold for a caller that does not read: some whole answers, and no more
-/// memory than that for each of many such callers.
+/// The size of a connection's send buffer, which bounds the memory that a client that does not read takes up. Several
+/// whole answers fit into it.
 const SEND_BUFFER: usize = 16 << 10;
-/// Wait after a failed accept, so that a full table of descriptors is no busy loop.
+/// The wait after a failed accept, so that running out of descriptors does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two looks whether a connection that was accepted has found room.
-const ROOM_LOOK: Duration = Duration::from_millis(2);
-/// Handshakes that were under way when new ones were shut out end within this time: some
-/// round trips of a site.
-const HANDSHAKE_TIME: Duration = Duration::from_millis(5);
-/// Time between two looks at the backlog meanwhile, and after the first attempt to wake the accepting coroutine, doubled
-/// up to the second after each further one.
-const STOP_LOOK: Duration = Duration::from_millis(1);
-const MOST_STOP_LOOK: Duration = Duration::from_millis(50);
+/// How often an accepted connection without a slot tries to get one.
+const ADMIT_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// Handshakes that were under way when new ones were kept away end within this time, which is several round trips
+/// within a site.
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(5);
+/// How often the backlog is polled in the meantime, and the first wait between attempts to wake the accepting
+/// coroutine; that wait doubles up to the maximum.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(1);
+const MAX_STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the reducer's side keeps of a caller's connection.
+/// What the connection table keeps of a client connection: the channel for its answers, and the connection itself.
 pub(super) struct ConnectionHandle {
     pub(super) answer: co::Sender<Arc<Answer>>,
     pub(super) stream: Conn,
 }
 
 impl ConnectionHandle {
-    /// Has the connection closed by its owner, to make room. Its reader wakes and finds nothing more than what the
-    /// system has received; the write side stays open for an answer.
+    /// Has the connection closed by its owner, to make room. Its reader wakes up and reads only what the operating
+    /// system has received so far; the write side stays open for an answer.
     pub(super) fn evict(&self) {
         self.stream.shutdown(Shutdown::Read);
     }
 }
 
-/// A connection's place among all; it is given up however the connection's coroutine ends.
+/// A client connection's slot in the connection table. It is freed on drop, however the connection's coroutine ends.
 pub(super) struct ConnectionSlot {
     pub(super) conn: ConnId,
     pub(super) answers: co::Receiver<Arc<Answer>>,
@@ -62,31 +63,31 @@
 }
 
 impl ConnectionSlot {
-    pub(super) fn serve(&self, stream: impl frontend::Stream, wire: impl frontend::Wire) {
+    pub(super) fn serve(&self, stream: impl frontend::ClientStream, wire: impl frontend::Wire) {
         frontend::serve(stream, wire, self);
     }
 
-    /// A whole request was read: from now on the connection is owed an answer.
+    /// Records that a whole request was read: from now on the connection is owed an answer.
     pub(super) fn request_read(&self) -> AfterAnswer {
         self.hub.connections().request_read(self.conn)
     }
 
-    /// A part of a request was read.
+    /// Records that a part of a request was read.
     pub(super) fn part_read(&self) {
         self.hub.connections().part_read(self.conn);
     }
 
-    /// The request was answered.
+    /// Records that the request was answered.
     pub(super) fn answered(&self) {
         self.hub.connections().answered(self.conn, Instant::now());
     }
 
-    /// It is to make room for another one.
+    /// The connection was evicted to make room for another one.
     pub(super) fn is_evicted(&self) -> bool {
         self.hub.connections().is_closing(self.conn)
     }
 
-    /// No more requests are read here.
+    /// Records that no more requests are read from the connection.
     pub(super) fn begin_closing(&self) {
         self.hub.connections().begin_closing(self.conn);
     }
@@ -98,109 +99,109 @@
     }
 }
 
-/// How far a front has got in its stop.
+/// The progress of a frontend's stop.
 #[derive(Debug, Default)]
 struct StopState {
-    is_asked: AtomicBool,
-    /// Another process listens at the same address, and goes on to.
+    stop_requested: AtomicBool,
+    /// A successor listens at the same address, and goes on to.
     has_successor: AtomicBool,
-    has_begun: AtomicBool,
+    stop_begun: AtomicBool,
     is_closed: AtomicBool,
 }
 
-/// A front that takes connections until it is stopped.
+/// A frontend that accepts connections until it is stopped.
 #[derive(Clone)]
-pub(super) struct Front {
+pub(super) struct Frontend {
     pub(super) address: SocketAddr,
-    /// Owned by the coroutine that accepts, which closes it.
+    /// The listener, which is owned and closed by the coroutine that accepts connections.
     listener: Weak<TcpListener>,
     state: Arc<StopState>,
 }
 
-impl Front {
-    /// Begins to stop: connections that the system has accepted are taken in, and later ones are refused, or go to the
-    /// process that took over.
+impl Frontend {
+    /// Begins to stop: connections that the operating system has accepted are served, and later ones are refused or go
+    /// to the successor.
     pub(super) fn stop(&self, has_successor: bool) {
         if self.is_stopping() {
             return;
         }
         if let Some(listener) = self.listener.upgrade().filter(|_| has_successor) {
-            // The process before may have had all new connections sent to another listener than this one.
+            // The predecessor may have directed all new connections to one listener.
             if let Err(e) = newcomers::send_to_any(listener.inner()) {
-                debug!("new connections cannot be shared with the process that took over: {e}");
+                debug!("cannot share new connections with the successor: {e}");
             }
         }
         self.state.has_successor.store(has_successor, Ordering::Release);
-        self.state.is_asked.store(true, Ordering::Release);
-        let front = self.clone();
-        // A connection to itself wakes the coroutine that waits for one. Where another process shares the address it
-        // may get this one instead, to which it is a caller that says nothing.
+        self.state.stop_requested.store(true, Ordering::Release);
+        let frontend = self.clone();
+        // A connection to its own address wakes the coroutine that waits in accept. Where another process shares the
+        // address, that process may get the connection instead, and sees a client that sends nothing.
         spawn(move || {
-            // It may be a while until that coroutine looks, where a connection waits for room.
-            let mut wait = STOP_LOOK;
-            while !front.state.has_begun.load(Ordering::Acquire) {
-                drop(TcpStream::connect_timeout(&front.address, ACCEPT_PAUSE));
+            // The coroutine may notice the stop late, where an accepted connection waits for a slot.
+            let mut wait = STOP_POLL_INTERVAL;
+            while !frontend.state.stop_begun.load(Ordering::Acquire) {
+                drop(TcpStream::connect_timeout(&frontend.address, ACCEPT_PAUSE));
                 crate::net::spawn::sleep(wait);
-                wait = (wait * 2).min(MOST_STOP_LOOK);
+                wait = (wait * 2).min(MAX_STOP_POLL_INTERVAL);
             }
         });
     }
 
-    /// It was asked to stop; only the reducer's thread asks.
+    /// The stop has been requested; only the reducer's thread requests it.
     fn is_stopping(&self) -> bool {
-        self.state.is_asked.load(Ordering::Acquire)
+        self.state.stop_requested.load(Ordering::Acquire)
     }
 
-    /// The listener is closed, and all that the system had accepted is taken in.
+    /// The listener is closed, and all connections that the operating system had accepted are being served.
     pub(super) fn is_closed(&self) -> bool {
         self.state.is_closed.load(Ordering::Acquire)
     }
 }
 
-/// Takes connections on a front until it is stopped.
-fn accept(
+/// Accepts connections on a frontend until it is stopped, and closes the listener.
+fn run_accept_loop(
     listener: Arc<TcpListener>,
     hub: &Arc<Hub>,
     state: &StopState,
     serve: impl Fn(Conn, ConnectionSlot),
 ) {
-    // Also after an accept that failed: where all of them fail, the listener stops none the less.
-    while !state.is_asked.load(Ordering::Acquire) {
+    // The stop is checked after failed accepts as well, so that the listener stops even where all of them fail.
+    while !state.stop_requested.load(Ordering::Acquire) {
         if let Some(stream) = accept_once(&listener) {
-            take_in(stream, hub, &serve);
+            admit_and_serve(stream, hub, &serve);
         }
     }
-    state.has_begun.store(true, Ordering::Release);
-    // Where this is not to be had, a handshake that ends between the last look and the close is reset.
-    let kept_away = match state.has_successor.load(Ordering::Acquire) {
+    state.stop_begun.store(true, Ordering::Release);
+    // Without these filters, a connection whose handshake ends between the last poll and the close is reset.
+    let filtered = match state.has_successor.load(Ordering::Acquire) {
         true => newcomers::send_to_successor(listener.inner()),
         false => newcomers::shut_out(listener.inner()),
     };
-    if let Err(e) = &kept_away {
-        debug!("new connections cannot be kept away before the close: {e}");
+    if let Err(e) = &filtered {
+        debug!("cannot keep new connections away from the closing listener: {e}");
     }
-    let until = Instant::now() + HANDSHAKE_TIME;
+    let deadline = Instant::now() + HANDSHAKE_GRACE;
     loop {
         while has_backlog(&listener) {
-            // Where accepting fails, the next look tells whether anybody is still there to be waited for.
+            // Where an accept fails, the next poll shows whether a connection is still in the backlog.
             if let Some(stream) = accept_once(&listener) {
-                take_in(stream, hub, &serve);
+                admit_and_serve(stream, hub, &serve);
             }
         }
-        if kept_away.is_err() || Instant::now() >= until {
+        if filtered.is_err() || Instant::now() >= deadline {
             break;
         }
-        crate::net::spawn::sleep(STOP_LOOK);
+        crate::net::spawn::sleep(STOP_POLL_INTERVAL);
     }
     drop(listener);
     state.is_closed.store(true, Ordering::Release);
 }
 
-/// A connection is in the backlog, so that accepting does not wait.
+/// A connection is in the backlog, so that accept does not wait.
 fn has_backlog(listener: &TcpListener) -> bool {
-    let mut looks = [PollFd::new(listener.inner().as_fd(), PollFlags::POLLIN)];
+    let mut poll_fds = [PollFd::new(listener.inner().as_fd(), PollFlags::POLLIN)];
     loop {
-        match poll(&mut looks, PollTimeout::ZERO) {
+        match poll(&mut poll_fds, PollTimeout::ZERO) {
             Err(Errno::EINTR) => {}
             Err(_) => return false,
             Ok(ready) => return ready > 0,
@@ -208,20 +209,21 @@
     }
 }
 
-/// Has a connection served, as soon as there is room for it: it waits unread rather than being closed unread.
-fn take_in(stream: TcpStream, hub: &Arc<Hub>, serve: impl Fn(Conn, ConnectionSlot)) {
+/// Has a connection served as soon as there is a slot for it. Until then it waits unread, instead of being closed
+/// unread.
+fn admit_and_serve(stream: TcpStream, hub: &Arc<Hub>, serve: impl Fn(Conn, ConnectionSlot)) {
     let _ = SockRef::from(stream.inner()).set_send_buffer_size(SEND_BUFFER);
-    let stream = Conn::new(stream, frontend::WRITE_PATIENCE);
+    let stream = Conn::new(stream, frontend::WRITE_TIMEOUT);
     loop {
         if let Some(slot) = hub.admit(&stream) {
             return serve(stream, slot);
         }
-        crate::net::spawn::sleep(ROOM_LOOK);
+        crate::net::spawn::sleep(ADMIT_RETRY_INTERVAL);
     }
 }
 
-/// The next connection.
-pub(super) fn next(listener: &TcpListener) -> TcpStream {
+/// Accepts the next connection.
+pub(super) fn accept_next(listener: &TcpListener) -> TcpStream {
     loop {
         if let Some(stream) = accept_once(listener) {
             return stream;
@@ -229,7 +231,7 @@
     }
 }
 
-/// The next connection; none where the system fails to give it, after a pause.
+/// Accepts the next connection. Where that fails, waits for [`ACCEPT_PAUSE`] and returns `None`.
 fn accept_once(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept() {
         Ok((stream, _)) => Some(stream),
@@ -241,22 +243,22 @@
     }
 }
 
-/// Binds a front and starts to take connections there; `shared` with the process that runs already.
+/// Binds a frontend's address and starts to accept connections; `shared` says that the predecessor listens there too.
 pub(super) fn listen(
     address: SocketAddr,
     hub: &Arc<Hub>,
     shared: bool,
     serve: impl Fn(Conn, ConnectionSlot) + Send + 'static,
-) -> io::Result<Front> {
-    // May's listener shares its port with any other that does the same: a second server started by mistake would
-    // take half of the first one's callers. A plain listener fails where somebody listens.
+) -> io::Result<Frontend> {
+    // The listener of `may` shares its port with any other listener that does the same, so that a second server started
+    // by mistake would take half of the first one's clients. Binding a listener of `std` fails where a process listens.
     if !shared {
         drop(at_start::open(|| std::net::TcpListener::bind(address))?);
     }
     let listener = Arc::new(at_start::open(|| TcpListener::bind(address))?);
     let (address, weak) = (listener.local_addr()?, Arc::downgrade(&listener));
-    let front = Front { address, listener: weak, state: Arc::default() };
-    let (hub, state) = (hub.clone(), front.state.clone());
-    spawn(move || accept(listener, &hub, &state, serve));
-    Ok(front)
+    let frontend = Frontend { address, listener: weak, state: Arc::default() };
+    let (hub, state) = (hub.clone(), frontend.state.clone());
+    spawn(move || run_accept_loop(listener, &hub, &state, serve));
+    Ok(frontend)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,9 @@
-//! Effects on sockets: the fronts that callers connect to, and the links to agent, vault and control plane.
+//! The network side of the program: the frontends that clients connect to, and the links to the agent, the vault and
+//! the control plane.
 //!
-//! Everything that happens goes through one inbox to the reducer's thread; each connection has a coroutine
-//! that reads and is its only writer, so a peer that stops reading holds up nobody else.
+//! [`Node`] runs the reducer ([`Core`]) on one thread and performs its effects. All inputs reach the reducer through
+//! one inbox, which is part of the [`Hub`]. Each connection has a coroutine that reads from it and is its only writer,
+//! so that a peer that stops reading delays no other connection. [`NodeHandle`] gives other threads access to a node.
 
 pub mod admin;
 pub mod agent;
@@ -45,101 +47,101 @@
 pub use error::NodeError;
 use hub::Given;
 pub use hub::Hub;
-use listen::{listen, next, ConnectionSlot, Front};
+use listen::{accept_next, listen, ConnectionSlot, Frontend};
 use routed::Router;
 use spawn::spawn_deep;
 pub use spawn::{sleep, spawn, start_runtime};
 
-/// Inputs that the reducer takes at once.
+/// The highest number of further inputs that the reducer takes in one step.
 const BATCH: usize = 1024;
-/// While leaving, the connections are looked at this often.
-const LEAVE_LOOK: Duration = Duration::from_millis(5);
+/// How often to check whether all connections and listeners are closed.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A handle for parts outside the reducer, such as the signal handler.
+/// A handle to a running node for other threads, such as the signal handler.
 #[derive(Clone)]
 pub struct NodeHandle(Arc<Hub>);
 
 impl NodeHandle {
-    /// Begins to leave.
+    /// Begins to drain.
     pub fn drain(&self) {
-        // The grace counts from here: a full inbox must not hold it up.
+        // The grace period counts from here, and must not be delayed by a full inbox.
         self.0.push_at_once(Input::Drain { noticed: self.0.clock.now() });
     }
 
-    /// Takes up other settings, and moves the links to new addresses. A link that was on stays on: the program
-    /// cannot do without.
+    /// Applies other settings, and moves the links to new addresses. A link is neither added nor removed: one that is
+    /// in use and has no new address keeps its old one.
     pub fn reload(&self, config: &Config) {
         let links = config.links();
-        let mut held = self.0.links.lock().unwrap_or_else(PoisonError::into_inner);
-        let or = |new: Option<SocketAddr>, old: Option<SocketAddr>| new.filter(|_| old.is_some()).or(old);
-        *held = Links {
-            agent: or(links.agent, held.agent),
-            vault: or(links.vault, held.vault),
-            control: or(links.control, held.control),
+        let mut current = self.0.links.lock().unwrap_or_else(PoisonError::into_inner);
+        let merge = |new: Option<SocketAddr>, old: Option<SocketAddr>| new.filter(|_| old.is_some()).or(old);
+        *current = Links {
+            agent: merge(links.agent, current.agent),
+            vault: merge(links.vault, current.vault),
+            control: merge(links.control, current.control),
         };
-        drop(held);
+        drop(current);
         let classes = config.site.class_names.clone();
         *self.0.classes.lock().unwrap_or_else(PoisonError::into_inner) = classes;
         let (site, stop_after) = (Box::new(config.site.clone()), config.stop_after);
         self.0.push(Input::Reload { site, stop_after });
     }
 
-    /// Asks the reducer, and waits for its answer; to be called from threads only.
-    pub fn query(&self, query: Query, patience: Duration) -> Option<Vec<(String, String)>> {
+    /// Sends a query to the reducer and waits for the result; to be called from threads only, not from coroutines.
+    pub fn query(&self, query: Query, timeout: Duration) -> Option<Vec<(String, String)>> {
         let (ticket, answer) = self.0.ask(query);
-        let lines = answer.recv_timeout(patience).ok();
+        let lines = answer.recv_timeout(timeout).ok();
         self.0.queries().remove(&ticket);
         lines
     }
 
-    /// Has the counters printed.
+    /// Has the counters logged.
     pub fn log_counters(&self) {
         self.0.push(Input::Report);
     }
 }
 
-/// What does the work.
+/// What runs the requests.
 enum Runner {
     Agent(agent::Link),
     Application(scgi::Application),
     None,
 }
 
-/// What takes the calls below.
-enum Below {
+/// What receives the calls to the dependency.
+enum Dependency {
     Vault(vault::Link),
     Scgi(SocketAddr),
 }
 
-/// The program: the reducer with everything connected.
+/// A running matcher: the reducer with all its connections and links.
 pub struct Node {
     core: Core,
     hub: Arc<Hub>,
     inbox: Receiver<Input>,
     runner: Runner,
-    below: Below,
+    dependency: Dependency,
     control: Arc<AtomicBool>,
-    /// Where callers connect; none before this process takes them.
-    fronts: Vec<Front>,
+    /// The frontends; empty until this process accepts clients.
+    frontends: Vec<Frontend>,
     config: Config,
     certificate: Shared,
-    /// The process that ran before, until it has handed over and ended.
+    /// The predecessor, until it has handed over and exited.
     predecessor: Option<handover::Partner>,
-    /// The one that takes over from this one.
+    /// The process that takes over from this one.
     successor: handover::Partner,
-    /// The process that ran before is asked to hand over once the fleet's routes may be used here.
-    begins: bool,
-    /// This process's part in the fleet's routes, where they are on.
+    /// The predecessor is asked to hand over as soon as this process may use the fleet's routes.
+    handover_requested: bool,
+    /// This process's part in the fleet's routes, if routes are enabled.
     driver: Option<fleet::Driver>,
-    /// What makes going on impossible.
-    fault: Option<NodeError>,
+    /// The error that ends the node.
+    fatal_error: Option<NodeError>,
 }
 
 impl Node {
-    /// Binds the fronts and starts the links.
+    /// Binds the frontends and starts the links. With a predecessor, the frontends are bound once it has handed over.
     ///
     /// # Errors
-    /// [`NodeError`] where an address or a thread cannot be had, or the settings say nothing.
+    /// [`NodeError`] where an address cannot be bound, a thread cannot be started, or the settings are unusable.
     pub fn start(config: &Config, certificate: Shared) -> Result<Self, NodeError> {
         let (sender, inbox) = std::sync::mpsc::channel();
         let fleet = config.fleet().map(fleet::Link::start).transpose()?;
@@ -159,13 +161,13 @@
             }
             (None, None) => Runner::None,
         };
-        let below = match config.appliance.scgi_below.filter(|_| config.vault.is_none()) {
-            // Settings that have routes on as well are turned down: nothing of theirs reaches such a service.
+        let dependency = match config.appliance.scgi_below.filter(|_| config.vault.is_none()) {
+            // Settings that enable routes as well are rejected, because calls to such a service carry no fence.
             Some(address) if hub.routing.is_none() => {
                 core.call_on_own_connections();
-                Below::Scgi(address)
+                Dependency::Scgi(address)
             }
-            _ => Below::Vault(vault::Link::start(&hub)),
+            _ => Dependency::Vault(vault::Link::start(&hub)),
         };
         let control = Arc::new(AtomicBool::new(true));
         if config.control.is_some() {
@@ -180,51 +182,51 @@
             hub,
             inbox,
             runner,
-            below,
+            dependency,
             control,
-            fronts: Vec::new(),
+            frontends: Vec::new(),
             config: config.clone(),
             certificate,
             predecessor,
             successor: handover::Partner::default(),
-            begins: false,
+            handover_requested: false,
             driver,
-            fault: None,
+            fatal_error: None,
         };
         node.hub.share(node.predecessor.is_some());
         if node.predecessor.is_none() {
-            node.open_fronts()?;
+            node.open_frontends()?;
         }
         if !matches!(node.runner, Runner::Agent(_)) {
-            node.able();
+            node.on_runner_ready();
         }
         Ok(node)
     }
 
-    /// Another process serves at the same addresses, until it has handed over.
+    /// Another process of this matcher serves at the same addresses until it has handed over.
     pub fn has_predecessor(&self) -> bool {
         self.predecessor.is_some()
     }
 
-    /// Binds the fronts, and waits for the next process that takes over.
-    fn open_fronts(&mut self) -> Result<(), NodeError> {
+    /// Binds the frontends, and listens for a successor process.
+    fn open_frontends(&mut self) -> Result<(), NodeError> {
         let (hub, shared, config) = (&self.hub, self.predecessor.is_some(), &self.config);
-        let mut fronts = Vec::new();
-        let mut bound = |key, wire: &str, address: SocketAddr, bound: io::Result<Front>| {
-            let front = bound.map_err(|source| NodeError::Front { key, address, source })?;
-            info!("{} takes {wire} on {}", config.name, front.address);
-            fronts.push(front);
+        let mut frontends = Vec::new();
+        let mut add = |key, wire: &str, address: SocketAddr, bound: io::Result<Frontend>| {
+            let frontend = bound.map_err(|source| NodeError::Front { key, address, source })?;
+            info!("{} takes {wire} on {}", config.name, frontend.address);
+            frontends.push(frontend);
             Ok::<(), NodeError>(())
         };
-        let plain = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, http::Http));
-        bound("listen", "HTTP", config.listen, listen(config.listen, hub, shared, plain))?;
+        let http = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, http::Http));
+        add("listen", "HTTP", config.listen, listen(config.listen, hub, shared, http))?;
         if let Some(address) = config.appliance.scgi_listen {
             let scgi = |stream, slot: ConnectionSlot| spawn(move || slot.serve(stream, scgi::Scgi));
-            bound("scgi.listen", "SCGI", address, listen(address, hub, shared, scgi))?;
+            add("scgi.listen", "SCGI", address, listen(address, hub, shared, scgi))?;
         }
         if let Some(address) = config.appliance.tls_listen {
-            let tls = tls::config(self.certificate.clone())?;
-            let secure = move |stream, slot: ConnectionSlot| {
+            let tls = tls::server_config(self.certificate.clone())?;
+            let https = move |stream, slot: ConnectionSlot| {
                 let tls = tls.clone();
                 spawn_deep(move || {
                     if let Ok(stream) = tls::accept(stream, &tls) {
@@ -232,9 +234,9 @@
                     }
                 });
             };
-            bound("tls.listen", "HTTPS", address, listen(address, hub, shared, secure))?;
+            add("tls.listen", "HTTPS", address, listen(address, hub, shared, https))?;
         }
-        self.fronts = fronts;
+        self.frontends = frontends;
         if let Some(path) = &self.config.handover {
             match handover::offer(path, &self.hub) {
                 Ok(successor) => self.successor = successor,
@@ -244,13 +246,13 @@
         Ok(())
     }
 
-    /// Requests can be run: the process that served before is asked to hand over, or callers are served.
-    fn able(&mut self) {
+    /// Requests can be run from now on: asks the predecessor to hand over, or reports this process as ready.
+    fn on_runner_ready(&mut self) {
         match &self.predecessor {
-            Some(predecessor) if self.fronts.is_empty() => {
+            Some(predecessor) if self.frontends.is_empty() => {
                 let predecessor = predecessor.clone();
-                // Asked once while it waits for its lease, however often the agent greets meanwhile.
-                if self.hub.routing.is_none() || !std::mem::replace(&mut self.begins, true) {
+                // Requested once while this process waits for its lease, however often the agent sends greetings.
+                if self.hub.routing.is_none() || !std::mem::replace(&mut self.handover_requested, true) {
                     routed::when_ready(&self.hub, move || predecessor.send(handover::Word::Begin));
                 }
             }
@@ -258,31 +260,31 @@
         }
     }
 
-    /// Takes callers; a process that served before has handed over, or is gone.
-    fn take_callers(&mut self) {
-        if self.fronts.is_empty() && !self.hub.is_closed() {
-            self.fault = self.open_fronts().err();
+    /// Accepts clients: the predecessor has handed over or exited.
+    fn accept_clients(&mut self) {
+        if self.frontends.is_empty() && !self.hub.is_closed() {
+            self.fatal_error = self.open_frontends().err();
             self.hub.ready.store(true, Ordering::Release);
         }
     }
 
-    /// A handle for other threads.
+    /// Returns a handle for other threads.
     pub fn handle(&self) -> NodeHandle {
         NodeHandle(self.hub.clone())
     }
 
-    /// Runs until the server has left.
+    /// Runs until the node has drained and closed all connections.
     ///
     /// # Errors
-    /// [`NodeError`] where it took over from another process and cannot serve.
+    /// [`NodeError`] where this process took over from another one and cannot serve.
     pub fn run(mut self) -> Result<(), NodeError> {
-        let mut leaving = false;
+        let mut exiting = false;
         loop {
             let wait = self
                 .core
                 .next_timer()
                 .map_or(Duration::from_secs(1), |at| at.saturating_sub(self.hub.clock.now()));
-            let wait = if leaving { wait.min(LEAVE_LOOK) } else { wait };
+            let wait = if exiting { wait.min(EXIT_POLL_INTERVAL) } else { wait };
             let first = match self.inbox.recv_timeout(wait) {
                 Ok(input) => Some(input),
                 Err(RecvTimeoutError::Timeout) => None,
@@ -293,13 +295,13 @@
             self.hub.waiting.fetch_sub(batch.len(), Ordering::Relaxed);
             self.hub.clock.look();
             for effect in self.core.step(self.hub.clock.now(), batch) {
-                leaving |= effect == Effect::Leave;
+                exiting |= effect == Effect::Leave;
                 self.perform(effect);
             }
-            if let Some(fault) = self.fault {
-                return Err(fault);
+            if let Some(fatal_error) = self.fatal_error {
+                return Err(fatal_error);
             }
-            if leaving && self.has_closed() {
+            if exiting && self.all_closed() {
                 break;
             }
         }
@@ -309,7 +311,7 @@
         if let Some(driver) = &self.driver {
             driver.leave();
         }
-        // Answers for the process that ran before may still be queued.
+        // Answers that the predecessor is to send may still be queued.
         if let Some(predecessor) = &self.predecessor {
             predecessor.finish();
         }
@@ -319,17 +321,18 @@
         Ok(())
     }
 
-    /// Nobody can connect any more, and all connections are closed. Those that are owed nothing have had their time.
-    fn has_closed(&self) -> bool {
-        if self.hub.closed_for().is_some_and(|since| since > frontend::CLOSING_PATIENCE) {
+    /// All listeners and connections are closed. Evicts connections that are owed no answer once the time for partial
+    /// requests is over.
+    fn all_closed(&self) -> bool {
+        if self.hub.closed_for().is_some_and(|since| since > frontend::FINAL_READ_TIMEOUT) {
             self.hub.evict_all();
         }
-        self.fronts.iter().all(Front::is_closed) && self.hub.connections().is_empty()
+        self.frontends.iter().all(Frontend::is_closed) && self.hub.connections().is_empty()
     }
 
-    /// Stops taking connections on all fronts.
-    fn stop_fronts(&self, has_successor: bool) {
-        self.fronts.iter().for_each(|front| front.stop(has_successor));
+    /// Stops accepting connections on all frontends.
+    fn stop_frontends(&self, has_successor: bool) {
+        self.frontends.iter().for_each(|frontend| frontend.stop(has_successor));
     }
 
     fn perform(&mut self, effect: Effect) {
@@ -352,8 +355,8 @@
                 Runner::None => {}
             },
             Effect::Call { handle, attempt, fresh, earlier, patience, body, route, .. } => {
-                match &self.below {
-                    Below::Vault(vault) => vault.send(vault::Order::Ask {
+                match &self.dependency {
+                    Dependency::Vault(vault) => vault.send(vault::Order::Ask {
                         handle,
                         attempt,
                         fresh,
@@ -362,12 +365,14 @@
                         body,
                         route,
                     }),
-                    Below::Scgi(service) => scgi::call(*service, &self.hub, handle, attempt, patience, body),
+                    Dependency::Scgi(service) => {
+                        scgi::call(*service, &self.hub, handle, attempt, patience, body)
+                    }
                 }
             }
             Effect::Uncall { handle, attempt } => {
-                // An SCGI call has no word for this: it ends with its own time.
-                if let Below::Vault(vault) = &self.below {
+                // SCGI has no message to cancel a call: the call ends with its own timeout.
+                if let Dependency::Vault(vault) = &self.dependency {
                     vault.send(vault::Order::Unask { handle, attempt });
                 }
             }
@@ -394,16 +399,16 @@
                 if let Runner::Agent(agent) = &self.runner {
                     agent.relink();
                 }
-                if let Below::Vault(vault) = &self.below {
+                if let Dependency::Vault(vault) = &self.dependency {
                     vault.send(vault::Order::Relink);
                 }
             }
             Effect::StopListening => {
                 info!("takes no new connections; closed so far: {}", self.hub.closes);
                 self.hub.close();
-                self.stop_fronts(false);
+                self.stop_frontends(false);
             }
-            Effect::Ready => self.able(),
+            Effect::Ready => self.on_runner_ready(),
             Effect::HandOver { keys, standby } => {
                 info!("hands over to a new process: {} keys", keys.len());
                 self.hub.share(true);
@@ -425,24 +430,25 @@
             Effect::Settled { key, ran, result } => {
                 self.successor.send(handover::Word::Settled(key, ran, result));
             }
-            Effect::Listen => self.take_callers(),
+            Effect::Listen => self.accept_clients(),
             Effect::Alone => {
                 self.hub.share(false);
-                self.take_callers();
+                self.accept_clients();
                 self.predecessor = None;
             }
             Effect::GiveUp => {
-                self.fault = Some(NodeError::HandoverEnded);
+                self.fatal_error = Some(NodeError::HandoverEnded);
             }
             Effect::Yield => {
                 self.hub.yields.store(true, Ordering::Relaxed);
-                self.stop_fronts(true);
+                self.stop_frontends(true);
                 let counters = format!("{}", self.core.counters());
-                let stopped = self.fronts.clone();
-                // Said only then: whoever reads it finds the other process at the address, and nobody else.
+                let stopped = self.frontends.clone();
+                // Logged only once the listeners are closed, so that from then on only the successor accepts clients at
+                // the address.
                 spawn(move || {
-                    while !stopped.iter().all(Front::is_closed) {
-                        spawn::sleep(LEAVE_LOOK);
+                    while !stopped.iter().all(Frontend::is_closed) {
+                        spawn::sleep(EXIT_POLL_INTERVAL);
                     }
                     info!("leaves to the process that took over: counters so far: {counters}");
                 });
@@ -450,8 +456,8 @@
             Effect::Leave => info!("all is answered"),
             Effect::Log(text) => info!("{text}"),
             Effect::Told { ticket, lines } => {
-                if let Some(asker) = self.hub.queries().remove(&ticket) {
-                    let _ = asker.send(lines);
+                if let Some(requester) = self.hub.queries().remove(&ticket) {
+                    let _ = requester.send(lines);
                 }
             }
         }
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -1,8 +1,9 @@
-//! SCGI, both ways: the second front, and calls to SCGI services.
+//! SCGI in both roles: the SCGI frontend for clients, and calls to SCGI services.
 //!
-//! A request is a netstring of fields, each name and value ended by a NUL, and then the body; the fields of
-//! the platform's protocol travel as `HTTP_*`. One request is made on a connection, and the end of the
-//! answer is the end of the connection.
+//! A request is a netstring of header fields, in which a NUL ends each name and each value, followed by the body. The
+//! header fields of the HTTP frontend are sent as `HTTP_*`. A connection carries one request, and its end is the end of
+//! the answer. [`Scgi`] is the protocol of the frontend, [`call`] makes a call to the dependency, and [`Application`]
+//! has requests run by an SCGI application instead of an agent.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -11,85 +12,91 @@
 
 use may::net::TcpStream;
 
-use super::decoder::{Framing, Headed, Scan};
-use super::fields::{Fields, Message, RequestError, MAX_BODY, MOST_HEAD};
+use super::decoder::{Framing, ParsedHead, Scan};
+use super::fields::{Fields, Message, RequestError, MAX_BODY, MAX_HEAD};
 use super::frontend::{is_timeout, read_some, Wire};
-use super::http::{parts, phrase, route, Route};
+use super::http::{answer_parts, parse_target, reason_phrase, Target};
 use super::{spawn, Hub};
 use crate::core::{Answer, Bytes, Command, End, Handle, Input, LinkId, Notice};
 
-/// Digits of the longest header length.
-const LENGTH_DIGITS: usize = 5;
-/// The longest answer of a service, head and body.
-const MOST_ANSWER: usize = 64 << 10;
-/// An attempt to connect to a service is given up after this long.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
+/// Digits of the longest length of a header block.
+const MAX_LENGTH_DIGITS: usize = 5;
+/// The longest response of a service, head and body together, in bytes.
+const MAX_RESPONSE: usize = 64 << 10;
+/// The timeout of connecting to a service.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The SCGI wire.
+/// The SCGI protocol of the frontend.
 #[derive(Clone, Copy, Debug)]
 pub struct Scgi;
 
 impl Framing for Scgi {
-    type Head = Route;
+    type Head = Target;
     type Message = Message;
-    const MOST_HEAD: usize = MOST_HEAD + LENGTH_DIGITS + 2;
+    const MAX_HEAD: usize = MAX_HEAD + MAX_LENGTH_DIGITS + 2;
 
-    fn may_end(&self, bytes: &[u8], _scan: &mut Scan) -> bool {
-        // The length stands first: a look at the few bytes that matter costs nothing.
-        !matches!(netstring(bytes), Ok(None))
+    fn head_may_be_complete(&self, bytes: &[u8], _scan: &mut Scan) -> bool {
+        // The length comes first, so that a check costs next to nothing.
+        !matches!(parse_netstring(bytes), Ok(None))
     }
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Headed<Route>>, RequestError> {
-        let Some((block, len)) = netstring(bytes)? else { return Ok(None) };
-        let (head, body) = read_block(block)?;
-        Ok(Some(Headed { head, len, body }))
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<ParsedHead<Target>>, RequestError> {
+        let Some((block, head_len)) = parse_netstring(bytes)? else { return Ok(None) };
+        let (head, body_len) = parse_header_block(block)?;
+        Ok(Some(ParsedHead { head, head_len, body_len }))
     }
 
-    fn message(&self, headed: Headed<Route>, body: &[u8], behind: bool) -> Result<Message, RequestError> {
-        let (parsed, taken) = (headed.head.with(body)?, headed.len + headed.body);
-        // Nothing may follow on this wire: either length could be the wrong one, so the request is not run.
-        match behind {
+    fn build_message(
+        &self,
+        parsed: ParsedHead<Target>,
+        body: &[u8],
+        has_more: bool,
+    ) -> Result<Message, RequestError> {
+        let (parsed, consumed) = (parsed.head.into_parsed(body)?, parsed.head_len + parsed.body_len);
+        // Nothing may follow a request: where something does, either length could be wrong, and the request is not run.
+        match has_more {
             true => Err(RequestError::bad_request("the body is longer than CONTENT_LENGTH")),
-            false => Ok(Message { parsed, consumed: taken, close: true }),
+            false => Ok(Message { parsed, consumed, close: true }),
         }
     }
 
-    fn too_large(&self) -> RequestError {
+    fn head_too_large(&self) -> RequestError {
         RequestError { status: 431, reason: "the header block is too large" }
     }
 }
 
 impl Wire for Scgi {
     fn encode(&self, answer: &Answer, _close: bool) -> Vec<u8> {
-        let (status, fields, body) = parts(answer);
-        response(status, &fields, body)
+        let (status, fields, body) = answer_parts(answer);
+        encode_response(status, &fields, body)
     }
 
-    fn encode_bad(&self, bad: RequestError) -> Vec<u8> {
-        response(bad.status, "", bad.reason.as_bytes())
+    fn encode_error(&self, error: RequestError) -> Vec<u8> {
+        encode_response(error.status, "", error.reason.as_bytes())
     }
 }
 
-fn response(status: u16, fields: &str, body: &[u8]) -> Vec<u8> {
-    let phrase = phrase(status);
+fn encode_response(status: u16, fields: &str, body: &[u8]) -> Vec<u8> {
+    let phrase = reason_phrase(status);
     let head = format!("Status: {status} {phrase}\r\nContent-Length: {}\r\n{fields}\r\n", body.len());
     [head.as_bytes(), body].concat()
 }
 
-/// The netstring at the start of `bytes`, and where what follows it begins.
-fn netstring(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, RequestError> {
-    let Some(colon) = bytes.iter().take(LENGTH_DIGITS + 1).position(|b| *b == b':') else {
-        let digits = bytes.iter().take(LENGTH_DIGITS + 1).all(u8::is_ascii_digit);
-        return match digits && bytes.len() <= LENGTH_DIGITS {
+/// Parses the netstring at the start of `bytes`. Returns its content and its total length, or `None` while it is
+/// incomplete.
+fn parse_netstring(bytes: &[u8]) -> Result<Option<(&[u8], usize)>, RequestError> {
+    let Some(colon) = bytes.iter().take(MAX_LENGTH_DIGITS + 1).position(|b| *b == b':') else {
+        let digits = bytes.iter().take(MAX_LENGTH_DIGITS + 1).all(u8::is_ascii_digit);
+        return match digits && bytes.len() <= MAX_LENGTH_DIGITS {
             true => Ok(None),
             false => Err(RequestError::bad_request("the header block has no length")),
         };
     };
     let digits = std::str::from_utf8(&bytes[..colon]).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    // A leading zero is no length in a netstring; an empty block has no fields and no use here.
+    // A netstring's length has no leading zero. An empty block has no fields, and is rejected by the same check.
     let len = digits.filter(|d| !d.starts_with('0')).and_then(|d| d.parse::<usize>().ok());
     let len = len.ok_or(RequestError::bad_request("the header block has no length"))?;
-    if len > MOST_HEAD {
+    if len > MAX_HEAD {
         return Err(RequestError { status: 431, reason: "the header block is too large" });
     }
     let (from, to) = (colon + 1, colon + 1 + len);
@@ -100,13 +107,13 @@
     }
 }
 
-/// Reads the fields: what is asked for, and the length of the body. A name that stands twice leaves open which of
-/// its values counts, and is no request.
-fn read_block(block: &[u8]) -> Result<(Route, usize), RequestError> {
+/// Parses the header block into the request's target and the length of the body. A repeated name is rejected, since it
+/// is ambiguous which of its values counts.
+fn parse_header_block(block: &[u8]) -> Result<(Target, usize), RequestError> {
     let text = std::str::from_utf8(block).map_err(|_| RequestError::bad_request("a field is no text"))?;
     let text = text.strip_suffix('\0').ok_or(RequestError::bad_request("the last field is not ended"))?;
     let mut parts = text.split('\0');
-    let mut known = Fields::default();
+    let mut fields = Fields::default();
     let (mut body_len, mut scgi) = (None, None);
     let (mut method, mut uri, mut path, mut query) = (None, None, None, None);
     while let Some(name) = parts.next() {
@@ -114,7 +121,7 @@
         if body_len.is_none() && name != "CONTENT_LENGTH" {
             return Err(RequestError::bad_request("CONTENT_LENGTH does not come first"));
         }
-        let once = match name {
+        let is_first = match name {
             "CONTENT_LENGTH" => {
                 let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
                 let len = value.parse::<usize>().ok().filter(|_| digits);
@@ -129,12 +136,12 @@
             "QUERY_STRING" => query.replace(value).is_none(),
             _ => {
                 if let Some(name) = name.strip_prefix("HTTP_") {
-                    known.set(&name.replace('_', "-"), value)?;
+                    fields.set(&name.replace('_', "-"), value)?;
                 }
                 true
             }
         };
-        if !once {
+        if !is_first {
             return Err(RequestError::bad_request("a field stands twice"));
         }
     }
@@ -149,10 +156,10 @@
         Some(uri) => uri.to_string(),
         None => format!("{}?{}", path.unwrap_or(""), query.unwrap_or("")),
     };
-    Ok((route(method.unwrap_or(""), &target, known)?, body_len))
+    Ok((parse_target(method.unwrap_or(""), &target, fields)?, body_len))
 }
 
-/// A request in bytes; `fields` come after CONTENT_LENGTH and SCGI.
+/// Encodes a request; `fields` follow CONTENT_LENGTH and SCGI in the header block.
 pub fn encode_request(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut block = format!("CONTENT_LENGTH\0{}\0SCGI\x001\0", body.len());
     for (name, value) in fields {
@@ -161,17 +168,19 @@
     [format!("{}:", block.len()).as_bytes(), block.as_bytes(), b",", body].concat()
 }
 
-/// Reads the whole answer of a service: how the exchange ended, and the body where it went well. An answer
-/// that is cut short shows by its Content-Length, or by having no end of its head.
+/// Parses the whole response of a service. Returns how the exchange ended, and the body where it succeeded. A response
+/// that was cut short is recognized by its Content-Length, or because its head has no end.
 pub fn parse_response(bytes: &[u8]) -> (End, Option<Bytes>) {
-    let find = |end: &[u8]| bytes.windows(end.len()).position(|w| w == end).map(|at| (at, at + end.len()));
+    let find =
+        |mark: &[u8]| bytes.windows(mark.len()).position(|w| w == mark).map(|at| (at, at + mark.len()));
     let ends = [find(b"\r\n\r\n"), find(b"\n\n")];
-    let Some((head_len, body_at)) = ends.into_iter().flatten().min() else { return (End::Broken, None) };
+    let Some((head_len, body_start)) = ends.into_iter().flatten().min() else { return (End::Broken, None) };
     let Ok(head) = std::str::from_utf8(&bytes[..head_len]) else { return (End::Malformed, None) };
-    let body = &bytes[body_at..];
+    let body = &bytes[body_start..];
     let mut status = 200;
     for line in head.lines() {
-        // A name with a blank could be one that matters to others: an answer cut short would pass as whole.
+        // A blank in a name could hide a Content-Length that other parsers accept, and a truncated response would pass
+        // as complete.
         let field = line.split_once(':').filter(|(name, _)| name.bytes().all(|b| b.is_ascii_graphic()));
         let Some((name, value)) = field else { return (End::Malformed, None) };
         let value = value.trim();
@@ -196,28 +205,28 @@
     }
 }
 
-/// Makes one call and tells how it ended. What was refused on connecting never ran; what broke after a byte
-/// was sent may have.
-fn exchange(service: SocketAddr, request: &[u8], patience: Duration) -> (End, Option<Bytes>) {
-    let until = Instant::now() + patience;
-    let Ok(mut stream) = TcpStream::connect_timeout(&service, CONNECT_PATIENCE.min(patience)) else {
+/// Makes one call and returns how it ended. A call whose connection could not be opened never ran; one that broke after
+/// a byte was sent may have run.
+fn exchange(service: SocketAddr, request: &[u8], timeout: Duration) -> (End, Option<Bytes>) {
+    let deadline = Instant::now() + timeout;
+    let Ok(mut stream) = TcpStream::connect_timeout(&service, CONNECT_TIMEOUT.min(timeout)) else {
         return (End::Refused, None);
     };
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_write_timeout(Some(patience));
+    let _ = stream.set_write_timeout(Some(timeout));
     if let Err(e) = stream.write_all(request) {
         return (if is_timeout(&e) { End::Stalled } else { End::Broken }, None);
     }
     let mut bytes = Vec::new();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return (End::Overdue, None);
         }
         let _ = stream.set_read_timeout(Some(left));
         match read_some(&mut stream, &mut bytes) {
             Ok(0) => return parse_response(&bytes),
-            Ok(_) if bytes.len() > MOST_ANSWER => return (End::Malformed, None),
+            Ok(_) if bytes.len() > MAX_RESPONSE => return (End::Malformed, None),
             Ok(_) => {}
             Err(e) if is_timeout(&e) || e.kind() == std::io::ErrorKind::Interrupted => {}
             Err(_) => return (End::Broken, None),
@@ -225,8 +234,8 @@
     }
 }
 
-fn request(path: &str, handle: Handle, patience: Duration, body: &[u8]) -> Vec<u8> {
-    let (handle, ms) = (handle.to_string(), patience.as_millis().max(1).to_string());
+fn encode_call(path: &str, handle: Handle, timeout: Duration, body: &[u8]) -> Vec<u8> {
+    let (handle, ms) = (handle.to_string(), timeout.as_millis().max(1).to_string());
     let fields = [
         ("REQUEST_METHOD", "POST"),
         ("REQUEST_URI", path),
@@ -236,43 +245,43 @@
     encode_request(&fields, body)
 }
 
-/// Makes a call below at an SCGI service, on a coroutine of its own.
+/// Makes a call to the dependency, an SCGI service, on a coroutine of its own.
 pub fn call(
     service: SocketAddr,
     hub: &Arc<Hub>,
     handle: Handle,
     attempt: u32,
-    patience: Duration,
+    timeout: Duration,
     body: Bytes,
 ) {
     let hub = hub.clone();
     spawn(move || {
-        let (end, reply) = exchange(service, &request("/call", handle, patience, &body), patience);
+        let (end, reply) = exchange(service, &encode_call("/call", handle, timeout, &body), timeout);
         hub.push(Input::CallEnded { handle, attempt, end, reply, fence: None });
     });
 }
 
-/// The site's own application, which does the work where there is no agent.
+/// The site's SCGI application, which runs the requests where there is no agent.
 pub struct Application {
     address: SocketAddr,
     hub: Arc<Hub>,
 }
 
 impl Application {
-    /// Nothing is connected until there is work.
+    /// Creates the application's client. It connects when a request is launched.
     pub fn new(address: SocketAddr, hub: &Arc<Hub>) -> Self {
         Self { address, hub: hub.clone() }
     }
 
-    /// Carries out a command; an application knows only launches.
+    /// Executes a command. An application supports launches only, and all other commands are ignored.
     pub fn send(&self, command: Command) {
         let Command::Launch { handle, class, arg, patience } = command else { return };
         let path = format!("/do/{class}");
         let (address, hub) = (self.address, self.hub.clone());
         spawn(move || {
-            let began = Instant::now();
-            let (end, result) = exchange(address, &request(&path, handle, patience, &arg), patience);
-            let lasted = Some(began.elapsed());
+            let started = Instant::now();
+            let (end, result) = exchange(address, &encode_call(&path, handle, patience, &arg), patience);
+            let lasted = Some(started.elapsed());
             let notice = Notice::Outcome { handle, end, lasted, result };
             hub.push(Input::Agent { link: LinkId::NONE, notice });
         });
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -1,4 +1,4 @@
-//! TLS under the HTTP front, with the certificate that ACME keeps fresh.
+//! TLS for the HTTP frontend, with the certificate that the ACME client obtains and renews.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -13,76 +13,76 @@
 use rustls::{ServerConfig, ServerConnection, StreamOwned};
 
 use super::error::NodeError;
-use super::frontend::Stream;
+use super::frontend::ClientStream;
 use super::stream::Conn;
 use crate::acme::{Certificate, Shared};
 
-/// A handshake must be over within this time.
-const HANDSHAKE_PATIENCE: Duration = Duration::from_secs(10);
+/// A TLS handshake must be complete within this time.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A connection under TLS.
-pub(super) type Tls = StreamOwned<ServerConnection, Conn>;
+/// A TLS connection.
+pub(super) type TlsStream = StreamOwned<ServerConnection, Conn>;
 
-impl Stream for Tls {
+impl ClientStream for TlsStream {
     fn conn(&mut self) -> &mut Conn {
         &mut self.sock
     }
 
-    fn end(&mut self) {
+    fn notify_close(&mut self) {
         self.conn.send_close_notify();
         let _ = self.flush();
     }
 }
 
-/// Hands out the certificate in use, and reads it anew only when it changes.
-struct Current {
+/// Provides the current certificate to TLS handshakes, and parses it only when it has changed.
+struct CurrentCertificate {
     shared: Shared,
-    read: Mutex<Option<(Arc<Certificate>, Arc<CertifiedKey>)>>,
+    cached: Mutex<Option<(Arc<Certificate>, Arc<CertifiedKey>)>>,
 }
 
-impl fmt::Debug for Current {
+impl fmt::Debug for CurrentCertificate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Current")
     }
 }
 
-impl ResolvesServerCert for Current {
+impl ResolvesServerCert for CurrentCertificate {
     fn resolve(&self, _hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         let certificate = self.shared.get().certificate?;
-        let mut read = self.read.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, key)) = read.as_ref().filter(|(of, _)| Arc::ptr_eq(of, &certificate)) {
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, key)) = cached.as_ref().filter(|(of, _)| Arc::ptr_eq(of, &certificate)) {
             return Some(key.clone());
         }
-        let key = Arc::new(certified(&certificate.pem)?);
-        *read = Some((certificate, key.clone()));
+        let key = Arc::new(parse_certified_key(&certificate.pem)?);
+        *cached = Some((certificate, key.clone()));
         Some(key)
     }
 }
 
-fn certified(pem: &str) -> Option<CertifiedKey> {
+fn parse_certified_key(pem: &str) -> Option<CertifiedKey> {
     let chain: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem.as_bytes()).collect();
     let key = PrivateKeyDer::from_pem_slice(pem.as_bytes()).ok()?;
     CertifiedKey::from_der(chain.ok()?, key, &default_provider()).ok()
 }
 
-/// How connections are taken under TLS.
-pub(super) fn config(shared: Shared) -> Result<Arc<ServerConfig>, NodeError> {
-    let versions = ServerConfig::builder_with_provider(Arc::new(default_provider()));
-    let versions = versions.with_safe_default_protocol_versions().map_err(NodeError::Tls)?;
-    let current = Arc::new(Current { shared, read: Mutex::default() });
-    Ok(Arc::new(versions.with_no_client_auth().with_cert_resolver(current)))
+/// The TLS configuration for accepted connections.
+pub(super) fn server_config(shared: Shared) -> Result<Arc<ServerConfig>, NodeError> {
+    let builder = ServerConfig::builder_with_provider(Arc::new(default_provider()));
+    let builder = builder.with_safe_default_protocol_versions().map_err(NodeError::Tls)?;
+    let resolver = Arc::new(CurrentCertificate { shared, cached: Mutex::default() });
+    Ok(Arc::new(builder.with_no_client_auth().with_cert_resolver(resolver)))
 }
 
-/// Shakes hands with a caller.
-pub(super) fn accept(mut stream: Conn, config: &Arc<ServerConfig>) -> io::Result<Tls> {
+/// Performs the TLS handshake with a client.
+pub(super) fn accept(mut stream: Conn, config: &Arc<ServerConfig>) -> io::Result<TlsStream> {
     let mut conn = ServerConnection::new(config.clone()).map_err(io::Error::other)?;
-    let until = Instant::now() + HANDSHAKE_PATIENCE;
+    let deadline = Instant::now() + HANDSHAKE_TIMEOUT;
     while conn.is_handshaking() {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        stream.set_read_patience(left);
+        stream.set_read_timeout(remaining);
         conn.complete_io(&mut stream)?;
     }
     Ok(StreamOwned::new(conn, stream))
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -36,7 +36,7 @@
 fn request(message: Message) -> hopwalk::core::Request {
     match message.parsed {
         Parsed::Request(request) => *request,
-        Parsed::Check { .. } => panic!("this is a check"),
+        Parsed::HealthCheck { .. } => panic!("this is a check"),
     }
 }
 
@@ -143,7 +143,7 @@
 #[case("/check?deep=1", true)]
 fn a_check_tells_how_deep_it_goes(#[case] target: &str, #[case] is_deep: bool) {
     let message = read(Http, format!("GET {target} HTTP/1.1\r\n\r\n").as_bytes()).unwrap().unwrap();
-    assert!(matches!(message.parsed, Parsed::Check { deep } if deep == is_deep));
+    assert!(matches!(message.parsed, Parsed::HealthCheck { deep } if deep == is_deep));
 }
 
 #[test]
@@ -155,8 +155,8 @@
     assert_eq!(String::from_utf8(Http.encode(&answer, false)).unwrap(), http);
     let scgi = format!("Status: 503 Service Unavailable\r\nContent-Length: 0\r\n{fields}\r\n");
     assert_eq!(String::from_utf8(Scgi.encode(&answer, true)).unwrap(), scgi);
-    let bad = String::from_utf8(Http.encode_bad(RequestError { status: 413, reason: "x" })).unwrap();
-    assert!(bad.starts_with("HTTP/1.1 413 ") && bad.contains("Connection: close\r\n"), "{bad}");
+    let error = String::from_utf8(Http.encode_error(RequestError { status: 413, reason: "x" })).unwrap();
+    assert!(error.starts_with("HTTP/1.1 413 ") && error.contains("Connection: close\r\n"), "{error}");
 }
 
 #[rstest]
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -5,7 +5,9 @@
 use hopwalk::net::connection_table::{
     Admission, AfterAnswer, AnswerDue, Capacity, ConnectionTable, EVICT_AFTER,
 };
-use hopwalk::net::frontend::{Waited, CLOSING_PATIENCE, FIRST_PATIENCE, NEW_PATIENCE, READ_PATIENCE};
+use hopwalk::net::frontend::{
+    WaitTimes, FINAL_READ_TIMEOUT, FIRST_REQUEST_TIMEOUT, MIN_FIRST_IDLE, READ_TIMEOUT,
+};
 
 const NO_SPARE: Capacity = Capacity { open: 4, spare: 0 };
 
@@ -74,32 +76,36 @@
 fn a_request_in_parts_has_its_time_from_its_first_byte() {
     // Guards against a request that came in two parts after a long idle time being called too slow.
     let (s, ms) = (Duration::from_secs, Duration::from_millis);
-    let left = |idle, partial, unasked, closed| Waited { idle, partial, unasked }.left(s(30), closed);
-    assert_eq!(left(s(25), Some(ms(1)), None, None), READ_PATIENCE - ms(1));
+    let left = |idle, since_first_byte, since_accept, closed| {
+        WaitTimes { idle, since_first_byte, since_accept }.remaining(s(30), closed)
+    };
+    assert_eq!(left(s(25), Some(ms(1)), None, None), READ_TIMEOUT - ms(1));
     assert_eq!(left(s(25), None, None, None), s(5));
     assert_eq!(left(s(60), Some(s(11)), None, None), Duration::ZERO);
     // Guards against a short idle time that closes a connection before its first request is there.
-    let short = |unasked, closed| Waited { idle: ms(200), partial: None, unasked }.left(ms(100), closed);
-    assert_eq!(short(Some(ms(200)), None), NEW_PATIENCE - ms(200));
+    let short = |since_accept, closed| {
+        WaitTimes { idle: ms(200), since_first_byte: None, since_accept }.remaining(ms(100), closed)
+    };
+    assert_eq!(short(Some(ms(200)), None), MIN_FIRST_IDLE - ms(200));
     assert_eq!([short(None, None), short(Some(ms(200)), Some(s(1)))], [Duration::ZERO; 2]);
     // And against half a request on a new connection, or nothing, that keeps its place for long.
-    for partial in [None, Some(ms(100))] {
-        assert_eq!(left(s(1), partial, Some(s(1)), None), FIRST_PATIENCE - s(1));
-        assert_eq!(left(s(3), partial, Some(s(3)), None), Duration::ZERO);
+    for since_first_byte in [None, Some(ms(100))] {
+        assert_eq!(left(s(1), since_first_byte, Some(s(1)), None), FIRST_REQUEST_TIMEOUT - s(1));
+        assert_eq!(left(s(3), since_first_byte, Some(s(3)), None), Duration::ZERO);
     }
 }
 
 #[test]
 fn once_no_connections_are_taken_requests_under_way_have_a_short_time_and_idle_ones_none() {
     let (s, ms) = (Duration::from_secs, Duration::from_millis);
-    let left = |partial, unasked, closed| {
+    let left = |since_first_byte, since_accept, closed| {
         let idle_limit = Duration::ZERO;
-        Waited { idle: s(1), partial, unasked }.left(idle_limit, Some(closed))
+        WaitTimes { idle: s(1), since_first_byte, since_accept }.remaining(idle_limit, Some(closed))
     };
     // Guards against half of a request being turned down as the listener closes: the rest may be on its way.
-    assert_eq!(left(Some(ms(1)), None, Duration::ZERO), CLOSING_PATIENCE);
+    assert_eq!(left(Some(ms(1)), None, Duration::ZERO), FINAL_READ_TIMEOUT);
     // And against a length that lies holding up the end of a drain.
-    assert_eq!(left(Some(ms(1)), None, CLOSING_PATIENCE), Duration::ZERO);
+    assert_eq!(left(Some(ms(1)), None, FINAL_READ_TIMEOUT), Duration::ZERO);
     assert_eq!(left(None, None, Duration::ZERO), Duration::ZERO);
     assert_eq!(left(None, Some(ms(30)), Duration::ZERO), EVICT_AFTER - ms(30));
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -108,7 +108,7 @@
 fn the_request(message: Message) -> Request {
     match message.parsed {
         Parsed::Request(request) => *request,
-        Parsed::Check { .. } => panic!("this is a check"),
+        Parsed::HealthCheck { .. } => panic!("this is a check"),
     }
 }
 
