--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -217,7 +217,7 @@
     drop(at_start::open(|| std::net::TcpListener::bind(address))?);
     let listener = at_start::open(|| TcpListener::bind(address))?;
     let at = listener.local_addr()?;
-    info!("takes operators' calls on {at}");
+    info!("admin endpoint listening on {at}");
     let hub = hub.clone();
     spawn(move || {
         let (clients, mut id) = (Clients::default(), 0);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -214,7 +214,7 @@
         let mut frontends = Vec::new();
         let mut add = |key, wire: &str, address: SocketAddr, bound: io::Result<Frontend>| {
             let frontend = bound.map_err(|source| NodeError::Front { key, address, source })?;
-            info!("{} takes {wire} on {}", config.name, frontend.address);
+            info!("{} listening for {wire} on {}", config.name, frontend.address);
             frontends.push(frontend);
             Ok::<(), NodeError>(())
         };
@@ -240,7 +240,7 @@
         if let Some(path) = &self.config.handover {
             match handover::offer(path, &self.hub) {
                 Ok(successor) => self.successor = successor,
-                Err(e) => warn!("no process can take over from this one: {}: {e}", path.display()),
+                Err(e) => warn!("cannot listen for a successor process on {}: {e}", path.display()),
             }
         }
         Ok(())
@@ -340,7 +340,7 @@
             Effect::Answer { conn, answer } => match self.hub.give_answer(conn, &answer) {
                 Given::Owed => {}
                 Given::NotOwed => {
-                    warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
+                    warn!("violation: withheld an answer that connection {conn} is not owed");
                     self.hub.push_at_once(Input::Violated);
                 }
                 Given::Gone => {
@@ -395,7 +395,7 @@
             Effect::List(ready) => self.control.store(ready, Ordering::Relaxed),
             Effect::Relink => {
                 let links = self.hub.links();
-                info!("the configuration was read again: {links:?}");
+                info!("configuration reloaded: {links:?}");
                 if let Runner::Agent(agent) = &self.runner {
                     agent.relink();
                 }
@@ -404,7 +404,7 @@
                 }
             }
             Effect::StopListening => {
-                info!("takes no new connections; closed so far: {}", self.hub.closes);
+                info!("stopped accepting connections; closed so far: {}", self.hub.closes);
                 self.hub.close();
                 self.stop_frontends(false);
             }
@@ -450,10 +450,10 @@
                     while !stopped.iter().all(Frontend::is_closed) {
                         spawn::sleep(EXIT_POLL_INTERVAL);
                     }
-                    info!("leaves to the process that took over: counters so far: {counters}");
+                    info!("yielded to the successor: counters so far: {counters}");
                 });
             }
-            Effect::Leave => info!("all is answered"),
+            Effect::Leave => info!("all requests are answered"),
             Effect::Log(text) => info!("{text}"),
             Effect::Told { ticket, lines } => {
                 if let Some(requester) = self.hub.queries().remove(&ticket) {
--- a/tests/program/closing.rs
+++ b/tests/program/closing.rs
@@ -79,7 +79,7 @@
     assert_eq!(read_answer(&mut stream).status, 200);
     stream.write_all(first).unwrap();
     program.signal("TERM");
-    program.wait_for_log("takes no new connections");
+    program.wait_for_log("stopped accepting connections");
     stream.write_all(second).unwrap();
     let answer = read_answer(&mut stream);
     assert!(answer.status == 503 && answer.head.contains("Connection: close"), "{answer:?}");
@@ -197,7 +197,7 @@
     program.wait_for_log("leaving");
     // Longer than the grace, within which room would be found for all of them.
     let (busy, waiting) = more_callers_than_places(&program, &agent, 2500);
-    program.wait_for_log("takes no new connections");
+    program.wait_for_log("stopped accepting connections");
     for mut stream in busy.into_iter().chain(waiting) {
         assert!([500, 503].contains(&read_answer(&mut stream).status));
     }
--- a/tests/program/corpus.rs
+++ b/tests/program/corpus.rs
@@ -111,5 +111,5 @@
     program.signal("TERM");
     assert!(program.end().success());
     let log = program.log();
-    assert!(log.contains("all is answered") && !log.contains("panicked"), "{log}");
+    assert!(log.contains("all requests are answered") && !log.contains("panicked"), "{log}");
 }
--- a/tests/program/links.rs
+++ b/tests/program/links.rs
@@ -260,7 +260,7 @@
     let program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let silent = Silent::start();
     program.reload(&[moved(agent.address, silent.address)]);
-    program.wait_for_log("the configuration was read again");
+    program.wait_for_log("configuration reloaded");
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(1500) {
         let ask = Ask { patience_ms: 400, ..Ask::new("queue-status", b"a") };
@@ -461,9 +461,9 @@
     // Nothing can be sent to port 0; then an address where nobody listens; then one that does.
     let nowhere: SocketAddr = ([127, 0, 0, 1], 0).into();
     for to in [nowhere, gone()] {
-        let before = program.log().matches("read again").count();
+        let before = program.log().matches("configuration reloaded").count();
         program.reload(&[moved(was, to)]);
-        wait_for("the reload", || program.log().matches("read again").count() > before);
+        wait_for("the reload", || program.log().matches("configuration reloaded").count() > before);
         assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
     }
     let control = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/tests/program/main.rs
+++ b/tests/program/main.rs
@@ -236,7 +236,7 @@
     let program = Program::start(with_agent(&agent));
     let new = gone();
     program.reload(&[moved(agent.address, new)]);
-    program.wait_for_log("the configuration was read again");
+    program.wait_for_log("configuration reloaded");
     assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
     let _agent = agent.moved_to(new);
     program.wait_for_log(&format!("linked to the agent at {new}"));
@@ -330,7 +330,7 @@
     let prefs = r#"{"name": "queue-prefs","#;
     let next = r#"{"name": "lobby-confirm-next", "give_up_us": 4500000, "promise_us": 1800000, "memory_span_us": 13356000, "repeat": "deduplicated", "worth": 10.0}, "#;
     program.reload(&[(prefs.to_string(), next.to_string() + prefs)]);
-    program.wait_for_log("the configuration was read again");
+    program.wait_for_log("configuration reloaded");
     assert_eq!(read_answer(&mut open).body, b"made:o");
     let ask = Ask { class: "lobby-confirm-next", ..Ask::keyed("n", b"n") };
     assert_eq!(exchange(program.http, &ask.http()).body, b"made:n");
--- a/tests/program/scgi.rs
+++ b/tests/program/scgi.rs
@@ -70,7 +70,7 @@
     {
         let (mut child, _dir) = start(&vault, appliance);
         let (mut log, mut line) = (BufReader::new(child.stderr.take().unwrap()), String::new());
-        while !line.contains("takes HTTP on ") {
+        while !line.contains("listening for HTTP on ") {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "it ended");
         }
--- a/tests/program/stand_in.rs
+++ b/tests/program/stand_in.rs
@@ -184,9 +184,9 @@
             appliance,
             dir,
         };
-        program.http = program.listening("takes HTTP on ");
-        program.scgi = program.listening("takes SCGI on ");
-        program.admin = program.listening("takes operators' calls on ");
+        program.http = program.listening("listening for HTTP on ");
+        program.scgi = program.listening("listening for SCGI on ");
+        program.admin = program.listening("admin endpoint listening on ");
         program
     }
 
--- a/tests/program/system_calls.rs
+++ b/tests/program/system_calls.rs
@@ -101,7 +101,7 @@
         stream.write_all(&Ask { patience_ms: 3000, ..Ask::new("queue-status", b"waits") }.http()).unwrap();
     }
     program.signal("TERM");
-    program.wait_for_log("takes no new connections");
+    program.wait_for_log("stopped accepting connections");
     turn(&program, &[(Dial::Interrupt, ALWAYS / 2), (Dial::Accept, 0)]);
     let statuses: Vec<_> = waiting.iter_mut().map(|stream| read_answer(stream).status).collect();
     assert!(statuses.iter().all(|status| [200, 500, 503].contains(status)), "{statuses:?}");
@@ -116,7 +116,7 @@
     turn(&program, &[(Dial::Abort, ALWAYS)]);
     // The only ones that connect are those by which the program wakes its own listeners.
     program.signal("TERM");
-    program.wait_for_log("takes no new connections");
+    program.wait_for_log("stopped accepting connections");
     assert!(program.end().success());
 }
 
--- a/tests/program/unchanged.rs
+++ b/tests/program/unchanged.rs
@@ -79,7 +79,7 @@
     for (round, name) in ["first", "second", "third"].into_iter().enumerate() {
         program.reload(&[("lobby-confirm".to_string(), name.to_string())]);
         wait_for("the configuration", || {
-            program.log().matches("the configuration was read again").count() == round + 1
+            program.log().matches("configuration reloaded").count() == round + 1
         });
         let mut stream = connect(program.http);
         let class = Ask { class: name, ..Ask::keyed(&format!("k-{name}"), name.as_bytes()) };
@@ -144,9 +144,7 @@
         command = link.command();
     }
     program.reload(&[(agent.address.to_string(), third.address.to_string())]);
-    wait_for("the second configuration", || {
-        program.log().matches("the configuration was read again").count() == 2
-    });
+    wait_for("the second configuration", || program.log().matches("configuration reloaded").count() == 2);
     link.mark(&command.ticket);
     let mut passed = second.link();
     while let Some(line) = passed.line() {
--- a/tests/program/upgrade.rs
+++ b/tests/program/upgrade.rs
@@ -20,7 +20,7 @@
     assert_eq!((answer.status, answer.body), (200, b"made:kreply:k".to_vec()));
     assert!(answer.head.contains("Connection: close"), "{}", answer.head);
     old.signal("TERM");
-    old.wait_for_log("leaves to the process that took over");
+    old.wait_for_log("yielded to the successor");
 
     // Tries of keys that the old process ran, or still runs, get its results from the new one.
     let mut again = connect(new.http);
@@ -195,7 +195,7 @@
     assert!(first.end().success());
     let third = second.successor(&agents[1], &agents[2]);
     second.signal("TERM");
-    second.wait_for_log("leaves to the process that took over");
+    second.wait_for_log("yielded to the successor");
     assert!(second.end().success());
     assert_eq!(exchange(third.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
 }
