--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The codecs, on bytes alone.
+//! Tests of the codecs (HTTP, SCGI, agent, vault, control plane, handover, settings) on bytes, without I/O.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -40,15 +40,15 @@
     }
 }
 
-/// Reads what is there at once.
-fn read(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, RequestError> {
+/// Decodes input that arrives in one piece.
+fn read_at_once(wire: impl Wire, bytes: &[u8]) -> Result<Option<Message>, RequestError> {
     let mut decoder = MessageDecoder::new(wire);
     decoder.buffer_mut().extend(bytes);
     decoder.next_message().map(|message| message.map(|(message, _)| message))
 }
 
-/// Feeds a message byte by byte: it must be there with its last byte, and not before.
-fn fed(wire: impl Wire, bytes: &[u8]) -> Message {
+/// Decodes a message that arrives byte by byte: it must be complete with its last byte, and not before.
+fn read_bytewise(wire: impl Wire, bytes: &[u8]) -> Message {
     let mut decoder = MessageDecoder::new(wire);
     for (len, byte) in bytes.iter().enumerate() {
         assert!(decoder.next_message().unwrap().is_none(), "read whole after {len} bytes");
@@ -65,21 +65,23 @@
 #[case("", Ok(None))]
 #[case("X-Object: a\r\nX-Object: b\r\n", Ok(Some("a")))]
 #[case("X-Object: a\r\nX-Object:\r\n", Err(()))]
-fn what_a_request_is_about_is_kept(#[case] field: &str, #[case] kept: Result<Option<&str>, ()>) {
-    let message = read(Http, &http("POST /do/a", &format!("Content-Length: 0\r\n{field}"), ""));
+fn x_object_is_truncated_and_kept(#[case] field: &str, #[case] expected: Result<Option<&str>, ()>) {
+    let message = read_at_once(Http, &http("POST /do/a", &format!("Content-Length: 0\r\n{field}"), ""));
     let object = message.map(|m| request(m.unwrap()).object).map_err(|_| ());
-    assert_eq!(object.as_ref().map(|o| o.as_deref()).map_err(|_| ()), kept);
-    // Guards against memory that a caller chooses: one of any length is taken, and its first bytes are kept.
+    assert_eq!(object.as_ref().map(|o| o.as_deref()).map_err(|_| ()), expected);
+    // Guards against a client that decides how much memory is used: a value of any length is accepted, and only its
+    // first bytes are kept.
     let long = "\u{e9}".repeat(300);
-    let message = read(Http, &http("POST /do/a", &format!("Content-Length: 0\r\nX-Object: x{long}\r\n"), ""));
+    let message =
+        read_at_once(Http, &http("POST /do/a", &format!("Content-Length: 0\r\nX-Object: x{long}\r\n"), ""));
     assert_eq!(request(message.unwrap().unwrap()).object.unwrap().len(), 127, "no character is cut");
 }
 
 #[test]
-fn both_fronts_read_the_same_request() {
+fn both_frontends_decode_the_same_request() {
     let fields =
         "X-Timeout-Ms: 480\r\nX-Caller: 4\r\nX-Rank: 0.625\r\nIdempotency-Key: 5c0f\r\nContent-Length: 3\r\n";
-    let over_http = request(fed(Http, &http("POST /do/lobby-confirm", fields, "a\0b")));
+    let over_http = request(read_bytewise(Http, &http("POST /do/lobby-confirm", fields, "a\0b")));
     let pairs = [
         ("HTTP_X_TIMEOUT_MS", "480"),
         ("HTTP_X_CALLER", "4"),
@@ -87,7 +89,7 @@
         ("HTTP_X_MEMORY_KB", "24.5"),
         ("HTTP_IDEMPOTENCY_KEY", "5c0f"),
     ];
-    let over_scgi = request(fed(Scgi, &scgi_request(&pairs, b"a\0b")));
+    let over_scgi = request(read_bytewise(Scgi, &scgi_request(&pairs, b"a\0b")));
     assert_eq!(format!("{over_http:?}"), format!("{over_scgi:?}"));
     assert_eq!(over_http.patience, Some(Duration::from_millis(480)));
     assert_eq!((&over_http.body[..], over_http.key.as_deref()), (&b"a\0b"[..], Some("5c0f")));
@@ -117,8 +119,8 @@
 #[case::path(http("POST /nowhere", "", ""), 404)]
 #[case::method(http("DELETE /do/a", "", ""), 405)]
 #[case::no_id(b"POST /do/a HTTP/1.1\r\n\r\n".to_vec(), 400)]
-fn bad_http_is_told_what_is_wrong(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    assert_eq!(read(Http, &bytes).unwrap_err().status, status);
+fn invalid_http_is_rejected_with_its_status(#[case] bytes: Vec<u8>, #[case] status: u16) {
+    assert_eq!(read_at_once(Http, &bytes).unwrap_err().status, status);
 }
 
 #[rstest]
@@ -126,7 +128,7 @@
 #[case::leading_zero(b"012:".to_vec(), 400)]
 #[case::endless_digits(b"123456789".to_vec(), 400)]
 #[case::large(b"9999:".to_vec(), 431)]
-#[case::length_lies_low(b"9:CONTENT_LENGTH\x000\0SCGI\x001\0,".to_vec(), 400)]
+#[case::length_too_small(b"9:CONTENT_LENGTH\x000\0SCGI\x001\0,".to_vec(), 400)]
 #[case::no_scgi(b"17:CONTENT_LENGTH\x000\0,".to_vec(), 400)]
 #[case::length_not_first(b"24:SCGI\x001\0CONTENT_LENGTH\x000\0,".to_vec(), 400)]
 #[case::no_value(b"22:CONTENT_LENGTH\x000\0SCGI\0,".to_vec(), 400)]
@@ -134,20 +136,20 @@
 #[case::large_body(scgi_request(&[], &[0; 2049]), 413)]
 #[case::long_body([scgi_request(&[], b"abc"), b"d".to_vec()].concat(), 400)]
 #[case::length_twice(scgi_request(&[("CONTENT_LENGTH", "3")], b"abc"), 400)]
-fn bad_scgi_is_told_what_is_wrong(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    assert_eq!(read(Scgi, &bytes).unwrap_err().status, status);
+fn invalid_scgi_is_rejected_with_its_status(#[case] bytes: Vec<u8>, #[case] status: u16) {
+    assert_eq!(read_at_once(Scgi, &bytes).unwrap_err().status, status);
 }
 
 #[rstest]
 #[case("/check", false)]
 #[case("/check?deep=1", true)]
-fn a_check_tells_how_deep_it_goes(#[case] target: &str, #[case] is_deep: bool) {
-    let message = read(Http, format!("GET {target} HTTP/1.1\r\n\r\n").as_bytes()).unwrap().unwrap();
+fn a_health_check_may_be_deep(#[case] target: &str, #[case] is_deep: bool) {
+    let message = read_at_once(Http, format!("GET {target} HTTP/1.1\r\n\r\n").as_bytes()).unwrap().unwrap();
     assert!(matches!(message.parsed, Parsed::HealthCheck { deep } if deep == is_deep));
 }
 
 #[test]
-fn a_refusal_says_the_same_on_both_fronts() {
+fn a_refusal_is_encoded_alike_on_both_frontends() {
     let verdict = Verdict::Refused { retry_after: Duration::from_millis(250), no_retry: true };
     let answer = Answer { verdict, signal: Some(0.25), close: false };
     let fields = "X-Load-Signal: 0.2500\r\nRetry-After-Ms: 250\r\nX-Dont-Retry: 1\r\n";
@@ -169,14 +171,14 @@
 #[case(b"Status: what\r\n\r\n", End::Malformed)]
 #[case(b"Status: 503 Busy\r\n\r\n", End::NotNow)]
 #[case(b"Status: 500 Oops\r\n\r\n", End::Failed)]
-fn an_answer_of_a_service_ends_one_way(#[case] bytes: &[u8], #[case] end: End) {
+fn a_service_response_gives_the_end_of_the_call(#[case] bytes: &[u8], #[case] end: End) {
     let (ended, body) = scgi::parse_response(bytes);
     assert_eq!(ended, end);
     assert_eq!(body.as_deref(), (end == End::Complete).then_some(&b"hi"[..]));
 }
 
 #[test]
-fn commands_and_notices_of_the_agent() {
+fn agent_commands_and_notices() {
     let handle = "9b1f03aa5c7e2d41".parse().unwrap();
     let mut out = String::new();
     let arg = Arc::from(*b"\xff\0");
@@ -205,9 +207,10 @@
     r#"{"event":"outcome","cursor":1,"handle":"9b1f03aa5c7e2d41","fate":"error","lasted":1e20}"#,
     "it lasted more than 1 days"
 )]
-fn spoilt_figures_of_the_agent_are_turned_down(#[case] line: &str, #[case] says: &str) {
-    // Guards against a number that makes all later notices pass as told before, and times that overflow.
-    assert_eq!(agent::parse(line).unwrap_err().to_string(), says);
+fn invalid_numbers_in_agent_notices_are_rejected(#[case] line: &str, #[case] expected: &str) {
+    // Guards against a cursor that makes all later notices count as already received, and against durations that
+    // overflow.
+    assert_eq!(agent::parse(line).unwrap_err().to_string(), expected);
 }
 
 #[rstest]
@@ -222,17 +225,17 @@
 #[case("9b1f03aa5c7e2d41 yes 99999999", Err(End::Malformed))]
 #[case("9b1f yes 1", Err(End::Malformed))]
 #[case("9b1f03aa5c7e2d41 maybe", Err(End::Malformed))]
-fn replies_of_the_vault(#[case] line: &str, #[case] read: Result<(End, Option<usize>), End>) {
+fn vault_replies(#[case] line: &str, #[case] read: Result<(End, Option<usize>), End>) {
     assert_eq!(vault::parse_reply(line).map(|(_, end, len)| (end, len)), read);
 }
 
 #[test]
-fn a_call_and_a_report_in_bytes() {
+fn encoded_calls_and_lease_reports() {
     let ask = |turn: Option<u64>| {
         let fence = turn.map(|turn| Fence { turn, version: 12 });
         vault::encode_ask("9b1f03aa5c7e2d41".parse().unwrap(), Duration::from_micros(250_900), b"x\ry", fence)
     };
-    // Without routes and before any activation a call is in the platform's own words.
+    // Without routes, and before the first activation, a call is encoded without a fence.
     assert_eq!([ask(None), ask(Some(0))], [b"ask 9b1f03aa5c7e2d41 250 3\r\nx\ry\r\n"; 2]);
     assert_eq!(ask(Some(7)), b"ask 9b1f03aa5c7e2d41 250 3 7.12\r\nx\ry\r\n");
     assert_eq!(control::encode("n3", true), "lease n3 Ready");
@@ -245,19 +248,19 @@
 #[case("\"run_factor\": 16.0", "\"run_factor\": -1", "specifics.run_factor: is negative or not finite")]
 #[case("\"kb_per_key\": 117.75", "\"kb_per_key\": 1e300", "specifics.kb_per_key: is more than a petabyte")]
 #[case("\"run_factor\": 16.0", "\"run_factor\": null", "specifics.run_factor: is missing")]
-fn faulty_settings_name_the_key(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
+fn invalid_settings_name_the_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     assert!(SITE.contains(from));
-    assert_eq!(Site::parse(&SITE.replacen(from, to, 1)).unwrap_err().to_string(), says);
+    assert_eq!(Site::parse(&SITE.replacen(from, to, 1)).unwrap_err().to_string(), expected);
 }
 
 #[rstest]
 #[case("RELAY_LISTEN", "nowhere", "RELAY_LISTEN: cannot be read from 'nowhere'")]
 #[case("RELAY_NAME", "two words", "name: must be one word")]
-fn faulty_variables_are_named(#[case] key: &str, #[case] value: &str, #[case] says: &str) {
+fn invalid_environment_variables_are_named(#[case] key: &str, #[case] value: &str, #[case] expected: &str) {
     let json = format!(r#"{{"name":"n1","listen":"127.0.0.1:1","settings":{SITE},"unknown":[]}}"#);
     assert!(Config::parse(&json, &HashMap::new()).is_ok());
     let vars = HashMap::from([(key.to_string(), value.to_string())]);
-    assert_eq!(Config::parse(&json, &vars).unwrap_err().to_string(), says);
+    assert_eq!(Config::parse(&json, &vars).unwrap_err().to_string(), expected);
 }
 
 #[rstest]
@@ -267,10 +270,10 @@
     "settings.profiles[1].name: is missing or stands twice"
 )]
 #[case(r#""name": "queue-status", "#, "", "settings.profiles[0].name: is missing or stands twice")]
-fn classes_of_the_program_need_names(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
+fn classes_must_have_unique_names(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let site = SITE.replacen(from, to, 1);
     let json = format!(r#"{{"name":"n1","listen":"127.0.0.1:1","settings":{site}}}"#);
-    assert_eq!(Config::parse(&json, &HashMap::new()).unwrap_err().to_string(), says);
+    assert_eq!(Config::parse(&json, &HashMap::new()).unwrap_err().to_string(), expected);
 }
 
 fn config(site: &str) -> Result<Config, ConfigError> {
@@ -306,35 +309,36 @@
     r#""below": "common", "calls_out": 0"#,
     "specifics.calls_out: is missing or 0, and classes call what is below"
 )]
-fn values_that_no_operator_means_are_turned_down(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
+fn out_of_range_settings_are_rejected(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     assert!(SITE.contains(from) && config(SITE).is_ok());
     let site = SITE.replacen(from, to, 1);
-    let wrong = config(&site).unwrap_err();
-    assert_eq!(wrong.to_string(), format!("settings.{says}"));
-    assert!(miette::Diagnostic::help(&wrong).is_some_and(|help| !help.to_string().is_empty()));
+    let error = config(&site).unwrap_err();
+    assert_eq!(error.to_string(), format!("settings.{expected}"));
+    assert!(miette::Diagnostic::help(&error).is_some_and(|help| !help.to_string().is_empty()));
     assert!(Site::parse(&site).is_ok(), "the simulator's options are read as they come");
 }
 
 #[rstest]
-#[case::parts_of_all(r#"[0.3, 0.3, 0.0]"#, "[1, 1.0, 0]")]
-#[case::all_when_late(r#""worth": 10.0"#, r#""worth": 10.0, "late_value": 1"#)]
-#[case::never_cold(r#""cold_from": 0.2"#, r#""cold_from": 1"#)]
-#[case::no_crowd(r#""fall_multiple": 8.0"#, r#""fall_multiple": 1"#)]
-// The module ends the wanted time with the client's patience: days with shorter deadlines must start.
-#[case::promised_past_the_last(r#""promise_us": 1800000"#, r#""promise_us": 4500001"#)]
-#[case::once(r#""repeat": "deduplicated""#, r#""repeat": "at_most_once""#)]
+#[case::full_worth_without_calls(r#"[0.3, 0.3, 0.0]"#, "[1, 1.0, 0]")]
+#[case::full_late_value(r#""worth": 10.0"#, r#""worth": 10.0, "late_value": 1"#)]
+#[case::full_speed_when_cold(r#""cold_from": 0.2"#, r#""cold_from": 1"#)]
+#[case::lowest_fall_multiple(r#""fall_multiple": 8.0"#, r#""fall_multiple": 1"#)]
+// The decision module limits the target latency to the client's timeout, so settings with shorter timeouts must be
+// accepted.
+#[case::promise_beyond_the_timeout(r#""promise_us": 1800000"#, r#""promise_us": 4500001"#)]
+#[case::at_most_once(r#""repeat": "deduplicated""#, r#""repeat": "at_most_once""#)]
 #[case::calls_out(r#""below": "next_hop""#, r#""below": "common", "calls_out": 0.5"#)]
 #[case::no_calls(
     r#""below": "next_hop", "class_calls": [true, true, true]"#,
     r#""below": "common", "class_calls": [false, false, false]"#
 )]
-fn values_at_their_bounds_are_taken(#[case] from: &str, #[case] to: &str) {
+fn settings_at_their_bounds_are_accepted(#[case] from: &str, #[case] to: &str) {
     assert!(SITE.contains(from));
     assert_eq!(config(&SITE.replacen(from, to, 1)).err(), None);
 }
 
 #[test]
-fn settings_may_leave_out_tenants_hints_and_the_share_of_calls() {
+fn tenants_hints_and_the_share_of_calls_are_optional_settings() {
     let without_span = SITE.replacen(r#""share_span_us": 5000000, "#, "", 1);
     assert_ne!(without_span, SITE);
     let without_below = without_span.replacen(r#""below": "next_hop", "#, "", 1);
@@ -349,11 +353,15 @@
 }
 
 #[test]
-fn the_example_of_the_appliance_shows_all_of_it() {
-    let on = Appliance::parse(include_str!("../deploy/appliance.example.json")).unwrap();
-    assert!(on.scgi_listen.is_some() && on.scgi_application.is_some() && on.scgi_below.is_some());
-    assert!(on.console.is_some() && on.acme.is_some() && on.tls_listen.is_some());
-    assert!(on.fleet.is_some_and(|fleet| fleet.routes.is_some()));
+fn the_appliance_example_has_every_section() {
+    let appliance = Appliance::parse(include_str!("../deploy/appliance.example.json")).unwrap();
+    assert!(
+        appliance.scgi_listen.is_some()
+            && appliance.scgi_application.is_some()
+            && appliance.scgi_below.is_some()
+    );
+    assert!(appliance.console.is_some() && appliance.acme.is_some() && appliance.tls_listen.is_some());
+    assert!(appliance.fleet.is_some_and(|fleet| fleet.routes.is_some()));
 }
 
 #[rstest]
@@ -363,38 +371,41 @@
 #[case(r#"{"listen":"127.0.0.1:7","name":""}"#, "fleet.name: must have 1 to 64 bytes")]
 #[case(r#"{"listen":"127.0.0.1:7","period_ms":10}"#, "fleet.period_ms: must be 50 to 60000")]
 #[case(r#"{"listen":"127.0.0.1:7","seeds":["x"]}"#, "fleet.seeds[0]: cannot be read from 'x'")]
-fn a_faulty_fleet_is_turned_down_by_its_key(#[case] fleet: &str, #[case] says: &str) {
-    let wrong = Appliance::parse(&format!(r#"{{"fleet":{fleet}}}"#)).unwrap_err();
-    assert_eq!(wrong.to_string(), says);
+fn an_invalid_fleet_section_names_the_key(#[case] fleet: &str, #[case] expected: &str) {
+    let error = Appliance::parse(&format!(r#"{{"fleet":{fleet}}}"#)).unwrap_err();
+    assert_eq!(error.to_string(), expected);
 }
 
 #[test]
-fn the_appliance_is_off_unless_its_file_says_where() {
+fn appliance_features_are_off_by_default() {
     assert_eq!(Appliance::parse("{}").unwrap(), Appliance::default());
-    let on = Appliance::parse(r#"{"scgi": {"listen": "127.0.0.1:4000"}}"#).unwrap();
-    assert_eq!(on.scgi_listen, "127.0.0.1:4000".parse().ok());
-    let wrong = Appliance::parse(r#"{"scgi": {"listen": 4000}}"#).unwrap_err();
-    assert_eq!(wrong.key, "scgi.listen");
-    let help = miette::Diagnostic::help(&wrong).map(|help| help.to_string());
+    let appliance = Appliance::parse(r#"{"scgi": {"listen": "127.0.0.1:4000"}}"#).unwrap();
+    assert_eq!(appliance.scgi_listen, "127.0.0.1:4000".parse().ok());
+    let error = Appliance::parse(r#"{"scgi": {"listen": 4000}}"#).unwrap_err();
+    assert_eq!(error.key, "scgi.listen");
+    let help = miette::Diagnostic::help(&error).map(|help| help.to_string());
     assert_eq!(help.as_deref(), Some("give a text, within quotes"));
 }
 
 #[test]
-fn what_a_process_hands_over_is_read_as_it_was_said() {
+fn handover_messages_are_decoded_as_sent() {
     use hopwalk::core::{KeyState, Request, Succession};
     use hopwalk::net::handover::{parse, Heard, Word};
     let key: hopwalk::core::Key = "a key, spaces\nand all".into();
     let result: Option<hopwalk::core::Bytes> = Some((*b"\0\xff").into());
     let until = Duration::from_micros(1_764_576_000_123_456);
     let state = KeyState { key: key.clone(), what: u64::MAX, until, open: true, result: result.clone() };
-    let heard = |word: Word| -> Vec<_> {
+    let decode = |word: Word| -> Vec<_> {
         word.lines().iter().map(|l| parse(l.trim_end_matches('\n')).expect(l)).collect()
     };
     let complete = Heard::Word(Succession::Complete { standby: true });
-    assert_eq!(heard(Word::Keys(vec![state.clone()], true)), [Heard::Word(Succession::Key(state)), complete]);
+    assert_eq!(
+        decode(Word::Keys(vec![state.clone()], true)),
+        [Heard::Word(Succession::Key(state)), complete]
+    );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::Settled { key: key.clone(), ran: true, result: result.clone() };
-        assert_eq!(heard(Word::Settled(key.clone(), true, result)), [Heard::Word(settled)]);
+        assert_eq!(decode(Word::Settled(key.clone(), true, result)), [Heard::Word(settled)]);
     }
     let request = Request {
         conn: 7,
@@ -412,23 +423,23 @@
         body: (*b"\r\n").into(),
     };
     let line = Word::Request(Box::new(request.clone())).lines().concat();
-    assert_eq!(heard(Word::Request(Box::new(request.clone()))), [Heard::Request(Box::new(request.clone()))]);
-    // Guards against an upgrade from a version that does not know the last word, or the last three: its requests
-    // would be lost. It only told whether they name what they are about.
+    assert_eq!(decode(Word::Request(Box::new(request.clone()))), [Heard::Request(Box::new(request.clone()))]);
+    // Guards against losing requests in an upgrade from a version that does not send the last word, or the last three.
+    // Such a version only sent whether a request names its object.
     let named = Request { object: Some("".into()), ..request.clone() };
-    let bare = Request { tenant: None, cost: None, ..named.clone() };
-    for (words, read) in [(1, named), (3, bare)] {
+    let shortest = Request { tenant: None, cost: None, ..named.clone() };
+    for (words, read) in [(1, named), (3, shortest)] {
         let old = line.trim_end().rsplitn(words + 1, ' ').last().unwrap();
         assert_eq!(parse(old), Some(Heard::Request(Box::new(read))), "{old}");
     }
-    // And against a word that a process from before objects were passed on cannot read, where there is none.
+    // Guards also against sending a word that versions without objects cannot decode, where there is no object.
     let plain = Word::Request(Box::new(Request { object: None, ..request })).lines().concat();
     assert_eq!((plain.split(' ').count(), line.split(' ').count()), (14, 15));
     let refused = Verdict::Refused { retry_after: Duration::from_millis(50), no_retry: true };
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
-        let told = Succession::Answered { conn: 7, answer: answer.clone() };
-        assert_eq!(heard(Word::Answer(7, Arc::new(answer))), [Heard::Word(told)]);
+        let forwarded = Succession::Answered { conn: 7, answer: answer.clone() };
+        assert_eq!(decode(Word::Answer(7, Arc::new(answer))), [Heard::Word(forwarded)]);
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
         assert_eq!(parse(bad), None, "{bad}");
@@ -436,8 +447,8 @@
 }
 
 #[test]
-fn a_head_that_comes_byte_by_byte_costs_a_few_times_its_length() {
-    // Guards against a head that is read again from its start with every piece: 33 MB for this one.
+fn a_head_received_byte_by_byte_costs_a_few_times_its_length() {
+    // Guards against parsing the head from its start after every read, which would process 33 MB for this one.
     let bytes = http("POST /do/a", &format!("X-Pad: {}\r\nContent-Length: 2000\r\n", "x".repeat(8000)), "");
     let mut decoder = MessageDecoder::new(Http);
     for byte in bytes.iter().chain(&[b'b'; 2000]) {
@@ -446,12 +457,12 @@
     }
     assert!(decoder.next_message().unwrap().is_some());
     let (work, len) = (decoder.bytes_processed(), bytes.len() as u64 + 2000);
-    println!("{work} bytes looked at for {len}");
+    println!("{work} bytes processed for {len}");
     assert!(work < 6 * len);
 }
 
 #[test]
-fn half_a_message_is_told_what_is_wrong_when_nothing_more_comes() {
+fn an_incomplete_message_is_rejected_at_the_end_of_the_input() {
     let mut decoder = MessageDecoder::new(Http);
     decoder.buffer_mut().extend(b"POST /do/a HTTP/1.1\r\nContent-Length : 3\r\n");
     assert!(matches!(decoder.next_message(), Ok(None) | Err(_)));
@@ -464,13 +475,13 @@
 #[case::signed_time(http("POST /do/a", "X-Timeout-Ms: +5\r\n", ""), 400)]
 #[case::get(http("GET /do/a", "", ""), 405)]
 #[case::put(http("PUT /do/a", "", ""), 405)]
-fn what_others_could_read_otherwise_is_turned_down(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    assert_eq!(read(Http, &bytes).unwrap_err().status, status);
+fn ambiguous_requests_are_rejected(#[case] bytes: Vec<u8>, #[case] status: u16) {
+    assert_eq!(read_at_once(Http, &bytes).unwrap_err().status, status);
 }
 
 #[test]
-fn an_answer_of_a_service_whose_length_has_a_blank_is_malformed() {
-    // Guards against an answer that was cut short and passed as whole: the length was no field that counted.
+fn a_service_response_with_a_blank_in_a_header_name_is_malformed() {
+    // Guards against a truncated response that passes as complete, because its length was not recognized.
     let (end, _) = scgi::parse_response(b"Status: 200 OK\r\nContent-Length : 20\r\n\r\nhi");
     assert_eq!(end, End::Malformed);
 }
@@ -482,9 +493,9 @@
 #[case("http://127.evil.example/d", false)]
 #[case("http://127.0.0.1@evil.example/d", false)]
 #[case("http://localhost:80@evil.example/", false)]
-fn only_a_loopback_address_is_trusted_without_tls(#[case] directory: &str, #[case] taken: bool) {
-    // Guards against a name that begins like a loopback address, and certificates from whoever owns it.
+fn only_a_loopback_address_is_trusted_without_tls(#[case] directory: &str, #[case] accepted: bool) {
+    // Guards against a domain name that begins like a loopback address, whose owner could issue certificates.
     let acme =
         format!(r#""directory":"{directory}","domains":["a"],"store":"/s","challenge_listen":"0.0.0.0:80""#);
-    assert_eq!(Appliance::parse(&format!(r#"{{"acme":{{{acme}}}}}"#)).is_ok(), taken);
+    assert_eq!(Appliance::parse(&format!(r#"{{"acme":{{{acme}}}}}"#)).is_ok(), accepted);
 }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! The table of connections and the time for which each is read, without sockets.
+//! Tests of the connection table and of the read timeouts of connections, without sockets.
 
 use std::time::{Duration, Instant};
 
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn silent_clients_make_room_before_slow_requests_and_those_before_idle_callers() {
-    // Guards against a request that takes its time being closed in favour of clients that say nothing.
+fn silent_clients_are_evicted_before_slow_requests_and_those_before_idle_clients() {
+    // Guards against closing a connection with a slow request in favour of clients that send nothing.
     let start = Instant::now();
     let mut table = ConnectionTable::default();
     for conn in 1..=4 {
@@ -34,14 +34,14 @@
     assert_eq!(table.admit(5, 5, soon, NO_SPARE, |_| panic!("all are new")), Admission::Full);
     let later = start + Duration::from_secs(1);
     assert_eq!([(); 3].map(|()| evicted(&mut table, later)), [Some(4), Some(3), Some(2)]);
-    assert_eq!(evicted(&mut table, later), None, "who is owed an answer stays");
+    assert_eq!(evicted(&mut table, later), None, "a connection that is owed an answer is not evicted");
     (1..=4).for_each(|conn| table.remove(conn));
     assert!(table.is_empty() && table.closing() == 0);
 }
 
 #[test]
-fn a_request_that_is_read_from_an_evicted_connection_is_owed_an_answer_and_the_last() {
-    // Guards against a request that was read and is dropped, since its connection was to make room.
+fn a_request_read_from_an_evicted_connection_gets_an_answer_and_is_the_last() {
+    // Guards against dropping a request that was read from a connection after its eviction.
     let start = Instant::now();
     let mut table = ConnectionTable::default();
     let one = Capacity { open: 1, spare: 0 };
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn where_none_can_make_room_a_spare_place_is_given_for_one_answer() {
+fn without_an_evictable_connection_a_spare_slot_is_used_for_one_answer() {
     let start = Instant::now();
     let mut table = ConnectionTable::default();
     let capacity = Capacity { open: 1, spare: 1 };
@@ -73,46 +73,49 @@
 }
 
 #[test]
-fn a_request_in_parts_has_its_time_from_its_first_byte() {
-    // Guards against a request that came in two parts after a long idle time being called too slow.
+fn a_partial_request_is_timed_from_its_first_byte() {
+    // Guards against rejecting a request as too slow that arrived in two parts after a long idle time.
     let (s, ms) = (Duration::from_secs, Duration::from_millis);
-    let left = |idle, since_first_byte, since_accept, closed| {
-        WaitTimes { idle, since_first_byte, since_accept }.remaining(s(30), closed)
+    let remaining = |idle, since_first_byte, since_accept, closed_for| {
+        WaitTimes { idle, since_first_byte, since_accept }.remaining(s(30), closed_for)
     };
-    assert_eq!(left(s(25), Some(ms(1)), None, None), READ_TIMEOUT - ms(1));
-    assert_eq!(left(s(25), None, None, None), s(5));
-    assert_eq!(left(s(60), Some(s(11)), None, None), Duration::ZERO);
-    // Guards against a short idle time that closes a connection before its first request is there.
-    let short = |since_accept, closed| {
-        WaitTimes { idle: ms(200), since_first_byte: None, since_accept }.remaining(ms(100), closed)
+    assert_eq!(remaining(s(25), Some(ms(1)), None, None), READ_TIMEOUT - ms(1));
+    assert_eq!(remaining(s(25), None, None, None), s(5));
+    assert_eq!(remaining(s(60), Some(s(11)), None, None), Duration::ZERO);
+    // Guards against a short idle limit that closes a connection before its first request has arrived.
+    let short_idle_limit = |since_accept, closed_for| {
+        WaitTimes { idle: ms(200), since_first_byte: None, since_accept }.remaining(ms(100), closed_for)
     };
-    assert_eq!(short(Some(ms(200)), None), MIN_FIRST_IDLE - ms(200));
-    assert_eq!([short(None, None), short(Some(ms(200)), Some(s(1)))], [Duration::ZERO; 2]);
-    // And against half a request on a new connection, or nothing, that keeps its place for long.
+    assert_eq!(short_idle_limit(Some(ms(200)), None), MIN_FIRST_IDLE - ms(200));
+    assert_eq!(
+        [short_idle_limit(None, None), short_idle_limit(Some(ms(200)), Some(s(1)))],
+        [Duration::ZERO; 2]
+    );
+    // Guards against a new connection that keeps its slot for long while it sends nothing or a part of a request.
     for since_first_byte in [None, Some(ms(100))] {
-        assert_eq!(left(s(1), since_first_byte, Some(s(1)), None), FIRST_REQUEST_TIMEOUT - s(1));
-        assert_eq!(left(s(3), since_first_byte, Some(s(3)), None), Duration::ZERO);
+        assert_eq!(remaining(s(1), since_first_byte, Some(s(1)), None), FIRST_REQUEST_TIMEOUT - s(1));
+        assert_eq!(remaining(s(3), since_first_byte, Some(s(3)), None), Duration::ZERO);
     }
 }
 
 #[test]
-fn once_no_connections_are_taken_requests_under_way_have_a_short_time_and_idle_ones_none() {
+fn after_accepting_stops_partial_requests_have_a_short_timeout_and_idle_connections_none() {
     let (s, ms) = (Duration::from_secs, Duration::from_millis);
-    let left = |since_first_byte, since_accept, closed| {
+    let remaining = |since_first_byte, since_accept, closed_for| {
         let idle_limit = Duration::ZERO;
-        WaitTimes { idle: s(1), since_first_byte, since_accept }.remaining(idle_limit, Some(closed))
+        WaitTimes { idle: s(1), since_first_byte, since_accept }.remaining(idle_limit, Some(closed_for))
     };
-    // Guards against half of a request being turned down as the listener closes: the rest may be on its way.
-    assert_eq!(left(Some(ms(1)), None, Duration::ZERO), FINAL_READ_TIMEOUT);
-    // And against a length that lies holding up the end of a drain.
-    assert_eq!(left(Some(ms(1)), None, FINAL_READ_TIMEOUT), Duration::ZERO);
-    assert_eq!(left(None, None, Duration::ZERO), Duration::ZERO);
-    assert_eq!(left(None, Some(ms(30)), Duration::ZERO), EVICT_AFTER - ms(30));
+    // Guards against rejecting a partial request as soon as the listener closes: the rest may be on the way.
+    assert_eq!(remaining(Some(ms(1)), None, Duration::ZERO), FINAL_READ_TIMEOUT);
+    // Guards against a request with a wrong length that delays the end of a drain.
+    assert_eq!(remaining(Some(ms(1)), None, FINAL_READ_TIMEOUT), Duration::ZERO);
+    assert_eq!(remaining(None, None, Duration::ZERO), Duration::ZERO);
+    assert_eq!(remaining(None, Some(ms(30)), Duration::ZERO), EVICT_AFTER - ms(30));
 }
 
 #[test]
-fn an_answer_is_given_once_to_each_request_and_to_nobody_who_asked_nothing() {
-    // Guards against a second answer, which the next request on that connection would take for its own.
+fn each_request_gets_one_answer_and_no_answer_is_given_without_a_request() {
+    // Guards against a second answer, which would be taken for the answer to the next request on that connection.
     let now = Instant::now();
     let mut table = ConnectionTable::default();
     table.admit(1, "first", now, NO_SPARE, |_| ());
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the codecs: what is written is read back as it was, on values that proptest makes up.
+//! Property tests of the codecs: random values are decoded as they were encoded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The same cases in every run, and no file of failures.
+/// The same cases in every run, and no file with failed cases.
 fn cases() -> ProptestConfig {
     ProptestConfig {
         cases: 256,
@@ -26,8 +26,8 @@
     }
 }
 
-fn bytes(most: usize) -> impl Strategy<Value = Bytes> {
-    prop::collection::vec(any::<u8>(), 0..most).prop_map(Into::into)
+fn bytes(max_len: usize) -> impl Strategy<Value = Bytes> {
+    prop::collection::vec(any::<u8>(), 0..max_len).prop_map(Into::into)
 }
 
 fn key() -> impl Strategy<Value = Key> {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The fields of a request as the protocol words them.
+/// The header fields of a request, as a client sends them.
 fn fields(r: &Request) -> Vec<(&'static str, String)> {
     let mut all = vec![
         ("X-Request-Id", r.handle.to_string()),
@@ -92,10 +92,10 @@
     all
 }
 
-/// Reads one message that comes in pieces of a length.
-fn read(wire: impl Wire, bytes: &[u8], piece: usize) -> Message {
+/// Decodes one message that arrives in pieces of the given length.
+fn decode(wire: impl Wire, bytes: &[u8], piece_len: usize) -> Message {
     let mut decoder = MessageDecoder::new(wire);
-    for piece in bytes.chunks(piece) {
+    for piece in bytes.chunks(piece_len) {
         decoder.buffer_mut().extend(piece);
         if let Some((message, taken)) = decoder.next_message().unwrap() {
             assert_eq!(taken, bytes.len());
@@ -105,7 +105,7 @@
     panic!("no whole message");
 }
 
-fn the_request(message: Message) -> Request {
+fn into_request(message: Message) -> Request {
     match message.parsed {
         Parsed::Request(request) => *request,
         Parsed::HealthCheck { .. } => panic!("this is a check"),
@@ -116,21 +116,21 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn a_request_is_the_same_on_both_fronts(r in request(), piece in 1usize..600) {
-        let named: String = fields(&r).iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        let head = format!("POST /do/{} HTTP/1.1\r\nContent-Length: {}\r\n{named}\r\n", r.class, r.body.len());
-        prop_assert_eq!(&the_request(read(Http, &[head.as_bytes(), &r.body].concat(), piece)), &r);
+    fn a_request_is_decoded_alike_on_both_frontends(r in request(), piece_len in 1usize..600) {
+        let lines: String = fields(&r).iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+        let head = format!("POST /do/{} HTTP/1.1\r\nContent-Length: {}\r\n{lines}\r\n", r.class, r.body.len());
+        prop_assert_eq!(&into_request(decode(Http, &[head.as_bytes(), &r.body].concat(), piece_len)), &r);
 
         let uri = format!("/do/{}", r.class);
         let upper = |name: &str| format!("HTTP_{}", name.to_ascii_uppercase().replace('-', "_"));
-        let named: Vec<_> = fields(&r).into_iter().map(|(name, value)| (upper(name), value)).collect();
+        let scgi_fields: Vec<_> = fields(&r).into_iter().map(|(name, value)| (upper(name), value)).collect();
         let mut all = vec![("REQUEST_METHOD", "POST"), ("REQUEST_URI", uri.as_str())];
-        all.extend(named.iter().map(|(name, value)| (name.as_str(), value.as_str())));
-        prop_assert_eq!(&the_request(read(Scgi, &scgi::encode_request(&all, &r.body), piece)), &r);
+        all.extend(scgi_fields.iter().map(|(name, value)| (name.as_str(), value.as_str())));
+        prop_assert_eq!(&into_request(decode(Scgi, &scgi::encode_request(&all, &r.body), piece_len)), &r);
     }
 
     #[test]
-    fn what_is_handed_over_is_read_as_it_was_said(
+    fn handover_messages_are_decoded_as_sent(
         r in request(),
         key in key(),
         what in any::<u64>(),
@@ -140,33 +140,35 @@
     ) {
         let line = |word: Word| word.lines()[0].trim_end_matches('\n').to_string();
         let state = KeyState { key: key.clone(), what, until: Duration::from_micros(until), open, result: result.clone() };
-        let told = parse(&line(Word::Keys(vec![state.clone()], open)));
-        prop_assert_eq!(told, Some(Heard::Word(Succession::Key(state))));
+        let decoded = parse(&line(Word::Keys(vec![state.clone()], open)));
+        prop_assert_eq!(decoded, Some(Heard::Word(Succession::Key(state))));
         let settled = Succession::Settled { key: key.clone(), ran: open, result: result.clone() };
         prop_assert_eq!(parse(&line(Word::Settled(key, open, result))), Some(Heard::Word(settled)));
         prop_assert_eq!(parse(&line(Word::Request(Box::new(r.clone())))), Some(Heard::Request(Box::new(r))));
     }
 
     #[test]
-    fn a_notice_brings_the_bytes_that_were_sent(handle in handle(), cursor in 1u64..1 << 53, body in bytes(4096)) {
-        // What the program writes for the agent is base64 as the agent writes it.
+    fn a_notice_body_is_decoded_as_sent(handle in handle(), cursor in 1u64..1 << 53, body in bytes(4096)) {
+        // The encoder for commands to the agent provides the base64 text of the notice.
         let mut out = String::new();
         agent::encode(LinkId(1), &Command::Deliver { handle, cursor, arg: body.clone() }, &mut out);
         let line = out.replace("\"deliver\"", &format!("\"request\",\"cursor\":{cursor}"));
         let (number, notice) = agent::parse(line.trim_end()).unwrap();
         prop_assert_eq!(number, Some(cursor));
-        let Some(Notice::CallNeeded { handle: whose, body: read, .. }) = notice else { panic!("{notice:?}") };
-        prop_assert_eq!((whose, read), (handle, body));
+        let Some(Notice::CallNeeded { handle: decoded_handle, body: decoded_body, .. }) = notice else {
+            panic!("{notice:?}")
+        };
+        prop_assert_eq!((decoded_handle, decoded_body), (handle, body));
     }
 
     #[test]
-    fn a_reply_brings_the_bytes_that_were_sent(handle in handle(), body in bytes(2048), piece in 1usize..600) {
-        // A call and its reply frame a body alike.
+    fn a_reply_body_is_decoded_as_sent(handle in handle(), body in bytes(2048), piece_len in 1usize..600) {
+        // Calls and replies encode their bodies alike, so the encoded call provides the body of the reply.
         let ask = encode_ask(handle, Duration::from_millis(1), &body, None);
         let head = format!("ask {handle} 1 {}", body.len());
         let reply = [format!("{handle} yes {}", body.len()).as_bytes(), &ask[head.len()..]].concat();
         let (mut lines, mut replies, mut read) = (LineDecoder::new(MAX_LINE), Replies::default(), Vec::new());
-        for piece in reply.chunks(piece) {
+        for piece in reply.chunks(piece_len) {
             lines.buffer_mut().extend(piece);
             read.extend(replies.next_reply(&mut lines).unwrap());
         }
@@ -175,7 +177,7 @@
     }
 
     #[test]
-    fn an_answer_over_scgi_is_read_back(body in bytes(4096), signal in prop::option::of(0.0f64..2.0)) {
+    fn an_scgi_answer_is_decoded_as_sent(body in bytes(4096), signal in prop::option::of(0.0f64..2.0)) {
         let answer = Answer { verdict: Verdict::Served(body.clone()), signal, close: false };
         let written = Scgi.encode(&answer, true);
         let (_, read) = scgi::parse_response(&written);
