--- a/tests/program/authority.rs
+++ b/tests/program/authority.rs
@@ -50,12 +50,12 @@
 
 struct Reply(u16, Vec<(&'static str, String)>, String);
 
-fn text(json: &Json, key: &str) -> String {
+fn string_field(json: &Json, key: &str) -> String {
     json.get(key).and_then(|v| v.get::<String>()).cloned().unwrap_or_default()
 }
 
-fn object(text: &[u8]) -> Json {
-    let json: JsonValue = std::str::from_utf8(text).unwrap().parse().unwrap();
+fn parse_object(bytes: &[u8]) -> Json {
+    let json: JsonValue = std::str::from_utf8(bytes).unwrap().parse().unwrap();
     json.get::<Json>().unwrap().clone()
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// A request for a certificate, of a key that nobody has.
-fn request(names: &[String]) -> Vec<u8> {
+fn csr_for_unknown_key(names: &[String]) -> Vec<u8> {
     let params = rcgen::CertificateParams::new(names.to_vec()).unwrap();
     let key = rcgen::KeyPair::generate().unwrap();
     params.serialize_request(&key).unwrap().der().to_vec()
@@ -129,15 +129,15 @@
             len = value.trim().parse().unwrap();
         }
     }
-    let post = head.starts_with("POST ");
+    let is_post = head.starts_with("POST ");
     let jose = head.to_lowercase().matches("\r\ncontent-type: application/jose+json\r\n").count();
-    assert_eq!(jose, usize::from(post), "{head}");
+    assert_eq!(jose, usize::from(is_post), "{head}");
     let mut body = vec![0; len];
     reads.read_exact(&mut body).unwrap();
     let path = head.split(' ').nth(1).unwrap().to_string();
     let base = format!("http://{address}");
     let (mut rules, mut known) = (rules.lock().unwrap(), known.lock().unwrap());
-    let Reply(status, fields, out) = match path.as_str() {
+    let Reply(status, fields, response_body) = match path.as_str() {
         "/directory" => Reply(
             200,
             vec![],
@@ -146,7 +146,7 @@
             ),
         ),
         "/nonce" => Reply(200, vec![], String::new()),
-        _ => match open(&body, &format!("{base}{path}"), &mut rules, &mut known) {
+        _ => match verify_request(&body, &format!("{base}{path}"), &mut rules, &mut known) {
             Ok(payload) => answer(&path, &base, &payload, challenges, &rules, &mut known, issue),
             Err(reply) => reply,
         },
@@ -156,32 +156,34 @@
     known.nonces.insert(nonce.clone());
     let fields: String = fields.into_iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
     let head = format!("HTTP/1.1 {status} X\r\nReplay-Nonce: {nonce}\r\nConnection: close\r\n{fields}");
-    let _ = writes.write_all(format!("{head}Content-Length: {}\r\n\r\n{out}", out.len()).as_bytes());
+    let _ = writes.write_all(
+        format!("{head}Content-Length: {}\r\n\r\n{response_body}", response_body.len()).as_bytes(),
+    );
 }
 
 /// Checks a signed request and returns what it carries.
-fn open(body: &[u8], url: &str, rules: &mut Rules, known: &mut Known) -> Result<Vec<u8>, Reply> {
-    let jws = object(body);
-    let part = |key: &str| BASE64URL.decode(text(&jws, key)).unwrap();
-    let head = object(&part("protected"));
-    if !known.nonces.remove(&text(&head, "nonce")) {
+fn verify_request(body: &[u8], url: &str, rules: &mut Rules, known: &mut Known) -> Result<Vec<u8>, Reply> {
+    let jws = parse_object(body);
+    let part = |key: &str| BASE64URL.decode(string_field(&jws, key)).unwrap();
+    let head = parse_object(&part("protected"));
+    if !known.nonces.remove(&string_field(&head, "nonce")) {
         return Err(problem("badNonce", "never given"));
     }
     if rules.bad_nonces > 0 {
         rules.bad_nonces -= 1;
         return Err(problem("badNonce", "not this one"));
     }
-    assert_eq!((text(&head, "alg").as_str(), text(&head, "url").as_str()), ("ES256", url));
+    assert_eq!((string_field(&head, "alg").as_str(), string_field(&head, "url").as_str()), ("ES256", url));
     let key = match head.get("jwk").and_then(|k| k.get::<Json>()) {
         Some(key) => key.clone(),
         None => {
-            assert!(text(&head, "kid").ends_with("/account/1"), "no known account");
+            assert!(string_field(&head, "kid").ends_with("/account/1"), "no known account");
             known.key.clone().expect("an account")
         }
     };
-    let coordinate = |name: &str| BASE64URL.decode(text(&key, name)).unwrap();
+    let coordinate = |name: &str| BASE64URL.decode(string_field(&key, name)).unwrap();
     let point = [vec![4], coordinate("x"), coordinate("y")].concat();
-    let signed = format!("{}.{}", text(&jws, "protected"), text(&jws, "payload"));
+    let signed = format!("{}.{}", string_field(&jws, "protected"), string_field(&jws, "payload"));
     let verified =
         UnparsedPublicKey::new(&ECDSA_P256_SHA256_FIXED, point).verify(signed.as_bytes(), &part("signature"));
     verified.map_err(|_| problem("malformed", "the signature is wrong"))?;
@@ -211,12 +213,12 @@
     };
     match path {
         "/account" => {
-            assert!(object(payload)["termsOfServiceAgreed"].get::<bool>().unwrap());
+            assert!(parse_object(payload)["termsOfServiceAgreed"].get::<bool>().unwrap());
             Reply(201, vec![("Location", format!("{base}/account/1"))], "{}".to_string())
         }
         "/new" => {
-            let names = object(payload)["identifiers"].get::<Vec<JsonValue>>().unwrap().clone();
-            known.names = names.iter().map(|n| text(n.get::<Json>().unwrap(), "value")).collect();
+            let names = parse_object(payload)["identifiers"].get::<Vec<JsonValue>>().unwrap().clone();
+            known.names = names.iter().map(|n| string_field(n.get::<Json>().unwrap(), "value")).collect();
             (known.authorized, known.issued) = (None, None);
             known.orders += 1;
             Reply(201, vec![("Location", format!("{base}/order"))], order(known))
@@ -237,16 +239,19 @@
         }
         "/challenge" => {
             let key = known.key.as_ref().unwrap();
-            let jwk =
-                format!(r#"{{"crv":"P-256","kty":"EC","x":"{}","y":"{}"}}"#, text(key, "x"), text(key, "y"));
+            let jwk = format!(
+                r#"{{"crv":"P-256","kty":"EC","x":"{}","y":"{}"}}"#,
+                string_field(key, "x"),
+                string_field(key, "y")
+            );
             let wanted = format!("tok-1.{}", BASE64URL.encode(digest(&SHA256, jwk.as_bytes())));
             let found = fetch(challenges, &known.names[0], "/.well-known/acme-challenge/tok-1");
             known.authorized = Some(found == wanted && !rules.fail_challenges);
             Reply(200, vec![], r#"{"status":"processing"}"#.to_string())
         }
         "/finalize" => {
-            let asked = BASE64URL.decode(text(&object(payload), "csr")).unwrap();
-            let csr = if rules.other_key { request(&known.names) } else { asked };
+            let asked = BASE64URL.decode(string_field(&parse_object(payload), "csr")).unwrap();
+            let csr = if rules.other_key { csr_for_unknown_key(&known.names) } else { asked };
             known.issued = Some(issue(&csr, rules));
             Reply(200, vec![], order(known))
         }
--- a/tests/program/clock.rs
+++ b/tests/program/clock.rs
@@ -7,16 +7,16 @@
 use hopwalk::lab::shim::{Dial, Shim};
 use rstest::rstest;
 
-use crate::stand_in::*;
+use crate::harness::*;
 
-const QUICK: Duration = Duration::from_millis(5);
+const SHORT_RUN: Duration = Duration::from_millis(5);
 const HOUR_MS: i64 = 3_600_000;
 
 /// The library of faults, built once for all tests.
 pub fn shim() -> &'static Shim {
-    static SHIM: OnceLock<(Scratch, Shim)> = OnceLock::new();
+    static SHIM: OnceLock<(ScratchDir, Shim)> = OnceLock::new();
     let (_, shim) = SHIM.get_or_init(|| {
-        let folder = Scratch::new();
+        let folder = ScratchDir::new();
         let shim = Shim::build(&folder.path("")).unwrap();
         (folder, shim)
     });
@@ -37,8 +37,8 @@
 }
 
 /// The same request as of a caller whose clock was stepped as well.
-fn stamped(ask: Ask, by_ms: i64) -> Ask {
-    Ask { start_ms: unix_ms().checked_add_signed(by_ms), ..ask }
+fn stamped(request: Request, by_ms: i64) -> Request {
+    Request { start_ms: unix_ms().checked_add_signed(by_ms), ..request }
 }
 
 #[rstest]
@@ -48,21 +48,21 @@
 #[case::forward_by_seconds(5_000)]
 fn requests_are_served_on_both_sides_of_a_step(#[case] by_ms: i64) {
     // Guards against a clock that is read once: after a step back by an hour every request is an hour old.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = start(&agent);
-    let ask = || Ask::new("queue-status", b"a");
-    assert_eq!(exchange(program.http, &ask().http()).body, b"made:a");
-    let of_before = Ask { start_ms: Some(unix_ms()), ..ask() };
+    let request = || Request::new("queue-status", b"a");
+    assert_eq!(exchange(program.http, &request().http()).body, b"made:a");
+    let of_before = Request { start_ms: Some(unix_ms()), ..request() };
     step(&program, by_ms);
     for _ in 0..3 {
-        assert_eq!(exchange(program.http, &stamped(ask(), by_ms).http()).body, b"made:a");
+        assert_eq!(exchange(program.http, &stamped(request(), by_ms).http()).body, b"made:a");
     }
     // Stamped before the step, and read after it.
     assert_eq!(exchange(program.http, &of_before.http()).body, b"made:a");
     // Stamped by a clock that took no part in the step.
-    assert_eq!(exchange(program.http, &ask().http()).body, b"made:a");
+    assert_eq!(exchange(program.http, &request().http()).body, b"made:a");
     step(&program, 0);
-    assert_eq!(exchange(program.http, &ask().http()).body, b"made:a");
+    assert_eq!(exchange(program.http, &request().http()).body, b"made:a");
 }
 
 #[rstest]
@@ -70,12 +70,12 @@
 #[case::forward(HOUR_MS)]
 fn a_repeat_across_a_step_is_not_run_again(#[case] by_ms: i64) {
     // Guards against windows that are judged from a stamp of another clock.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = start(&agent);
-    let ask = || Ask::keyed("k", b"a");
-    assert_eq!(exchange(program.http, &ask().http()).body, b"made:a");
+    let request = || Request::keyed("k", b"a");
+    assert_eq!(exchange(program.http, &request().http()).body, b"made:a");
     step(&program, by_ms);
-    for repeat in [ask(), stamped(ask(), by_ms)] {
+    for repeat in [request(), stamped(request(), by_ms)] {
         assert_eq!(exchange(program.http, &repeat.http()).body, b"made:a");
     }
     assert_eq!(agent.launches().len(), 1);
@@ -89,12 +89,12 @@
     let program = start(&agent);
     let since = Instant::now();
     let mut before = connect(program.http);
-    let ask = || Ask { patience_ms: 1300, ..Ask::new("queue-status", b"") };
-    before.write_all(&ask().http()).unwrap();
+    let request = || Request { timeout_ms: 1300, ..Request::new("queue-status", b"") };
+    before.write_all(&request().http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
     step(&program, by_ms);
     let mut after = connect(program.http);
-    after.write_all(&stamped(ask(), by_ms).http()).unwrap();
+    after.write_all(&stamped(request(), by_ms).http()).unwrap();
     for stream in [&mut before, &mut after] {
         assert_eq!(read_answer(stream).status, 500);
         let took = since.elapsed();
@@ -107,14 +107,14 @@
 #[case::forward(HOUR_MS)]
 fn a_key_handed_over_across_a_step_is_not_run_again(#[case] by_ms: i64) {
     // Guards against two processes that hold the clock at different moments, and hand each other times.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = start(&agent);
-    let ask = || Ask::keyed("k", b"a");
-    assert_eq!(exchange(program.http, &ask().http()).body, b"made:a");
+    let request = || Request::keyed("k", b"a");
+    assert_eq!(exchange(program.http, &request().http()).body, b"made:a");
     step(&program, by_ms);
     let next = agent.moved();
     let new = program.successor(&agent, &next);
-    let answer = exchange(new.http, &stamped(ask(), by_ms).http());
+    let answer = exchange(new.http, &stamped(request(), by_ms).http());
     assert_eq!((answer.status, &answer.body[..]), (200, &b"made:a"[..]));
     assert_eq!(agent.launches().len(), 1);
 }
--- a/tests/program/told.rs
+++ b/tests/program/command_errors.rs
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 
-use super::stand_in::spawn_program;
+use super::harness::spawn_program;
 
 /// The two lines of an output that says no.
 fn told(output: Output) -> (String, String) {
@@ -19,7 +19,7 @@
 }
 
 /// A file of this test, with this text.
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_temp_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("hopwalk-told-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
@@ -46,7 +46,7 @@
 #[case::link(r#"{"faults":[{"kind":"cut","at_s":1,"link":"m9-vault"}]}"#, "faults[0].link: ", "m1-vault")]
 #[case::json("{\"seed\":\n oops}", "the scenario: Parse error at line:2, ", "lab scenario")]
 fn a_scenario_that_cannot_be_played(#[case] text: &str, #[case] says: &str, #[case] helps: &str) {
-    let path = file(&helps.replace(' ', "-"), text);
+    let path = write_temp_file(&helps.replace(' ', "-"), text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_hopwalk"));
     let output = command.args(["lab", "run"]).arg(&path).output().unwrap();
     std::fs::remove_file(path).unwrap();
@@ -64,6 +64,7 @@
     let output = child.wait_with_output().unwrap();
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{message}");
-    let told = format!("hopwalk: listen: {at}: Address already in use (os error 98)\n  help: look who has");
-    assert!(message.contains(&told), "{message}");
+    let expected =
+        format!("hopwalk: listen: {at}: Address already in use (os error 98)\n  help: look who has");
+    assert!(message.contains(&expected), "{message}");
 }
--- a/tests/program/corpus.rs
+++ b/tests/program/corpus.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::harness::*;
 
 /// Files of each corpus that are played: each is sent in five ways.
 const MOST: usize = 60;
@@ -76,14 +76,14 @@
         .flat_map(|target| corpus(target).into_iter().map(move |bytes| (target, bytes)))
         .collect();
     thread::scope(|scope| {
-        for front in ["http", "scgi"] {
+        for frontend in ["http", "scgi"] {
             let (over, answered, program) = (&over, &answered, &program);
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let ask = Ask::new("queue-status", b"well");
-                    let answer = match front {
-                        "http" => exchange(program.http, &ask.http()),
-                        _ => exchange(program.scgi, &ask.scgi()),
+                    let request = Request::new("queue-status", b"well");
+                    let answer = match frontend {
+                        "http" => exchange(program.http, &request.http()),
+                        _ => exchange(program.scgi, &request.scgi()),
                     };
                     assert!(answer.status == 503 || answer.body == b"made:well", "{answer:?}");
                     answered.fetch_add(1, Ordering::Relaxed);
@@ -106,10 +106,10 @@
         assert!(played.iter().all(Result::is_ok));
     });
     assert!(answered.load(Ordering::Relaxed) > 0);
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"end").http()).body, b"made:end");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"end").http()).body, b"made:end");
     // It leaves only once all that was read is answered.
     program.signal("TERM");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     let log = program.log();
     assert!(log.contains("all is answered") && !log.contains("panicked"), "{log}");
 }
--- a/tests/program/stand_in.rs
+++ b/tests/program/harness.rs
@@ -1,4 +1,5 @@
-//! The program itself as a process, and what tests ask of it; the stand-ins are the lab's.
+//! Starts the program's binary as a process, and has what the tests need to observe it and to send it requests. The
+//! simulated agent and vault come from the lab.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -11,7 +12,7 @@
 use hopwalk::lab::shim::{Faults, Shim};
 pub use hopwalk::lab::stand_in::*;
 
-/// A stand-in for an SCGI service: gives each whole request to `answer`, writes what it returns and closes.
+/// Starts a simulated SCGI service: it gives each complete request to `answer`, writes what that returns and closes.
 pub fn scgi_service(answer: impl Fn(&str, &[u8]) -> Vec<u8> + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -20,17 +21,17 @@
         for mut stream in listener.incoming().flatten() {
             let answer = answer.clone();
             thread::spawn(move || {
-                let mut reads = BufReader::new(stream.try_clone().unwrap());
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let mut len = Vec::new();
-                reads.read_until(b':', &mut len).unwrap();
+                reader.read_until(b':', &mut len).unwrap();
                 let len: usize = std::str::from_utf8(&len[..len.len() - 1]).unwrap().parse().unwrap();
                 let mut block = vec![0; len + 1];
-                reads.read_exact(&mut block).unwrap();
+                reader.read_exact(&mut block).unwrap();
                 let block = String::from_utf8(block).unwrap();
                 let fields: Vec<_> = block.split('\0').collect();
                 assert_eq!((fields[0], &fields[2..4]), ("CONTENT_LENGTH", &["SCGI", "1"][..]));
                 let mut body = vec![0; fields[1].parse().unwrap()];
-                reads.read_exact(&mut body).unwrap();
+                reader.read_exact(&mut body).unwrap();
                 let _ = stream.write_all(&answer(&block, &body));
             });
         }
@@ -38,13 +39,13 @@
     address
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// Where the times in user code and in the system stand among the fields of a process, counted from its state.
-const USER_TICKS: usize = 11;
-const SYSTEM_TICKS: usize = 12;
+/// Positions of the user and the system time among the fields of `/proc/PID/stat`, counted from the process state.
+const USER_TICKS_FIELD: usize = 11;
+const SYSTEM_TICKS_FIELD: usize = 12;
 
-/// The program as a process, with what it was given and where it listens.
+/// The program as a process, with its configuration and the addresses where it listens.
 pub struct Program {
     child: Child,
     pub http: SocketAddr,
@@ -52,41 +53,41 @@
     pub admin: SocketAddr,
     log: Arc<Mutex<String>>,
     pub control: UdpSocket,
-    /// Faults of the system under it, where it was started with them.
+    /// Controls the injected system faults, if the program was started with a shim.
     faults: Option<Faults>,
     shim: Option<&'static Shim>,
     config: String,
     appliance: String,
-    pub dir: Arc<Scratch>,
+    pub dir: Arc<ScratchDir>,
 }
 
-/// Parts of the configuration that tests set.
+/// The parts of the configuration that a test sets.
 #[derive(Default)]
 pub struct Setup {
     pub agent: Option<SocketAddr>,
-    /// In its place, an agent that may not be there: the program's start waits for no link.
-    pub silent_agent: Option<SocketAddr>,
+    /// Set instead of `agent` where the agent may not answer: the start does not wait for a link.
+    pub unawaited_agent: Option<SocketAddr>,
     pub vault: Option<SocketAddr>,
     pub application: Option<SocketAddr>,
     pub below: Option<SocketAddr>,
-    /// Changes to the site: what stands there, and what takes its place.
+    /// Changes to the site's settings: each a text and its replacement.
     pub site: Vec<(&'static str, &'static str)>,
-    /// More members of the appliance's file.
+    /// Further members of the appliance file.
     pub appliance: String,
     /// Descriptors that the program may hold.
     pub sockets: Option<usize>,
-    /// Time from the notice to leave to the kill.
+    /// Time from the stop signal to the kill.
     pub stop_ms: Option<u64>,
-    /// A library of faults of the system to load into it.
+    /// The fault injection library to load into the program.
     pub shim: Option<&'static Shim>,
 }
 
-/// A folder of a test's own, which goes when the test is done with it.
-pub struct Scratch(PathBuf);
+/// A temporary directory of a test, removed when it is dropped.
+pub struct ScratchDir(PathBuf);
 
-impl Scratch {
+impl ScratchDir {
     pub fn new() -> Self {
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
+        let n = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("hopwalk-test-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         Self(dir)
@@ -97,20 +98,20 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Starts the program's binary on configuration texts, without waiting for it.
-pub fn spawn_program(config: &str, appliance: &str) -> (Child, Scratch) {
-    let dir = Scratch::new();
+/// Starts the program's binary with these configuration texts in a new directory, without waiting for it to listen.
+pub fn spawn_program(config: &str, appliance: &str) -> (Child, ScratchDir) {
+    let dir = ScratchDir::new();
     (spawn_in(&dir, config, appliance, None).0, dir)
 }
 
-/// The same in a folder that it shares with those that were started there before.
-fn spawn_in(dir: &Scratch, config: &str, appliance: &str, shim: Option<&Shim>) -> (Child, Option<Faults>) {
+/// Like [`spawn_program`], in a directory that the process may share with processes started there earlier.
+fn spawn_in(dir: &ScratchDir, config: &str, appliance: &str, shim: Option<&Shim>) -> (Child, Option<Faults>) {
     let (config_file, appliance_file) = (dir.path("config.json"), dir.path("appliance.json"));
     std::fs::write(&config_file, config).unwrap();
     std::fs::write(&appliance_file, appliance).unwrap();
@@ -138,7 +139,7 @@
         let config = format!(
             r#"{{"name":"n7","listen":"127.0.0.1:0","admin":"127.0.0.1:0","control":"{}",{}{}"seed":"1f","limits":{{"sockets":{}}},"stop_ms":{},"settings":{site}}}"#,
             control.local_addr().unwrap(),
-            address("agent", setup.agent.or(setup.silent_agent)),
+            address("agent", setup.agent.or(setup.unawaited_agent)),
             address("vault", setup.vault),
             setup.sockets.unwrap_or(1024),
             setup.stop_ms.unwrap_or(3200),
@@ -149,17 +150,17 @@
             address("below", setup.below),
             setup.appliance,
         );
-        let program = Self::launch(config, scgi, Arc::new(Scratch::new()), control, setup.shim);
+        let program = Self::spawn(config, scgi, Arc::new(ScratchDir::new()), control, setup.shim);
         if setup.agent.is_some() {
             program.wait_for_log("linked to the agent");
         }
         program
     }
 
-    fn launch(
+    fn spawn(
         config: String,
         appliance: String,
-        dir: Arc<Scratch>,
+        dir: Arc<ScratchDir>,
         control: UdpSocket,
         shim: Option<&'static Shim>,
     ) -> Self {
@@ -184,13 +185,14 @@
             appliance,
             dir,
         };
-        program.http = program.listening("takes HTTP on ");
-        program.scgi = program.listening("takes SCGI on ");
-        program.admin = program.listening("takes operators' calls on ");
+        program.http = program.logged_address("takes HTTP on ");
+        program.scgi = program.logged_address("takes SCGI on ");
+        program.admin = program.logged_address("takes operators' calls on ");
         program
     }
 
-    /// A new version of this program: the same addresses but for the operators' and the agent's.
+    /// Starts a new version of this program, with the same addresses except the admin endpoint's and the agent's, and
+    /// waits for the handover.
     pub fn successor(&self, from: &Agent, to: &Agent) -> Self {
         let fixed = |text: &str, at: SocketAddr| {
             text.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{at}""#))
@@ -199,15 +201,15 @@
             fixed(&self.config, self.http).replace(&from.address.to_string(), &to.address.to_string());
         let control = self.control.try_clone().unwrap();
         let program =
-            Self::launch(config, fixed(&self.appliance, self.scgi), self.dir.clone(), control, self.shim);
-        wait_for("the handover", || program.call("GET", "/ready") == 200);
+            Self::spawn(config, fixed(&self.appliance, self.scgi), self.dir.clone(), control, self.shim);
+        wait_for("the handover", || program.admin_status("GET", "/ready") == 200);
         program
     }
 
-    fn listening(&self, word: &str) -> SocketAddr {
-        self.wait_for_log(word);
+    fn logged_address(&self, prefix: &str) -> SocketAddr {
+        self.wait_for_log(prefix);
         let log = self.log();
-        log.lines().find_map(|l| l.split_once(word)).unwrap().1.parse().unwrap()
+        log.lines().find_map(|l| l.split_once(prefix)).unwrap().1.parse().unwrap()
     }
 
     pub fn log(&self) -> String {
@@ -218,29 +220,29 @@
         wait_for(&format!("'{text}' in the log"), || self.log().contains(text));
     }
 
-    /// The status of an operator's call.
-    pub fn call(&self, method: &str, path: &str) -> u16 {
+    /// Sends a request to the admin endpoint and returns the status of the answer.
+    pub fn admin_status(&self, method: &str, path: &str) -> u16 {
         exchange(self.admin, format!("{method} {path} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes()).status
     }
 
-    /// The faults of the system under it.
+    /// Controls the injected system faults.
     pub fn faults(&self) -> &Faults {
-        self.faults.as_ref().expect("a program that was started with faults")
+        self.faults.as_ref().expect("a program that was started with a shim")
     }
 
-    /// Descriptors that the program holds.
+    /// Number of descriptors that the program holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
     /// Sets how many descriptors the system lets the program hold.
-    pub fn limit_descriptors(&self, most: usize) {
+    pub fn limit_descriptors(&self, max: usize) {
         let pid = self.child.id().to_string();
-        let set = Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={most}:4096")]).status();
+        let set = Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={max}:4096")]).status();
         assert!(set.unwrap().success());
     }
 
-    /// The memory that it holds, in kilobytes.
+    /// Resident memory of the program, in kilobytes.
     pub fn resident_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
@@ -252,43 +254,43 @@
         assert!(sent.unwrap().success());
     }
 
-    /// Has the system stop the process where it is, until [`Program::resume`].
+    /// Stops the process with SIGSTOP until [`Program::resume`], and waits until it has stopped.
     pub fn pause(&self) {
         self.signal("STOP");
         wait_for("the stop", || self.state() == Some('T'));
     }
 
-    /// Has a paused process go on.
+    /// Lets a paused process continue.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// The letter that the system gives for the state of the process.
+    /// The letter of the process state in `/proc/PID/stat`.
     fn state(&self) -> Option<char> {
         self.stat().first()?.chars().next()
     }
 
-    /// The processor time that it has used, in the system's ticks of 10 ms.
+    /// Processor time that the process has used, in the system's ticks of 10 ms.
     pub fn processor_ticks(&self) -> u64 {
         let stat = self.stat();
         let ticks = |at: usize| stat[at].parse::<u64>().unwrap();
-        ticks(USER_TICKS) + ticks(SYSTEM_TICKS)
+        ticks(USER_TICKS_FIELD) + ticks(SYSTEM_TICKS_FIELD)
     }
 
-    /// What the system says of the process, from its state on.
+    /// Fields of `/proc/PID/stat` from the process state on.
     fn stat(&self) -> Vec<String> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit_once(") ").map_or("", |(_, fields)| fields);
         fields.split(' ').map(str::to_string).collect()
     }
 
-    /// Puts another file in the place of the configuration and has it read.
+    /// Replaces the configuration file and has the program read it.
     pub fn reload(&self, changes: &[(String, String)]) {
         self.write_config(changes);
         self.signal("HUP");
     }
 
-    /// Puts another file in the place of the configuration.
+    /// Replaces the configuration file.
     pub fn write_config(&self, changes: &[(String, String)]) {
         let change = |config: String, (from, to): &(String, String)| config.replace(from, to);
         let config = changes.iter().fold(self.config.clone(), change);
@@ -296,8 +298,8 @@
         std::fs::write(self.dir.path("config.json"), config).unwrap();
     }
 
-    /// The exit status, once it has ended.
-    pub fn end(&mut self) -> ExitStatus {
+    /// Waits for the process to end and returns its exit status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the end of the program", || {
             status = self.child.try_wait().unwrap();
@@ -306,15 +308,15 @@
         status.unwrap()
     }
 
-    /// A counter, printed on request.
+    /// Value of a counter, which the program logs on SIGUSR1.
     pub fn counter(&self, name: &str) -> u64 {
         let before = self.log().matches("counters: ").count();
         self.signal("USR1");
         wait_for("the counters", || self.log().matches("counters: ").count() > before);
         let log = self.log();
         let line = log.lines().rfind(|l| l.contains("counters: ")).unwrap();
-        let word = line.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")));
-        word.map_or(0, |n| n.parse().unwrap())
+        let value = line.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")));
+        value.map_or(0, |n| n.parse().unwrap())
     }
 }
 
@@ -325,20 +327,20 @@
     }
 }
 
-/// A request as a test makes it.
+/// A request that a test sends to the program.
 #[derive(Clone)]
-pub struct Ask {
+pub struct Request {
     pub class: &'static str,
     pub key: Option<String>,
-    /// When it came to the machine; now where it is not told.
+    /// The value of `X-Request-Start`; the current time if absent.
     pub start_ms: Option<u64>,
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl Request {
     pub fn new(class: &'static str, body: &[u8]) -> Self {
-        Self { class, key: None, start_ms: None, patience_ms: 1500, body: body.to_vec() }
+        Self { class, key: None, start_ms: None, timeout_ms: 1500, body: body.to_vec() }
     }
 
     pub fn keyed(key: &str, body: &[u8]) -> Self {
@@ -346,11 +348,11 @@
     }
 
     fn fields(&self) -> Vec<(&'static str, String)> {
-        let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
+        let id = format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::Relaxed));
         let mut fields = vec![
             ("X-Request-Id", id),
             ("X-Request-Start", self.start_ms.unwrap_or_else(unix_ms).to_string()),
-            ("X-Timeout-Ms", self.patience_ms.to_string()),
+            ("X-Timeout-Ms", self.timeout_ms.to_string()),
             ("X-Memory-Kb", "40".to_string()),
             ("X-Rank", if self.key.is_some() { "0.8" } else { "0.1" }.to_string()),
         ];
@@ -378,7 +380,7 @@
     }
 }
 
-/// An answer: its status, its head and its body.
+/// An answer of the program.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -392,11 +394,11 @@
     stream
 }
 
-/// Reads one answer, of either front, to the length that it states.
+/// Reads one answer of either frontend, to the length that it states.
 pub fn read_answer(stream: &mut impl Read) -> Answer {
     let (mut bytes, mut one) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
-        // Unlike a plain read, this one goes on after an interrupted system call.
+        // Unlike a plain read, `read_exact` continues after an interrupted system call.
         let read = stream.read_exact(&mut one);
         read.unwrap_or_else(|e| panic!("{e} after {:?}", String::from_utf8_lossy(&bytes)));
         bytes.push(one[0]);
@@ -409,14 +411,14 @@
     Answer { status, head, body }
 }
 
-/// Sends bytes on a connection of their own and reads the answer.
+/// Sends bytes on a new connection and reads the answer.
 pub fn exchange(address: SocketAddr, bytes: &[u8]) -> Answer {
     let mut stream = connect(address);
     stream.write_all(bytes).unwrap();
     read_answer(&mut stream)
 }
 
-/// True once the other side has closed, with nothing more to read.
+/// Returns true if the peer has closed the connection and nothing is left to read.
 pub fn is_closed(stream: &mut TcpStream) -> bool {
     matches!(stream.read(&mut [0]), Ok(0))
 }
--- a/tests/program/main.rs
+++ b/tests/program/main.rs
@@ -5,29 +5,29 @@
 mod authority;
 mod clock;
 mod closing;
+mod command_errors;
 mod corpus;
-mod customers;
+mod harness;
 mod in_doubt;
 mod links;
+mod payloads;
 mod repeats;
 mod scgi;
 mod scripted;
+mod settings_variants;
 mod signals;
-mod stand_in;
 mod stops;
 mod system_calls;
-mod told;
-mod unchanged;
 mod upgrade;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
+use harness::*;
 use rstest::rstest;
-use stand_in::*;
 
-const QUICK: Duration = Duration::from_millis(5);
+const SHORT_RUN: Duration = Duration::from_millis(5);
 
 fn with_agent(agent: &Agent) -> Setup {
     Setup { agent: Some(agent.address), vault: Some(vault()), ..Setup::default() }
@@ -35,11 +35,11 @@
 
 #[test]
 fn a_request_goes_all_the_way_and_the_connection_stays_open() {
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let program = Program::start(with_agent(&agent));
     let mut stream = connect(program.http);
     for body in [&b"one"[..], b"\0\xff"] {
-        stream.write_all(&Ask::new("queue-prefs", body).http()).unwrap();
+        stream.write_all(&Request::new("queue-prefs", body).http()).unwrap();
         let answer = read_answer(&mut stream);
         assert_eq!((answer.status, answer.body), (200, [b"made:", body, b"reply:", body].concat()));
     }
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_check_is_good_and_reports_reach_the_control_plane() {
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let check = exchange(program.http, b"GET /check?deep=1 HTTP/1.1\r\nConnection: close\r\n\r\n");
     assert!(check.status == 200 && check.head.contains("Connection: close"), "{check:?}");
@@ -71,10 +71,10 @@
     let agent = Agent::start(2, Duration::from_millis(50), false);
     let program = Program::start(with_agent(&agent));
     let mut first = connect(program.http);
-    first.write_all(&Ask::keyed("k", b"x").http()).unwrap();
+    first.write_all(&Request::keyed("k", b"x").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
-    let second = exchange(program.http, &Ask::keyed("k", b"x").http());
-    let third = exchange(program.scgi, &Ask::keyed("k", b"x").scgi());
+    let second = exchange(program.http, &Request::keyed("k", b"x").http());
+    let third = exchange(program.scgi, &Request::keyed("k", b"x").scgi());
     for answer in [read_answer(&mut first), second, third] {
         assert_eq!((answer.status, answer.body), (200, b"made:x".to_vec()));
     }
@@ -83,12 +83,12 @@
 
 #[rstest]
 #[case(b"nonsense\r\n\r\n".to_vec(), 400)]
-#[case(Ask::new("no-such-class", b"").http(), 404)]
-#[case(Ask::new("lobby-confirm", b"").http(), 400)]
-#[case(Ask::new("queue-status", &[0; 3000]).http(), 413)]
+#[case(Request::new("no-such-class", b"").http(), 404)]
+#[case(Request::new("lobby-confirm", b"").http(), 400)]
+#[case(Request::new("queue-status", &[0; 3000]).http(), 413)]
 #[case(vec![b'x'; 20_000], 431)]
 fn bad_input_is_answered_and_closed_and_harms_nothing(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let mut stream = connect(program.http);
     let _ = stream.write_all(&bytes);
@@ -96,7 +96,7 @@
     assert!(answer.status == status && answer.head.contains("Connection: close"), "{answer:?}");
     assert!(is_closed(&mut stream));
     assert_eq!(program.counter("rejected"), 1);
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"ok").http()).body, b"made:ok");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"ok").http()).body, b"made:ok");
 }
 
 #[test]
@@ -104,9 +104,9 @@
     // Guards against a lost request: the outcome of a run falls into the time without a link.
     let agent = Agent::start(1, Duration::from_millis(300), false);
     let program = Program::start(with_agent(&agent));
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).status, 200);
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).status, 200);
     let mut stream = connect(program.http);
-    stream.write_all(&Ask::keyed("k", b"b").http()).unwrap();
+    stream.write_all(&Request::keyed("k", b"b").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 2);
     agent.cut();
     assert_eq!(read_answer(&mut stream).body, b"made:b");
@@ -117,12 +117,12 @@
 #[test]
 fn a_line_of_brackets_from_the_agent_costs_a_link_and_no_more() {
     // Guards against a line that is nested so deep that reading it overruns the stack of the link's coroutine.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).status, 200);
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).status, 200);
     agent.babble(&[&[b'['; 60_000][..], b"\n"].concat());
     wait_for("the next link", || agent.subscribed().len() == 2);
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"b").http()).body, b"made:b");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"b").http()).body, b"made:b");
     assert_eq!(program.counter("links_lost"), 1);
 }
 
@@ -131,11 +131,12 @@
 #[case::is_not_there(false, "call_refused")]
 fn a_call_that_is_lost_fails_its_request_and_frees_no_key(#[case] breaks: bool, #[case] counted: &str) {
     // Guards against a second run or call: a connection that breaks during a call proves nothing.
-    let agent = Agent::start(1, QUICK, true);
+    let agent = Agent::start(1, SHORT_RUN, true);
     let vault = if breaks { broken_vault() } else { gone() };
     let program = Program::start(Setup { vault: Some(vault), ..with_agent(&agent) });
     for _ in 0..2 {
-        let answer = exchange(program.http, &Ask { patience_ms: 1000, ..Ask::keyed("k", b"x") }.http());
+        let answer =
+            exchange(program.http, &Request { timeout_ms: 1000, ..Request::keyed("k", b"x") }.http());
         assert_eq!(answer.status, 500);
     }
     assert_eq!(agent.launches().len(), 1);
@@ -148,8 +149,8 @@
     let agent = Agent::start(1, Duration::from_secs(60), false);
     let program = Program::start(with_agent(&agent));
     let since = Instant::now();
-    let ask = Ask { patience_ms: 1300, ..Ask::new("queue-status", b"") };
-    let answer = exchange(program.http, &ask.http());
+    let request = Request { timeout_ms: 1300, ..Request::new("queue-status", b"") };
+    let answer = exchange(program.http, &request.http());
     assert_eq!(answer.status, 500);
     assert!(since.elapsed() < Duration::from_millis(1450), "{:?}", since.elapsed());
 }
@@ -159,15 +160,15 @@
     let agent = Agent::start(1, Duration::from_millis(600), false);
     let mut program = Program::start(with_agent(&agent));
     let mut early = connect(program.http);
-    early.write_all(&Ask::new("queue-status", b"e").http()).unwrap();
+    early.write_all(&Request::new("queue-status", b"e").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
     program.signal("TERM");
     program.wait_for_log("leaving");
     assert_eq!(read_answer(&mut early).body, b"made:e");
     let mut open = connect(program.http);
-    open.write_all(&Ask::new("queue-status", b"o").http()).unwrap();
+    open.write_all(&Request::new("queue-status", b"o").http()).unwrap();
     assert_eq!(read_answer(&mut open).status, 200, "within the grace requests are run");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     assert!(std::net::TcpStream::connect(program.http).is_err());
     program.wait_for_log("counters at exit: taken_in=2");
     assert!(program.log().contains("served=2"), "{}", program.log());
@@ -203,7 +204,7 @@
     assert_eq!(message.trim_end(), format!("hopwalk: {says}"));
 }
 
-fn moved(from: SocketAddr, to: SocketAddr) -> (String, String) {
+fn address_change(from: SocketAddr, to: SocketAddr) -> (String, String) {
     (from.to_string(), to.to_string())
 }
 
@@ -212,17 +213,20 @@
     // Guards against a hangup that ends the process, and a move that loses or repeats a launch.
     let agent = Agent::start(2, Duration::from_millis(150), true);
     let program = Program::start(with_agent(&agent));
-    assert_eq!(exchange(program.http, &Ask::keyed("old", b"o").http()).status, 200);
+    assert_eq!(exchange(program.http, &Request::keyed("old", b"o").http()).status, 200);
     let mut stream = connect(program.http);
-    stream.write_all(&Ask::keyed("k", b"x").http()).unwrap();
+    stream.write_all(&Request::keyed("k", b"x").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 2);
     let (new, control) = (agent.moved(), UdpSocket::bind("127.0.0.1:0").unwrap());
     control.set_read_timeout(Some(PATIENCE)).unwrap();
     let was = program.control.local_addr().unwrap();
-    program.reload(&[moved(agent.address, new.address), moved(was, control.local_addr().unwrap())]);
+    program.reload(&[
+        address_change(agent.address, new.address),
+        address_change(was, control.local_addr().unwrap()),
+    ]);
     assert_eq!(read_answer(&mut stream).body, b"made:xreply:x");
     program.wait_for_log(&format!("linked to the agent at {}", new.address));
-    assert_eq!(exchange(program.http, &Ask::keyed("old", b"o").http()).body, b"made:oreply:o");
+    assert_eq!(exchange(program.http, &Request::keyed("old", b"o").http()).body, b"made:oreply:o");
     assert_eq!((agent.launches().len(), program.counter("links_lost")), (2, 0));
     assert_eq!(agent.subscribed()[0], 0);
     assert!(agent.subscribed()[1] >= 2, "the notices carry on: {:?}", agent.subscribed());
@@ -232,28 +236,28 @@
 #[test]
 fn a_new_address_where_nobody_listens_yet_is_tried_again() {
     // Guards against a link that stays at the old address because the new one came up a moment later.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let new = gone();
-    program.reload(&[moved(agent.address, new)]);
+    program.reload(&[address_change(agent.address, new)]);
     program.wait_for_log("the configuration was read again");
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
     let _agent = agent.moved_to(new);
     program.wait_for_log(&format!("linked to the agent at {new}"));
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"b").http()).body, b"made:b");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"b").http()).body, b"made:b");
     assert_eq!(program.counter("links_lost"), 0);
 }
 
 #[test]
 fn calls_at_once_are_bounded_by_the_descriptors_kept_for_them() {
     // Guards against a connection a call eating up the descriptors of a small server.
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let vault = Some(spoiling_vault());
     let program = Program::start(Setup { sockets: Some(6), vault, ..with_agent(&agent) });
     let mut first = connect(program.http);
-    first.write_all(&Ask::keyed("good", b"good").http()).unwrap();
+    first.write_all(&Request::keyed("good", b"good").http()).unwrap();
     wait_for("the call", || program.counter("calls_made") == 1);
-    let second = Ask { patience_ms: 800, ..Ask::keyed("bad", b"bad") };
+    let second = Request { timeout_ms: 800, ..Request::keyed("bad", b"bad") };
     assert_eq!(exchange(program.http, &second.http()).status, 500, "there is room for one call");
     assert!(program.counter("call_refused") > 0);
     assert_eq!(program.counter("call_malformed"), 0, "the second call was never made");
@@ -277,26 +281,26 @@
     #[case] says: &str,
 ) {
     // Guards against half of a spoilt file being taken up: classes renamed, links moved to nowhere.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let renamed = ("queue-status".to_string(), "queue-status-x".to_string());
-    program.reload(&[(from.to_string(), to.to_string()), renamed, moved(agent.address, gone())]);
+    program.reload(&[(from.to_string(), to.to_string()), renamed, address_change(agent.address, gone())]);
     program.wait_for_log(&format!("the configuration stays as it was: {says}"));
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"ok").http()).body, b"made:ok");
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"ok").http()).body, b"made:ok");
 }
 
 #[test]
 fn a_spoilt_reply_ends_no_other_call_and_replies_of_others_are_passed_over() {
     // Guards against a reply that ends every call with it: each had the connection to share.
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let program = Program::start(Setup { vault: Some(spoiling_vault()), ..with_agent(&agent) });
     let mut good = connect(program.http);
-    good.write_all(&Ask::keyed("good", b"good").http()).unwrap();
+    good.write_all(&Request::keyed("good", b"good").http()).unwrap();
     wait_for("the call", || program.counter("calls_made") == 1);
-    assert_eq!(exchange(program.http, &Ask::keyed("bad", b"bad").http()).status, 500);
+    assert_eq!(exchange(program.http, &Request::keyed("bad", b"bad").http()).status, 500);
     assert_eq!(read_answer(&mut good).body, b"made:goodreply:good");
     for body in [&b"one"[..], b"two"] {
-        let answer = exchange(program.http, &Ask::new("queue-status", body).http());
+        let answer = exchange(program.http, &Request::new("queue-status", body).http());
         assert_eq!(answer.body, [b"made:", body, b"reply:", body].concat());
     }
     assert_eq!((program.counter("call_malformed"), program.counter("call_complete")), (1, 3));
@@ -305,13 +309,13 @@
 #[test]
 fn clients_that_say_nothing_make_room_for_those_that_ask() {
     // Guards against a table full of silent connections that keeps the gateways out.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(Setup { sockets: Some(6), ..with_agent(&agent) });
     let mut silent: Vec<_> = (0..3).map(|_| connect(program.http)).collect();
     let since = Instant::now();
     wait_for("a place", || {
         let mut stream = connect(program.http);
-        let _ = stream.write_all(&Ask::new("queue-status", b"b").http());
+        let _ = stream.write_all(&Request::new("queue-status", b"b").http());
         stream.read(&mut [0]).is_ok_and(|n| n == 1)
     });
     assert!(is_closed(&mut silent[0]), "who was silent for longest makes room");
@@ -323,25 +327,25 @@
     let agent = Agent::start(1, Duration::from_millis(200), false);
     let program = Program::start(with_agent(&agent));
     let mut open = connect(program.http);
-    open.write_all(&Ask::keyed("k", b"o").http()).unwrap();
+    open.write_all(&Request::keyed("k", b"o").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
-    assert_eq!(exchange(program.http, &Ask::new("lobby-confirm-next", b"").http()).status, 404);
+    assert_eq!(exchange(program.http, &Request::new("lobby-confirm-next", b"").http()).status, 404);
     // The new class takes the first place in the file.
     let prefs = r#"{"name": "queue-prefs","#;
     let next = r#"{"name": "lobby-confirm-next", "give_up_us": 4500000, "promise_us": 1800000, "memory_span_us": 13356000, "repeat": "deduplicated", "worth": 10.0}, "#;
     program.reload(&[(prefs.to_string(), next.to_string() + prefs)]);
     program.wait_for_log("the configuration was read again");
     assert_eq!(read_answer(&mut open).body, b"made:o");
-    let ask = Ask { class: "lobby-confirm-next", ..Ask::keyed("n", b"n") };
-    assert_eq!(exchange(program.http, &ask.http()).body, b"made:n");
-    assert_eq!(exchange(program.http, &Ask::keyed("k", b"o").http()).body, b"made:o");
+    let request = Request { class: "lobby-confirm-next", ..Request::keyed("n", b"n") };
+    assert_eq!(exchange(program.http, &request.http()).body, b"made:n");
+    assert_eq!(exchange(program.http, &Request::keyed("k", b"o").http()).body, b"made:o");
     let entries: Vec<_> = agent.launches().into_iter().map(|(_, entry, _)| entry).collect();
     assert_eq!(entries, ["lobby-confirm", "lobby-confirm-next"]);
 }
 
 #[test]
 fn a_second_program_does_not_share_the_address() {
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let first = Program::start(with_agent(&agent));
     let (site, listen) = (include_str!("../../src/lab/site.json"), first.http);
     let config = format!(r#"{{"name":"n","listen":"{listen}","agent":"127.0.0.1:1","settings":{site}}}"#);
--- a/tests/program/unchanged.rs
+++ b/tests/program/payloads.rs
@@ -4,8 +4,8 @@
 
 use rstest::rstest;
 
+use crate::harness::*;
 use crate::scripted::{Listener, Peer};
-use crate::stand_in::*;
 
 /// Bodies that a text protocol could trip over.
 fn bodies() -> Vec<Vec<u8>> {
@@ -18,8 +18,8 @@
     let agent = Listener::start();
     let vault = vault.map(|vault| vault.address);
     let program = Program::start(Setup { agent: Some(agent.address), vault, ..Setup::default() });
-    let mut link = agent.link();
-    link.sync();
+    let mut link = agent.accept_link();
+    link.answer_marker();
     (agent, program, link)
 }
 
@@ -30,18 +30,18 @@
     for (round, body) in bodies().into_iter().enumerate() {
         let cursor = 10 * round as u64;
         let mut stream = connect(program.http);
-        stream.write_all(&Ask::keyed(&format!("k{round}"), &body).http()).unwrap();
-        let launch = link.expect("launch");
+        stream.write_all(&Request::keyed(&format!("k{round}"), &body).http()).unwrap();
+        let launch = link.expect_command("launch");
         assert_eq!(launch.arg, body);
-        link.calls(cursor + 1, &launch.handle, &body);
+        link.send_call(cursor + 1, &launch.handle, &body);
         let mut call = vault.accept();
-        let (handle, _, asked) = call.ask();
+        let (handle, _, asked) = call.read_call();
         assert_eq!((&handle, &asked), (&launch.handle, &body));
         call.reply(&handle, &body);
-        assert_eq!(link.expect("deliver").arg, body);
-        link.ends(cursor + 2, &launch.handle, "complete", &body);
+        assert_eq!(link.expect_command("deliver").arg, body);
+        link.send_outcome(cursor + 2, &launch.handle, "complete", &body);
         assert_eq!(read_answer(&mut stream).body, body);
-        let scgi = exchange(program.scgi, &Ask::keyed(&format!("k{round}"), &body).scgi());
+        let scgi = exchange(program.scgi, &Request::keyed(&format!("k{round}"), &body).scgi());
         assert_eq!(scgi.body, body, "the result that was kept, over the other front");
     }
     assert_eq!(program.counter("violations"), 0);
@@ -53,14 +53,14 @@
     let program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let mut kept = connect(program.http);
     for (round, body) in bodies().into_iter().enumerate() {
-        kept.write_all(&Ask::keyed(&format!("k{round}"), &body).http()).unwrap();
+        kept.write_all(&Request::keyed(&format!("k{round}"), &body).http()).unwrap();
         assert_eq!(read_answer(&mut kept).body, [b"made:", &body[..]].concat());
     }
     // On a connection to the old process: passed on, and its answer passed back.
     let new = program.successor(&agent, &agent.moved());
     for (round, body) in bodies().into_iter().enumerate() {
         let key = format!("k{round}");
-        let answer = exchange(new.http, &Ask::keyed(&key, &body).http());
+        let answer = exchange(new.http, &Request::keyed(&key, &body).http());
         assert_eq!(answer.body, [b"made:", &body[..]].concat(), "the result that was handed over");
     }
     let launches = agent.launches();
@@ -73,24 +73,24 @@
     // Guards against state that outlives a request and names its class by a place in a list.
     let (_agent, program, mut link) = linked(None);
     let mut open = connect(program.http);
-    let ask = Ask { patience_ms: 9_000, ..Ask::keyed("k", b"open") };
-    open.write_all(&ask.http()).unwrap();
-    let launch = link.expect("launch");
+    let request = Request { timeout_ms: 9_000, ..Request::keyed("k", b"open") };
+    open.write_all(&request.http()).unwrap();
+    let launch = link.expect_command("launch");
     for (round, name) in ["first", "second", "third"].into_iter().enumerate() {
         program.reload(&[("lobby-confirm".to_string(), name.to_string())]);
         wait_for("the configuration", || {
             program.log().matches("the configuration was read again").count() == round + 1
         });
         let mut stream = connect(program.http);
-        let class = Ask { class: name, ..Ask::keyed(&format!("k-{name}"), name.as_bytes()) };
+        let class = Request { class: name, ..Request::keyed(&format!("k-{name}"), name.as_bytes()) };
         stream.write_all(&class.http()).unwrap();
-        let other = link.expect_of_next("launch");
+        let other = link.expect_run_command("launch");
         assert_eq!((other.entry.as_str(), &other.arg[..]), (name, name.as_bytes()));
-        link.ends(10 + round as u64, &other.handle, "complete", name.as_bytes());
+        link.send_outcome(10 + round as u64, &other.handle, "complete", name.as_bytes());
         assert_eq!(read_answer(&mut stream).body, name.as_bytes());
     }
     assert_eq!(launch.entry, "lobby-confirm");
-    link.ends(20, &launch.handle, "complete", b"kept");
+    link.send_outcome(20, &launch.handle, "complete", b"kept");
     assert_eq!(read_answer(&mut open).body, b"kept");
 }
 
@@ -100,21 +100,21 @@
     let (_agent, program, mut link) = linked(Some(&vault));
     // Of a class whose calls may share a connection, one after the other.
     let mut stream = connect(program.http);
-    stream.write_all(&Ask { patience_ms: 4_000, ..Ask::new("queue-status", b"a") }.http()).unwrap();
-    let first = link.expect("launch").handle;
-    link.calls(1, &first, b"one");
+    stream.write_all(&Request { timeout_ms: 4_000, ..Request::new("queue-status", b"a") }.http()).unwrap();
+    let first = link.expect_command("launch").handle;
+    link.send_call(1, &first, b"one");
     let mut call = vault.accept();
-    call.ask();
+    call.read_call();
     call.reply(&first, b"reply one");
-    assert_eq!(link.expect("deliver").arg, b"reply one");
+    assert_eq!(link.expect_command("deliver").arg, b"reply one");
     // The second copy comes late on that connection; the next call of the request has one of its own.
     call.reply(&first, b"reply one");
-    link.calls(2, &first, b"two");
+    link.send_call(2, &first, b"two");
     let mut next = vault.accept();
-    assert_eq!(next.ask().2, b"two");
+    assert_eq!(next.read_call().2, b"two");
     next.reply(&first, b"reply two");
-    assert_eq!(link.expect("deliver").arg, b"reply two");
-    link.ends(3, &first, "complete", b"done");
+    assert_eq!(link.expect_command("deliver").arg, b"reply two");
+    link.send_outcome(3, &first, "complete", b"done");
     assert_eq!(read_answer(&mut stream).body, b"done");
     assert_eq!(program.counter("violations"), 0);
 }
@@ -125,8 +125,8 @@
 fn a_refusal_of_the_agent_is_told_with_its_run_its_command_and_a_digest(#[case] command: &str) {
     let (_agent, program, mut link) = linked(None);
     let mut stream = connect(program.http);
-    stream.write_all(&Ask::new("queue-status", b"a").http()).unwrap();
-    let handle = link.expect("launch").handle;
+    stream.write_all(&Request::new("queue-status", b"a").http()).unwrap();
+    let handle = link.expect_command("launch").handle;
     link.write(format!("{{\"event\":\"refusal\",\"fate\":\"{command}\",\"handle\":\"{handle}\"}}\n"));
     program.wait_for_log(&format!("the agent refused a {command}: {handle}, class queue-status, body "));
     assert_eq!(program.counter("agent_refusals"), 1);
@@ -139,27 +139,27 @@
     let (second, third) = (Listener::start(), Listener::start());
     program.reload(&[(agent.address.to_string(), second.address.to_string())]);
     // The old link is about to be settled: it asks for one more sample, which is not answered yet.
-    let mut command = link.command();
+    let mut command = link.next_command();
     while !command.ticket.starts_with("move-") {
-        command = link.command();
+        command = link.next_command();
     }
     program.reload(&[(agent.address.to_string(), third.address.to_string())]);
     wait_for("the second configuration", || {
         program.log().matches("the configuration was read again").count() == 2
     });
-    link.mark(&command.ticket);
-    let mut passed = second.link();
-    while let Some(line) = passed.line() {
+    link.answer_sample(&command.ticket);
+    let mut passed = second.accept_link();
+    while let Some(line) = passed.read_line() {
         // It is the second link.
         if line.contains(r#""ticket":"move-2""#) {
-            passed.mark("move-2");
+            passed.answer_sample("move-2");
         }
     }
-    let mut link = third.link();
+    let mut link = third.accept_link();
     let mut stream = connect(program.http);
-    stream.write_all(&Ask::new("queue-status", b"a").http()).unwrap();
-    let handle = link.expect_of_next("launch").handle;
-    link.ends(1, &handle, "complete", b"moved twice");
+    stream.write_all(&Request::new("queue-status", b"a").http()).unwrap();
+    let handle = link.expect_run_command("launch").handle;
+    link.send_outcome(1, &handle, "complete", b"moved twice");
     assert_eq!(read_answer(&mut stream).body, b"moved twice");
     assert_eq!(program.counter("links_lost"), 0);
 }
--- a/tests/program/repeats.rs
+++ b/tests/program/repeats.rs
@@ -17,7 +17,7 @@
 /// A connection that was used before: it has its time for the rest of a request that it begins.
 fn used_connection(program: &Program) -> std::net::TcpStream {
     let mut stream = connect(program.http);
-    stream.write_all(&Ask::new("queue-status", b"used").http()).unwrap();
+    stream.write_all(&Request::new("queue-status", b"used").http()).unwrap();
     assert_eq!(read_answer(&mut stream).status, 200);
     stream
 }
@@ -33,14 +33,14 @@
 #[case::just_inside(WINDOW_MS as i64 - 1, 1)]
 #[case::long_after(WINDOW_MS as i64 + 1_500, 2)]
 fn the_window_counts_from_the_start_of_the_try_that_ran(#[case] later_ms: i64, #[case] launches: usize) {
-    let agent = Agent::start(2, QUICK, false);
+    let agent = Agent::start(2, SHORT_RUN, false);
     let program = Program::start(Setup { site: vec![SHORT_WINDOW], ..with_agent(&agent) });
     let start = unix_ms();
-    let first = Ask { start_ms: Some(start), ..Ask::keyed("k", b"x") };
+    let first = Request { start_ms: Some(start), ..Request::keyed("k", b"x") };
     assert_eq!(exchange(program.http, &first.http()).status, 200);
     let start = start.saturating_add_signed(later_ms);
     wait_for_time(start);
-    let repeat = Ask { start_ms: Some(start), ..Ask::keyed("k", b"x") };
+    let repeat = Request { start_ms: Some(start), ..Request::keyed("k", b"x") };
     assert_eq!(exchange(program.http, &repeat.http()).body, b"made:x");
     assert_eq!(launches_of(&agent, b"x"), launches);
 }
@@ -55,18 +55,18 @@
 fn a_repeat_inside_the_window_that_is_read_late_is_not_run_again(
     #[case] deadlines: (&'static str, &'static str),
     #[case] first_ms: u64,
-    #[case] patience_ms: u64,
+    #[case] timeout_ms: u64,
     #[case] status: u16,
 ) {
     // Guards against a key that is forgotten a second after its window by the clock, while a try from within the
     // window is still unread and in time: it passed as new work and ran a second time.
-    let agent = Agent::start(2, QUICK, false);
+    let agent = Agent::start(2, SHORT_RUN, false);
     let program = Program::start(Setup { site: vec![LATE_WINDOW, deadlines], ..with_agent(&agent) });
     let mut late = used_connection(&program);
     let start = unix_ms();
-    let first = Ask { start_ms: Some(start), patience_ms: first_ms, ..Ask::keyed("k", b"x") };
+    let first = Request { start_ms: Some(start), timeout_ms: first_ms, ..Request::keyed("k", b"x") };
     assert_eq!(exchange(program.http, &first.http()).status, 200);
-    let repeat = Ask { start_ms: Some(start + LATE_WINDOW_MS - 1), patience_ms, ..first };
+    let repeat = Request { start_ms: Some(start + LATE_WINDOW_MS - 1), timeout_ms, ..first };
     let bytes = repeat.http();
     let (most, last) = bytes.split_at(bytes.len() - 1);
     late.write_all(most).unwrap();
@@ -86,9 +86,9 @@
     let site = vec![SHORT_WINDOW, (r#""cores": 6"#, r#""cores": 1"#)];
     let program = Program::start(Setup { site, ..with_agent(&agent) });
     let (mut running, mut held) = (connect(program.http), connect(program.http));
-    running.write_all(&Ask { patience_ms: 4_000, ..Ask::new("queue-status", b"r") }.http()).unwrap();
+    running.write_all(&Request { timeout_ms: 4_000, ..Request::new("queue-status", b"r") }.http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
-    held.write_all(&Ask { patience_ms: 4_000, ..Ask::keyed("k", b"x") }.http()).unwrap();
+    held.write_all(&Request { timeout_ms: 4_000, ..Request::keyed("k", b"x") }.http()).unwrap();
     assert_eq!(read_answer(&mut running).body, b"made:r");
     assert_eq!(read_answer(&mut held).body, b"made:x");
 }
@@ -98,10 +98,10 @@
     let agent = Agent::start(1, Duration::from_millis(400), false);
     let program = Program::start(with_agent(&agent));
     let mut gone = connect(program.http);
-    gone.write_all(&Ask::keyed("k", b"x").http()).unwrap();
+    gone.write_all(&Request::keyed("k", b"x").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
     drop(gone);
-    assert_eq!(exchange(program.http, &Ask::keyed("k", b"x").http()).body, b"made:x");
+    assert_eq!(exchange(program.http, &Request::keyed("k", b"x").http()).body, b"made:x");
     assert_eq!(agent.launches().len(), 1);
 }
 
@@ -109,23 +109,23 @@
 fn a_repeat_of_what_a_new_process_ran_is_not_run_by_the_old_one_however_late_it_is_read() {
     // Guards against a key that the new process ran before it went away, and the old one runs again: it kept keys
     // back for a window by the clock, not by when a try came.
-    let (old_agent, new_agent) = (Agent::start(1, QUICK, false), Agent::start(1, QUICK, false));
+    let (old_agent, new_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let site = vec![LATE_WINDOW, (r#""memory_span_us": 5000000"#, r#""memory_span_us": 3000000"#), PATIENT];
     let old = Program::start(Setup { site, ..with_agent(&old_agent) });
     let new = old.successor(&old_agent, &new_agent);
-    let first = Ask { start_ms: Some(unix_ms()), ..Ask::keyed("k", b"x") };
+    let first = Request { start_ms: Some(unix_ms()), ..Request::keyed("k", b"x") };
     assert_eq!(exchange(new.http, &first.http()).status, 200);
     drop(new);
     wait_for("the old process", || {
         let mut stream = connect(old.http);
-        let _ = stream.write_all(&Ask::new("queue-status", b"a").http());
+        let _ = stream.write_all(&Request::new("queue-status", b"a").http());
         let mut status = [0; 12];
         stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
     });
     let knows = unix_ms();
     let mut late = used_connection(&old);
     let start_ms = first.start_ms.map(|start| start + LATE_WINDOW_MS - 1);
-    let bytes = Ask { start_ms, patience_ms: 4_500, ..first }.http();
+    let bytes = Request { start_ms, timeout_ms: 4_500, ..first }.http();
     let (most, last) = bytes.split_at(bytes.len() - 1);
     late.write_all(most).unwrap();
     wait_for_time(knows + LATE_WINDOW_MS + 20);
@@ -139,12 +139,12 @@
 fn a_start_in_a_far_future_does_not_break_the_link_to_the_new_process() {
     // Guards against one caller's field that ends the link between two processes, and with it every request that
     // was passed on: a time past 64 bits of microseconds could not be read there.
-    let (old_agent, new_agent) = (Agent::start(1, QUICK, false), Agent::start(1, QUICK, false));
+    let (old_agent, new_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let old = Program::start(with_agent(&old_agent));
     let (mut far, mut near) = (used_connection(&old), used_connection(&old));
     let bytes = [
-        Ask { start_ms: Some(u64::MAX), ..Ask::new("queue-status", b"far") }.http(),
-        Ask { patience_ms: 9_000, ..Ask::new("queue-status", b"near") }.http(),
+        Request { start_ms: Some(u64::MAX), ..Request::new("queue-status", b"far") }.http(),
+        Request { timeout_ms: 9_000, ..Request::new("queue-status", b"near") }.http(),
     ];
     let [far_bytes, near_bytes] = bytes.each_ref().map(|b| b.split_at(b.len() - 1));
     // With a part of a request they are not closed as idle meanwhile.
@@ -160,7 +160,7 @@
 #[test]
 fn keys_that_never_ran_take_no_memory_for_their_window() {
     // Guards against a flood of keyed requests, all turned away, that fills the memory of a server with a long window.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let site = vec![
         (r#""memory_span_us": 13356000"#, r#""memory_span_us": 86400000000"#),
         (r#""give_up_us": 4500000"#, r#""give_up_us": 300000"#),
@@ -172,7 +172,7 @@
     let mut stream = connect(program.http);
     let mut turned_away = |count: usize, from: usize| {
         for n in from..from + count {
-            stream.write_all(&Ask::keyed(&format!("key {n}"), b"x").http()).unwrap();
+            stream.write_all(&Request::keyed(&format!("key {n}"), b"x").http()).unwrap();
             assert_eq!(read_answer(&mut stream).status, 503);
         }
     };
--- a/tests/program/scgi.rs
+++ b/tests/program/scgi.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use socket2::{Domain, Socket, Type};
 
-use super::stand_in::*;
+use super::harness::*;
 
 fn with_application(answer: impl Fn(&str, &[u8]) -> Vec<u8> + Send + Sync + 'static) -> Setup {
     Setup { application: Some(scgi_service(answer)), ..Setup::default() }
@@ -26,13 +26,13 @@
         assert!(block.contains("REQUEST_URI\0/do/queue-status\0"), "{block:?}");
         echo(block, body)
     }));
-    let ask = Ask::new("queue-status", b"a\0b");
+    let request = Request::new("queue-status", b"a\0b");
     let mut stream = connect(program.scgi);
-    stream.write_all(&ask.scgi()).unwrap();
+    stream.write_all(&request.scgi()).unwrap();
     let answer = read_answer(&mut stream);
     assert_eq!((answer.status, &answer.body[..]), (200, &b"ran:a\0b"[..]));
     assert!(answer.head.starts_with("Status: 200 OK\r\n") && is_closed(&mut stream));
-    assert_eq!(exchange(program.http, &ask.http()).body, b"ran:a\0b");
+    assert_eq!(exchange(program.http, &request.http()).body, b"ran:a\0b");
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let agent = Agent::start(1, Duration::from_millis(2), true);
     let below = Some(scgi_service(|_, body| [b"Status: 200 OK\r\n\r\nbelow:", body].concat()));
     let program = Program::start(Setup { agent: Some(agent.address), below, ..Setup::default() });
-    let answer = exchange(program.scgi, &Ask::keyed("k", b"x").scgi());
+    let answer = exchange(program.scgi, &Request::keyed("k", b"x").scgi());
     assert_eq!((answer.status, &answer.body[..]), (200, &b"made:xbelow:x"[..]));
 }
 
@@ -93,7 +93,7 @@
         said.to_vec()
     }));
     for _ in 0..2 {
-        assert_eq!(exchange(program.scgi, &Ask::keyed("k", b"x").scgi()).status, status);
+        assert_eq!(exchange(program.scgi, &Request::keyed("k", b"x").scgi()).status, status);
     }
     assert_eq!(*runs.lock().unwrap(), 1);
 }
@@ -109,7 +109,7 @@
     }));
     for _ in 0..2 {
         let since = Instant::now();
-        let answer = exchange(program.scgi, &Ask { patience_ms: 700, ..Ask::keyed("k", b"x") }.scgi());
+        let answer = exchange(program.scgi, &Request { timeout_ms: 700, ..Request::keyed("k", b"x") }.scgi());
         assert!(answer.status == 500 && since.elapsed() < Duration::from_millis(850), "{answer:?}");
     }
     assert_eq!(*runs.lock().unwrap(), 1);
@@ -119,7 +119,7 @@
 fn an_application_that_cannot_be_reached_never_ran() {
     let program = Program::start(Setup { application: Some(gone()), ..Setup::default() });
     for _ in 0..2 {
-        let answer = exchange(program.scgi, &Ask::keyed("k", b"x").scgi());
+        let answer = exchange(program.scgi, &Request::keyed("k", b"x").scgi());
         assert!(answer.status == 503 && answer.head.starts_with("Status: 503"), "{answer:?}");
     }
     assert_eq!(program.counter("launched"), 2, "the key stays free");
@@ -130,7 +130,7 @@
 #[case::long_body(b"abcdef", false)]
 fn a_body_of_another_length_is_not_run(#[case] sent: &[u8], #[case] end: bool) {
     let program = Program::start(with_application(|_, _| panic!("this must not run")));
-    let mut bytes = Ask::new("queue-status", b"abc").scgi();
+    let mut bytes = Request::new("queue-status", b"abc").scgi();
     bytes.truncate(bytes.len() - 3);
     bytes.extend(sent);
     let mut stream = connect(program.scgi);
@@ -150,18 +150,18 @@
     let mut program = Program::start(with_application(echo));
     program.signal("TERM");
     program.wait_for_log("leaving");
-    let mut bytes = Ask::new("queue-status", b"").scgi();
+    let mut bytes = Request::new("queue-status", b"").scgi();
     let digits = bytes.iter().position(|b| *b == b':').unwrap();
     let len: usize = std::str::from_utf8(&bytes[..digits]).unwrap().parse().unwrap();
     let lie = if too_much { len + 40 } else { len - 40 };
     bytes.splice(..digits, lie.to_string().into_bytes());
     let mut liar = connect(program.scgi);
     liar.write_all(&bytes).unwrap();
-    let honest = exchange(program.scgi, &Ask::new("queue-status", b"h").scgi());
+    let honest = exchange(program.scgi, &Request::new("queue-status", b"h").scgi());
     assert_eq!((honest.status, &honest.body[..]), (200, &b"ran:h"[..]));
     let answer = read_answer(&mut liar);
     assert_eq!(answer.status, if too_much { 408 } else { 400 });
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     program.wait_for_log("counters at exit: taken_in=1 checks=0 rejected=1 ");
 }
 
@@ -180,14 +180,14 @@
     };
     let mut stalled: Vec<_> = (0..10).map(|_| narrow(program.scgi)).collect();
     for stream in &mut stalled {
-        stream.write_all(&Ask::new("queue-status", b"large").scgi()).unwrap();
+        stream.write_all(&Request::new("queue-status", b"large").scgi()).unwrap();
     }
     for stream in &mut stalled {
         stream.read_exact(&mut [0; 1000]).unwrap();
     }
     let since = Instant::now();
-    assert_eq!(exchange(program.scgi, &Ask::new("queue-status", b"").scgi()).body.len(), 4);
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"").http()).body.len(), 4);
+    assert_eq!(exchange(program.scgi, &Request::new("queue-status", b"").scgi()).body.len(), 4);
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"").http()).body.len(), 4);
     assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     assert_eq!((program.counter("taken_in"), program.counter("served")), (12, 12));
     wait_for("the end of their connections", || program.counter("unsent_stalled") == 10);
@@ -224,20 +224,20 @@
             thread::spawn(move || {
                 let (on_scgi, at) = (n % 2 == 1, begin + GAP * (n / 2) as u32);
                 thread::sleep(at.saturating_duration_since(Instant::now()));
-                let mut ask = if n % 10 < 2 {
-                    Ask::keyed(&format!("k{n}"), b"")
+                let mut request = if n % 10 < 2 {
+                    Request::keyed(&format!("k{n}"), b"")
                 } else {
-                    Ask::new("queue-status", b"")
+                    Request::new("queue-status", b"")
                 };
-                (ask.patience_ms, ask.body) = (PATIENCE_MS, n.to_string().into_bytes());
+                (request.timeout_ms, request.body) = (PATIENCE_MS, n.to_string().into_bytes());
                 let mut stream = connect(if on_scgi { scgi } else { http });
-                let bytes = if on_scgi { ask.scgi() } else { ask.http() };
+                let bytes = if on_scgi { request.scgi() } else { request.http() };
                 let since = Instant::now();
                 stream.write_all(&bytes).unwrap();
                 let answer = read_answer(&mut stream);
                 let took = since.elapsed();
                 if answer.status == 200 {
-                    assert_eq!(answer.body, [b"made:", &ask.body[..]].concat());
+                    assert_eq!(answer.body, [b"made:", &request.body[..]].concat());
                 }
                 // Whatever came after the one answer would be a second one.
                 let _ = stream.shutdown(Shutdown::Write);
--- a/tests/program/scripted.rs
+++ b/tests/program/scripted.rs
@@ -1,4 +1,4 @@
-//! Peers of the program that say only what a test has them say, when it has them say it.
+//! Scripted peers of the program: an agent and a dependency that send only what a test has them send, when it does.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,9 +10,9 @@
 use socket2::{Domain, Socket, Type};
 use tinyjson::JsonValue;
 
-use crate::stand_in::{wait_for, PATIENCE};
+use crate::harness::{wait_for, PATIENCE};
 
-/// A listener whose connections the test takes one by one.
+/// A listener whose connections the test accepts one by one.
 pub struct Listener {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -30,38 +30,38 @@
         Self { listener, address }
     }
 
-    /// The next connection.
+    /// Waits for the next connection and accepts it.
     pub fn accept(&self) -> Peer {
-        let mut taken = None;
+        let mut accepted = None;
         wait_for("a connection", || {
-            taken = self.listener.accept().ok();
-            taken.is_some()
+            accepted = self.listener.accept().ok();
+            accepted.is_some()
         });
-        let stream = taken.unwrap().0;
+        let stream = accepted.unwrap().0;
         stream.set_nonblocking(false).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Peer { reads: BufReader::new(stream.try_clone().unwrap()), writes: stream }
+        Peer { reader: BufReader::new(stream.try_clone().unwrap()), writer: stream }
     }
 
-    /// Nobody has connected since the last one was taken.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns true if nobody has connected since the last connection was accepted.
+    pub fn has_no_new_connection(&self) -> bool {
         self.listener.accept().is_err()
     }
 
-    /// The next link to this as the agent: it has subscribed, and is greeted.
-    pub fn link(&self) -> Peer {
+    /// Accepts the next link to this listener as the agent: reads the subscription and sends the greeting.
+    pub fn accept_link(&self) -> Peer {
         let mut peer = self.accept();
-        peer.expect("subscribe");
-        peer.greet();
+        peer.expect_command("subscribe");
+        peer.send_greeting();
         peer
     }
 }
 
 /// The peer's end of a connection.
 pub struct Peer {
-    reads: BufReader<TcpStream>,
-    writes: TcpStream,
+    reader: BufReader<TcpStream>,
+    writer: TcpStream,
 }
 
 /// A command to the agent.
@@ -78,38 +78,38 @@
 impl Peer {
     /// Writes bytes as they are.
     pub fn write(&mut self, bytes: impl AsRef<[u8]>) {
-        self.writes.write_all(bytes.as_ref()).unwrap();
+        self.writer.write_all(bytes.as_ref()).unwrap();
     }
 
     /// Closes the connection.
-    pub fn cut(self) {
-        self.shut();
+    pub fn close(self) {
+        self.shut_down();
     }
 
-    /// The same, where the peer is to be replaced.
-    pub fn shut(&self) {
-        let _ = self.writes.shutdown(Shutdown::Both);
+    /// Closes the connection without consuming the peer, for callers that replace it afterwards.
+    pub fn shut_down(&self) {
+        let _ = self.writer.shutdown(Shutdown::Both);
     }
 
-    /// Reads a line; none at the end of the connection.
-    pub fn line(&mut self) -> Option<String> {
+    /// Reads a line; returns `None` at the end of the connection.
+    pub fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
-        (self.reads.read_line(&mut line).unwrap() > 0).then(|| line.trim_end().to_string())
+        (self.reader.read_line(&mut line).unwrap() > 0).then(|| line.trim_end().to_string())
     }
 
     // ---- As the agent -------------------------------------------------------------------------------
 
-    pub fn greet(&mut self) {
+    pub fn send_greeting(&mut self) {
         self.write("{\"event\":\"greeting\",\"fate\":\"hot\",\"lasted\":60000}\n");
     }
 
-    /// The next command that is no question for the gauges and none whether all was heard; those go unanswered, so
-    /// that all that was said on a link is in doubt when it breaks.
-    pub fn command(&mut self) -> Command {
+    /// Reads the next command, skipping the samples that ask for the gauges or for an acknowledgement: those stay
+    /// unanswered, so that every command sent on a link is in doubt when the link breaks.
+    pub fn next_command(&mut self) -> Command {
         let since = Instant::now();
         loop {
-            assert!(since.elapsed() < PATIENCE, "nothing but questions for the gauges came");
-            let line = self.line().expect("a command");
+            assert!(since.elapsed() < PATIENCE, "only samples for the gauges arrived");
+            let line = self.read_line().expect("a command");
             let json: JsonValue = line.parse().unwrap();
             let json: &HashMap<String, JsonValue> = json.get().unwrap();
             let text = |key: &str| json.get(key).and_then(|v| v.get::<String>()).cloned().unwrap_or_default();
@@ -124,19 +124,19 @@
         }
     }
 
-    /// The next command, which is to be this one.
-    pub fn expect(&mut self, event: &str) -> Command {
-        let command = self.command();
+    /// Reads the next command and checks its event.
+    pub fn expect_command(&mut self, event: &str) -> Command {
+        let command = self.next_command();
         assert_eq!(command.event, event, "{command:?}");
         command
     }
 
-    /// The next command about this run, which is to be this one; marks are answered on the way.
-    pub fn expect_of(&mut self, event: &str, handle: &str) -> Command {
+    /// Reads the next command other than a sample and checks its event and its run; answers the markers before it.
+    pub fn expect_command_of_run(&mut self, event: &str, handle: &str) -> Command {
         loop {
-            let command = self.command();
+            let command = self.next_command();
             if command.event == "sample" {
-                self.mark(&command.ticket);
+                self.answer_sample(&command.ticket);
             } else {
                 assert_eq!((command.event.as_str(), command.handle.as_str()), (event, handle), "{command:?}");
                 return command;
@@ -144,12 +144,12 @@
         }
     }
 
-    /// The next command that is about a run, which is to be this one.
-    pub fn expect_of_next(&mut self, event: &str) -> Command {
+    /// Reads the next command other than a sample and checks its event; answers the markers before it.
+    pub fn expect_run_command(&mut self, event: &str) -> Command {
         loop {
-            let command = self.command();
+            let command = self.next_command();
             if command.event == "sample" {
-                self.mark(&command.ticket);
+                self.answer_sample(&command.ticket);
                 continue;
             }
             assert_eq!(command.event, event, "{command:?}");
@@ -157,77 +157,78 @@
         }
     }
 
-    /// Answers the question that marks a place in the notices.
-    pub fn sync(&mut self) -> String {
-        let ticket = self.expect("sample").ticket;
-        self.mark(&ticket);
+    /// Reads the sample that serves as a marker among the notices, answers it and returns its ticket.
+    pub fn answer_marker(&mut self) -> String {
+        let ticket = self.expect_command("sample").ticket;
+        self.answer_sample(&ticket);
         ticket
     }
 
-    /// Answers the question of a ticket.
-    pub fn mark(&mut self, ticket: &str) {
+    /// Answers the sample with this ticket.
+    pub fn answer_sample(&mut self, ticket: &str) {
         self.write(format!("{{\"event\":\"sampled\",\"ticket\":\"{ticket}\",\"figures\":[0,0,0,0]}}\n"));
     }
 
-    pub fn ends(&mut self, cursor: u64, handle: &str, fate: &str, arg: &[u8]) {
-        self.write(outcome(cursor, handle, fate, arg));
+    pub fn send_outcome(&mut self, cursor: u64, handle: &str, fate: &str, arg: &[u8]) {
+        self.write(outcome_line(cursor, handle, fate, arg));
     }
 
-    pub fn calls(&mut self, cursor: u64, handle: &str, arg: &[u8]) {
+    pub fn send_call(&mut self, cursor: u64, handle: &str, arg: &[u8]) {
         let arg = BASE64.encode(arg);
         self.write(format!(
             "{{\"event\":\"request\",\"cursor\":{cursor},\"handle\":\"{handle}\",\"arg\":\"{arg}\"}}\n"
         ));
     }
 
-    // ---- As the service below -----------------------------------------------------------------------
+    // ---- As the dependency --------------------------------------------------------------------------
 
-    /// Reads a call: whose it is, the milliseconds that it may take, and its body.
-    pub fn ask(&mut self) -> (String, u64, Vec<u8>) {
-        let line = self.line().expect("a call");
+    /// Reads a call: the handle of its request, its time limit in milliseconds, and its body.
+    pub fn read_call(&mut self) -> (String, u64, Vec<u8>) {
+        let line = self.read_line().expect("a call");
         let words: Vec<_> = line.split(' ').collect();
         assert_eq!((words[0], words.len()), ("ask", 4), "{line}");
         let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
-        self.reads.read_exact(&mut body).unwrap();
+        self.reader.read_exact(&mut body).unwrap();
         assert!(body.ends_with(b"\r\n"));
         body.truncate(body.len() - 2);
         (words[1].to_string(), words[2].parse().unwrap(), body)
     }
 
-    /// Answers a call well.
+    /// Answers a call successfully.
     pub fn reply(&mut self, handle: &str, body: &[u8]) {
         self.write([format!("{handle} yes {}\r\n", body.len()).as_bytes(), body, b"\r\n"].concat());
     }
 }
 
-/// The line that tells of the end of a run.
-pub fn outcome(cursor: u64, handle: &str, fate: &str, arg: &[u8]) -> String {
+/// The notice that reports the end of a run, as a line.
+pub fn outcome_line(cursor: u64, handle: &str, fate: &str, arg: &[u8]) -> String {
     let arg = BASE64.encode(arg);
     format!(
         "{{\"event\":\"outcome\",\"cursor\":{cursor},\"handle\":\"{handle}\",\"fate\":\"{fate}\",\"lasted\":5,\"arg\":\"{arg}\"}}\n"
     )
 }
 
-/// An address where nobody takes connections and those that come are left without an answer: the queue of its
-/// listener is full.
-pub struct Silent {
+/// An address that leaves connection attempts without an answer: the backlog of its listener is full, and nobody
+/// accepts from it.
+pub struct FullBacklog {
     pub address: SocketAddr,
     _listener: Socket,
     _queued: Vec<Socket>,
 }
 
-impl Silent {
+impl FullBacklog {
     pub fn start() -> Self {
-        let socket = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        let listener = socket();
+        let new_socket = || Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        let listener = new_socket();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(0).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let mut queued = Vec::new();
         loop {
-            let one = socket();
-            let full = one.connect_timeout(&address.into(), std::time::Duration::from_millis(200)).is_err();
-            queued.push(one);
+            let socket = new_socket();
+            let full =
+                socket.connect_timeout(&address.into(), std::time::Duration::from_millis(200)).is_err();
+            queued.push(socket);
             if full {
                 return Self { address, _listener: listener, _queued: queued };
             }
--- a/tests/program/customers.rs
+++ b/tests/program/settings_variants.rs
@@ -66,21 +66,21 @@
     "lobby-confirm"
 )]
 fn settings_of_another_customer_are_served(#[case] site: &'static [Change], #[case] keyed: &'static str) {
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = Program::start(Setup { site: site.to_vec(), ..with_agent(&agent) });
-    let of_class = |class, key: &str, body: &[u8]| Ask { class, ..Ask::keyed(key, body) };
+    let of_class = |class, key: &str, body: &[u8]| Request { class, ..Request::keyed(key, body) };
     assert_eq!(exchange(program.http, &of_class("queue-status", "r", b"r").http()).body, b"made:rreply:r");
     for _ in 0..2 {
         assert_eq!(exchange(program.http, &of_class(keyed, "k", b"k").http()).body, b"made:kreply:k");
     }
-    assert_eq!(exchange(program.http, &Ask::new("no-such-class", b"").http()).status, 404);
+    assert_eq!(exchange(program.http, &Request::new("no-such-class", b"").http()).status, 404);
     program.signal("TERM");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     assert!(program.log().contains("served=3"), "{}", program.log());
 }
 
 /// An agent that greets, reads all it is told, and never says anything else.
-fn silent_agent() -> SocketAddr {
+fn unresponsive_agent() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -102,15 +102,17 @@
 #[case::link_taken_but_silent(true)]
 #[case::no_link_at_all(false)]
 fn every_request_is_answered_when_due_whatever_the_agent_does(#[case] linked: bool) {
-    let address = if linked { silent_agent() } else { gone() };
-    let program = Program::start(Setup { silent_agent: Some(address), ..Setup::default() });
-    for patience_ms in [1, 120, 400, 1_000] {
-        let key = patience_ms.to_string();
-        for ask in [Ask::new("queue-status", b"r"), Ask::keyed(&key, b"k"), Ask::keyed(&key, b"k")] {
+    let address = if linked { unresponsive_agent() } else { gone() };
+    let program = Program::start(Setup { unawaited_agent: Some(address), ..Setup::default() });
+    for timeout_ms in [1, 120, 400, 1_000] {
+        let key = timeout_ms.to_string();
+        for request in
+            [Request::new("queue-status", b"r"), Request::keyed(&key, b"k"), Request::keyed(&key, b"k")]
+        {
             let since = Instant::now();
-            let answer = exchange(program.http, &Ask { patience_ms, ..ask }.http());
+            let answer = exchange(program.http, &Request { timeout_ms, ..request }.http());
             assert!([500, 503].contains(&answer.status), "{answer:?}");
-            let most = Duration::from_millis(patience_ms + 150) + BUSY_MACHINE;
+            let most = Duration::from_millis(timeout_ms + 150) + BUSY_MACHINE;
             assert!(since.elapsed() < most, "{:?} of {most:?}", since.elapsed());
         }
     }
@@ -120,16 +122,16 @@
 #[case::link_taken_but_silent(true)]
 #[case::no_link_at_all(false)]
 fn all_that_was_read_is_answered_before_the_stop_whatever_the_agent_does(#[case] linked: bool) {
-    let address = if linked { silent_agent() } else { gone() };
-    let mut program = Program::start(Setup { silent_agent: Some(address), ..Setup::default() });
+    let address = if linked { unresponsive_agent() } else { gone() };
+    let mut program = Program::start(Setup { unawaited_agent: Some(address), ..Setup::default() });
     // Runs or holds, a repeat that joined, and one that is read within the grace. None falls due before the stop, and
     // the agent ends none: that they are answered, and the program ends by itself, is the stop's doing.
-    let asks = [Ask::new("queue-status", b"r"), Ask::keyed("k", b"k"), Ask::keyed("k", b"k")];
-    let mut open: Vec<_> = asks
+    let requests = [Request::new("queue-status", b"r"), Request::keyed("k", b"k"), Request::keyed("k", b"k")];
+    let mut open: Vec<_> = requests
         .into_iter()
-        .map(|ask| {
+        .map(|request| {
             let mut stream = connect(program.http);
-            stream.write_all(&Ask { patience_ms: 30_000, ..ask }.http()).unwrap();
+            stream.write_all(&Request { timeout_ms: 30_000, ..request }.http()).unwrap();
             stream
         })
         .collect();
@@ -137,12 +139,12 @@
     program.signal("TERM");
     program.wait_for_log("leaving");
     let mut stream = connect(program.http);
-    stream.write_all(&Ask { patience_ms: 30_000, ..Ask::keyed("late", b"l") }.http()).unwrap();
+    stream.write_all(&Request { timeout_ms: 30_000, ..Request::keyed("late", b"l") }.http()).unwrap();
     open.push(stream);
     for stream in &mut open {
         assert!([500, 503].contains(&read_answer(stream).status));
     }
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[rstest]
--- a/tests/program/signals.rs
+++ b/tests/program/signals.rs
@@ -9,8 +9,8 @@
 
 use rstest::rstest;
 
+use crate::harness::*;
 use crate::scripted::Listener;
-use crate::stand_in::*;
 
 const SITE: &str = include_str!("../../src/lab/site.json");
 
@@ -32,7 +32,7 @@
 fn a_signal_before_the_configuration_is_read_does_not_kill(#[case] signals: &[&str]) {
     // Guards against signals being taken only once the program listens: a notice to leave in its first
     // milliseconds would be a crash.
-    let dir = Scratch::new();
+    let dir = ScratchDir::new();
     let path = dir.path("config.json");
     pipe_at(&path);
     let mut child = Command::new(env!("CARGO_BIN_EXE_hopwalk"))
@@ -73,8 +73,8 @@
     let held = File::options().write(true).open(&path).unwrap();
     program.signal("TERM");
     program.wait_for_log("leaving");
-    assert_eq!(exchange(program.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
-    assert!(program.end().success());
+    assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
+    assert!(program.wait_for_exit().success());
     drop(held);
 }
 
@@ -84,10 +84,12 @@
     let agent = Listener::start();
     let mut program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let mut link = agent.accept();
-    link.expect("subscribe");
+    link.expect_command("subscribe");
     let mut streams: Vec<_> = (0..3).map(|_| connect(program.http)).collect();
     for stream in &mut streams {
-        stream.write_all(&Ask { patience_ms: 60_000, ..Ask::new("queue-status", b"a") }.http()).unwrap();
+        stream
+            .write_all(&Request { timeout_ms: 60_000, ..Request::new("queue-status", b"a") }.http())
+            .unwrap();
     }
     wait_for("the requests", || program.counter("taken_in") == 3);
     let since = Instant::now();
@@ -97,7 +99,7 @@
         assert_ne!(read_answer(stream).status, 200);
     }
     drop(streams);
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     assert!(since.elapsed() < Duration::from_millis(3200), "{:?}", since.elapsed());
     assert_eq!(program.log().matches("leaving: counters").count(), 1);
 }
@@ -113,7 +115,9 @@
     let mut program = Program::start(setup);
     let mut streams = [connect(program.http), connect(program.http)];
     for stream in &mut streams {
-        stream.write_all(&Ask { patience_ms: 60_000, ..Ask::new("queue-status", b"a") }.http()).unwrap();
+        stream
+            .write_all(&Request { timeout_ms: 60_000, ..Request::new("queue-status", b"a") }.http())
+            .unwrap();
     }
     wait_for("the launches", || !agent.launches().is_empty() && program.counter("taken_in") == 2);
     let since = Instant::now();
@@ -123,7 +127,7 @@
         assert!(since.elapsed() < Duration::from_millis(stop_ms), "{:?}", since.elapsed());
     }
     drop(streams);
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[rstest]
@@ -136,9 +140,9 @@
     let setup = Setup { agent: Some(agent.address), vault: Some(vault.address), ..Setup::default() };
     let mut program = Program::start(setup);
     let mut early = connect(program.http);
-    early.write_all(&Ask::keyed("k", b"early").http()).unwrap();
+    early.write_all(&Request::keyed("k", b"early").http()).unwrap();
     let mut call = vault.accept();
-    let (handle, _, body) = call.ask();
+    let (handle, _, body) = call.read_call();
     assert_eq!(body, b"early");
     let (to, below) = (agent.moved(), Listener::start());
     let moves = [(agent.address, to.address), (vault.address, below.address)];
@@ -147,17 +151,17 @@
     program.wait_for_log("leaving");
     program.wait_for_log(&format!("linked to the agent at {}", to.address));
     let mut late = connect(program.http);
-    late.write_all(&Ask::keyed("l", b"late").http()).unwrap();
+    late.write_all(&Request::keyed("l", b"late").http()).unwrap();
     let mut moved = below.accept();
-    let (other, _, body) = moved.ask();
+    let (other, _, body) = moved.read_call();
     assert_eq!(body, b"late", "the call that was out is not made again at the new address");
     call.reply(&handle, b"+old");
     moved.reply(&other, b"+new");
     assert_eq!(read_answer(&mut early).body, b"made:early+old");
     assert_eq!(read_answer(&mut late).body, b"made:late+new");
-    assert!(below.is_quiet() && vault.is_quiet());
+    assert!(below.has_no_new_connection() && vault.has_no_new_connection());
     assert_eq!((agent.launches().len(), program.counter("links_lost")), (2, 0));
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
@@ -165,20 +169,20 @@
     let agent = Agent::start(2, Duration::from_millis(300), false);
     let mut program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let mut open = connect(program.http);
-    open.write_all(&Ask::keyed("k", b"o").http()).unwrap();
+    open.write_all(&Request::keyed("k", b"o").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
     program.signal("TERM");
     program.wait_for_log("leaving");
     program.reload(&[("lobby-confirm".to_string(), "lobby-confirm-next".to_string())]);
     program.wait_for_log("the configuration was read again");
     assert_eq!(
-        exchange(program.http, &Ask::new("lobby-confirm-next", b"").http()).status,
+        exchange(program.http, &Request::new("lobby-confirm-next", b"").http()).status,
         400,
         "it has no key"
     );
     assert_eq!(read_answer(&mut open).body, b"made:o");
-    let again = exchange(program.http, &Ask::keyed("k", b"o").http());
+    let again = exchange(program.http, &Request::keyed("k", b"o").http());
     assert_eq!(again.body, b"made:o", "the dropped class is still served to who learns late");
     assert_eq!(agent.launches().len(), 1);
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
--- a/tests/program/stops.rs
+++ b/tests/program/stops.rs
@@ -4,8 +4,8 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
+use crate::harness::*;
 use crate::scripted::{Listener, Peer};
-use crate::stand_in::*;
 
 /// From the notice to the kill.
 const STOP_MS: u64 = 1_200;
@@ -26,17 +26,17 @@
     stream.read(&mut [0; 512]).is_ok_and(|read| read > 0)
 }
 
-fn send(program: &Program, ask: &Ask) -> TcpStream {
+fn send(program: &Program, request: &Request) -> TcpStream {
     let mut stream = connect(program.http);
-    stream.write_all(&ask.http()).unwrap();
+    stream.write_all(&request.http()).unwrap();
     stream
 }
 
 /// Breaks the link, and has the next one settle what is in doubt.
 fn break_link(agent: &Listener, link: Peer) -> Peer {
-    link.cut();
-    let mut next = agent.link();
-    next.sync();
+    link.close();
+    let mut next = agent.accept_link();
+    next.answer_marker();
     next
 }
 
@@ -46,12 +46,12 @@
     let agent = Listener::start();
     let setup = Setup { agent: Some(agent.address), stop_ms: Some(STOP_MS), ..Setup::default() };
     let program = Program::start(setup);
-    let mut link = agent.link();
-    link.sync();
-    let ask = Ask { patience_ms: PATIENCE_MS, ..Ask::keyed("k", b"a") };
-    let mut first = send(&program, &ask);
-    link.expect_of_next("launch");
-    let mut second = send(&program, &ask);
+    let mut link = agent.accept_link();
+    link.answer_marker();
+    let request = Request { timeout_ms: PATIENCE_MS, ..Request::keyed("k", b"a") };
+    let mut first = send(&program, &request);
+    link.expect_run_command("launch");
+    let mut second = send(&program, &request);
     wait_for("the second try", || program.counter("repeats") == 1);
     if when == Break::BeforeTheNotice {
         link = break_link(&agent, link);
@@ -83,29 +83,29 @@
     // Guards against commands that stay in doubt without a bound, as no link lives long enough to settle them.
     let agent = Listener::start();
     let program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
-    let mut link = agent.link();
-    link.sync();
-    let asks = [Ask::new("queue-status", b"read"), Ask::keyed("k", b"once")];
+    let mut link = agent.accept_link();
+    link.answer_marker();
+    let requests = [Request::new("queue-status", b"read"), Request::keyed("k", b"once")];
     // All alike: a caller with another patience than usual would pass for one that comes again.
-    let patient = |ask| Ask { patience_ms: 600, ..ask };
+    let patient = |request| Request { timeout_ms: 600, ..request };
     let due = Instant::now() + Duration::from_millis(600);
-    let mut streams = asks.map(|ask| send(&program, &patient(ask)));
-    let launched = [link.expect_of_next("launch").handle, link.expect_of_next("launch").handle];
-    link.cut();
+    let mut streams = requests.map(|request| send(&program, &patient(request)));
+    let launched = [link.expect_run_command("launch").handle, link.expect_run_command("launch").handle];
+    link.close();
     while Instant::now() < due {
-        agent.link().cut();
+        agent.accept_link().close();
     }
     assert_eq!(streams.each_mut().map(|stream| read_answer(stream).status), [500, 500]);
     assert!(due.elapsed() < Duration::from_millis(100), "{:?}", due.elapsed());
     // A link that stays: all cores of the site are free for others.
-    let mut link = agent.link();
-    link.sync();
+    let mut link = agent.accept_link();
+    link.answer_marker();
     let mut later: Vec<_> =
-        (0..6).map(|n| send(&program, &patient(Ask::keyed(&format!("later-{n}"), b"later")))).collect();
+        (0..6).map(|n| send(&program, &patient(Request::keyed(&format!("later-{n}"), b"later")))).collect();
     for cursor in 1..=6 {
-        let handle = link.expect_of_next("launch").handle;
+        let handle = link.expect_run_command("launch").handle;
         assert!(!launched.contains(&handle), "its request is over");
-        link.ends(cursor, &handle, "complete", b"made");
+        link.send_outcome(cursor, &handle, "complete", b"made");
     }
     for stream in &mut later {
         assert_eq!(read_answer(stream).body, b"made");
@@ -120,10 +120,10 @@
     assert_eq!(exchange(program.http, b"no request\r\n\r\n").status, 400);
     drop(connect(program.http));
     let mut kept = connect(program.http);
-    kept.write_all(&Ask::new("queue-status", b"a").http()).unwrap();
+    kept.write_all(&Request::new("queue-status", b"a").http()).unwrap();
     assert_eq!(read_answer(&mut kept).status, 200);
     program.signal("TERM");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
     // The one that rested is closed as the grace ends; the program itself closes those by which it wakes its listeners.
     program.wait_for_log("connections closed: idle=1 by_peer=");
     program.wait_for_log("malformed=1 after_answer=0 unsent=0 unanswered=0");
--- a/tests/program/system_calls.rs
+++ b/tests/program/system_calls.rs
@@ -9,9 +9,9 @@
 use rstest::rstest;
 
 use crate::clock::shim;
-use crate::stand_in::*;
+use crate::harness::*;
 
-const QUICK: Duration = Duration::from_millis(5);
+const SHORT_RUN: Duration = Duration::from_millis(5);
 /// Callers that ask at the same time, and how often each does.
 const CALLERS: usize = 4;
 const ROUNDS: usize = 12;
@@ -47,8 +47,8 @@
     for round in 0..ROUNDS {
         let key = format!("{caller}-{round}");
         let mut stream = connect(program.http);
-        for ask in [Ask::keyed(&key, b"keyed"), Ask::new("queue-status", b"read")] {
-            stream.write_all(&Ask { patience_ms: 3000, ..ask }.http()).unwrap();
+        for request in [Request::keyed(&key, b"keyed"), Request::new("queue-status", b"read")] {
+            stream.write_all(&Request { timeout_ms: 3000, ..request }.http()).unwrap();
             let answer = read_answer(&mut stream);
             statuses.push(answer.status);
             if answer.head.contains("Connection: close") {
@@ -66,7 +66,7 @@
 #[case::in_parts(&[(Dial::Short, 600)])]
 #[case::all(&[(Dial::Accept, 200), (Dial::Connect, 80), (Dial::Interrupt, 100), (Dial::Short, 400)])]
 fn all_that_was_read_is_answered_while_system_calls_fail(#[case] dials: &[(Dial, i64)]) {
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
     turn(&program, dials);
     let statuses = ask_around(&program);
@@ -81,55 +81,59 @@
     let mut late = 0;
     while let Ok(mut stream) = TcpStream::connect(program.http) {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.write_all(&Ask { patience_ms: 50, ..Ask::new("queue-status", b"late") }.http()).unwrap();
+        stream
+            .write_all(&Request { timeout_ms: 50, ..Request::new("queue-status", b"late") }.http())
+            .unwrap();
         assert!([200, 500, 503].contains(&read_answer(&mut stream).status));
         late += 1;
     }
     assert!(late > 0);
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn a_backlog_is_taken_in_as_the_listener_closes_though_looks_at_it_are_interrupted() {
     // Guards against an interrupted look that passes for an empty backlog, which the close then resets.
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
     // Nobody is taken in until the listeners close, and then each second look is interrupted.
     turn(&program, &[(Dial::Accept, ALWAYS)]);
     let mut waiting: Vec<_> = (0..WAITING).map(|_| connect(program.http)).collect();
     for stream in &mut waiting {
-        stream.write_all(&Ask { patience_ms: 3000, ..Ask::new("queue-status", b"waits") }.http()).unwrap();
+        stream
+            .write_all(&Request { timeout_ms: 3000, ..Request::new("queue-status", b"waits") }.http())
+            .unwrap();
     }
     program.signal("TERM");
     program.wait_for_log("takes no new connections");
     turn(&program, &[(Dial::Interrupt, ALWAYS / 2), (Dial::Accept, 0)]);
     let statuses: Vec<_> = waiting.iter_mut().map(|stream| read_answer(stream).status).collect();
     assert!(statuses.iter().all(|status| [200, 500, 503].contains(status)), "{statuses:?}");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn a_listener_closes_though_all_in_its_backlog_are_gone_before_they_are_accepted() {
     // Guards against an accept that waits for another connection while the listener is to close.
-    let agent = Agent::start(2, QUICK, true);
+    let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
     turn(&program, &[(Dial::Abort, ALWAYS)]);
     // The only ones that connect are those by which the program wakes its own listeners.
     program.signal("TERM");
     program.wait_for_log("takes no new connections");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
 
 #[test]
 fn a_new_version_takes_over_while_system_calls_fail() {
     // Guards against a new process that does not find the one that runs, and ends as its address is in use.
-    let agent = Agent::start(2, QUICK, false);
+    let agent = Agent::start(2, SHORT_RUN, false);
     let old = start(&agent);
-    assert_eq!(exchange(old.http, &Ask::keyed("k", b"x").http()).body, b"made:x");
+    assert_eq!(exchange(old.http, &Request::keyed("k", b"x").http()).body, b"made:x");
     turn(&old, &[(Dial::Connect, 500), (Dial::Interrupt, 200), (Dial::Short, 300), (Dial::Accept, 200)]);
     let new = old.successor(&agent, &agent.moved());
     assert!(new.log().contains("takes over from the process that runs"), "{}", new.log());
-    assert_eq!(exchange(new.http, &Ask::keyed("k", b"x").http()).body, b"made:x");
+    assert_eq!(exchange(new.http, &Request::keyed("k", b"x").http()).body, b"made:x");
     assert_eq!(agent.launches().len(), 1, "the key came along");
     assert_eq!((old.counter("violations"), new.counter("violations")), (0, 0));
 }
@@ -138,14 +142,14 @@
 fn connections_that_break_at_any_call_leave_nothing_behind() {
     // Guards against a broken connection that shows as a time that ran out, and is read again without end.
     // Without calls: a run of this stand-in waits ten seconds for a reply that got lost, and holds a core meanwhile.
-    let agent = Agent::start(2, QUICK, false);
+    let agent = Agent::start(2, SHORT_RUN, false);
     let mut program = start(&agent);
     turn(&program, &[(Dial::Break, 60)]);
     let mut answered = 0;
     for round in 0..80 {
         let mut stream = connect(program.http);
-        let ask = Ask { patience_ms: 300, ..Ask::keyed(&format!("k{round}"), b"x") };
-        if stream.write_all(&ask.http()).is_ok() {
+        let request = Request { timeout_ms: 300, ..Request::keyed(&format!("k{round}"), b"x") };
+        if stream.write_all(&request.http()).is_ok() {
             let mut first = [0; 12];
             answered += usize::from(std::io::Read::read_exact(&mut stream, &mut first).is_ok());
         }
@@ -153,11 +157,11 @@
     assert_eq!(answered, 80, "callers' own connections do not break");
     turn(&program, &[(Dial::Break, 0)]);
     wait_for("a link that lasts", || {
-        exchange(program.http, &Ask::new("queue-status", b"a").http()).status == 200
+        exchange(program.http, &Request::new("queue-status", b"a").http()).status == 200
     });
     let launched: Vec<_> = agent.launches().into_iter().map(|(handle, ..)| handle).collect();
     assert_eq!(launched.iter().collect::<HashSet<_>>().len(), launched.len());
     assert_eq!(program.counter("violations"), 0);
     program.signal("TERM");
-    assert!(program.end().success());
+    assert!(program.wait_for_exit().success());
 }
--- a/tests/program/upgrade.rs
+++ b/tests/program/upgrade.rs
@@ -6,16 +6,16 @@
 fn a_new_process_takes_over_with_all_keys_and_nothing_is_lost_or_run_twice() {
     // Guards against a second process that cannot start, shares the address by chance, or runs a key again.
     let (old_agent, new_agent) =
-        (Agent::start(2, Duration::from_millis(400), true), Agent::start(2, QUICK, true));
+        (Agent::start(2, Duration::from_millis(400), true), Agent::start(2, SHORT_RUN, true));
     let mut old = Program::start(with_agent(&old_agent));
-    assert_eq!(exchange(old.http, &Ask::keyed("done", b"d").http()).body, b"made:dreply:d");
+    assert_eq!(exchange(old.http, &Request::keyed("done", b"d").http()).body, b"made:dreply:d");
     let (mut open, mut kept) = (connect(old.http), connect(old.http));
-    open.write_all(&Ask::keyed("open", b"o").http()).unwrap();
+    open.write_all(&Request::keyed("open", b"o").http()).unwrap();
     wait_for("the launch", || old_agent.launches().len() == 2);
     let new = old.successor(&old_agent, &new_agent);
 
     // What still comes to the old process is passed on, and its connections end in good order.
-    kept.write_all(&Ask::new("queue-prefs", b"k").http()).unwrap();
+    kept.write_all(&Request::new("queue-prefs", b"k").http()).unwrap();
     let answer = read_answer(&mut kept);
     assert_eq!((answer.status, answer.body), (200, b"made:kreply:k".to_vec()));
     assert!(answer.head.contains("Connection: close"), "{}", answer.head);
@@ -24,54 +24,54 @@
 
     // Tries of keys that the old process ran, or still runs, get its results from the new one.
     let mut again = connect(new.http);
-    again.write_all(&Ask::keyed("open", b"o").http()).unwrap();
-    assert_eq!(exchange(new.http, &Ask::keyed("done", b"d").http()).body, b"made:dreply:d");
-    assert_eq!(exchange(new.http, &Ask::keyed("done", b"other").http()).status, 400);
+    again.write_all(&Request::keyed("open", b"o").http()).unwrap();
+    assert_eq!(exchange(new.http, &Request::keyed("done", b"d").http()).body, b"made:dreply:d");
+    assert_eq!(exchange(new.http, &Request::keyed("done", b"other").http()).status, 400);
     assert_eq!(read_answer(&mut open).body, b"made:oreply:o");
     assert_eq!(read_answer(&mut again).body, b"made:oreply:o");
-    assert_eq!(exchange(new.scgi, &Ask::keyed("new", b"n").scgi()).body, b"made:nreply:n");
-    assert!(old.end().success());
+    assert_eq!(exchange(new.scgi, &Request::keyed("new", b"n").scgi()).body, b"made:nreply:n");
+    assert!(old.wait_for_exit().success());
     let launched: Vec<_> = new_agent.launches().into_iter().map(|(_, _, arg)| arg).collect();
     assert_eq!((old_agent.launches().len(), launched), (2, vec![b"k".to_vec(), b"n".to_vec()]));
 }
 
 #[test]
 fn the_old_process_serves_on_if_the_new_one_goes_away() {
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
-    drop(old.successor(&agent, &Agent::start(1, QUICK, false)));
+    drop(old.successor(&agent, &Agent::start(1, SHORT_RUN, false)));
     wait_for("the old process", || {
         let mut stream = connect(old.http);
-        let _ = stream.write_all(&Ask::new("queue-status", b"a").http());
+        let _ = stream.write_all(&Request::new("queue-status", b"a").http());
         let mut status = [0; 12];
         stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
     });
-    assert_eq!(exchange(old.http, &Ask::new("queue-status", b"b").http()).body, b"made:b");
-    let keyed = exchange(old.http, &Ask::keyed("k", b"x").http());
+    assert_eq!(exchange(old.http, &Request::new("queue-status", b"b").http()).body, b"made:b");
+    let keyed = exchange(old.http, &Request::keyed("k", b"x").http());
     assert_eq!(keyed.status, 503, "the new process may have run this key");
 }
 
 #[test]
 fn a_handover_socket_that_nobody_listens_on_is_replaced() {
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let mut first = Program::start(with_agent(&agent));
     first.signal("KILL");
-    first.end();
+    first.wait_for_exit();
     let second = first.successor(&agent, &agent.moved());
     assert!(!second.log().contains("takes over"), "{}", second.log());
-    assert_eq!(exchange(second.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
+    assert_eq!(exchange(second.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
 }
 
 #[test]
 fn two_processes_stay_within_the_descriptors_of_one() {
     // Guards against an old process with a full table beside a new one that fills its own.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(Setup { sockets: Some(24), ..with_agent(&agent) });
     let mut open: Vec<_> = (0..12).map(|_| connect(old.http)).collect();
     // With half a request they are not closed as idle meanwhile.
     open.iter_mut().for_each(|s| s.write_all(b"POST /do/").unwrap());
     std::thread::sleep(Duration::from_millis(150)); // Until then a request may be on the way.
-    let new = old.successor(&agent, &Agent::start(1, QUICK, false));
+    let new = old.successor(&agent, &Agent::start(1, SHORT_RUN, false));
     for oldest in &mut open[..6] {
         assert_eq!(
             read_answer(oldest).status,
@@ -80,19 +80,19 @@
         );
         assert!(is_closed(oldest));
     }
-    let rest = Ask::new("queue-status", b"6").http();
+    let rest = Request::new("queue-status", b"6").http();
     open[11].write_all(&rest[9..]).unwrap();
     assert_eq!(read_answer(&mut open[11]).body, b"made:6", "the others are read on");
-    assert_eq!(exchange(new.http, &Ask::new("queue-status", b"n").http()).body, b"made:n");
+    assert_eq!(exchange(new.http, &Request::new("queue-status", b"n").http()).body, b"made:n");
 }
 
 #[test]
 fn a_server_that_operators_drained_stays_so_with_a_new_version() {
     // Guards against a drained server that takes callers because it was upgraded.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
-    assert_eq!(old.call("POST", "/drain"), 200);
-    let new = old.successor(&agent, &Agent::start(1, QUICK, false));
+    assert_eq!(old.admin_status("POST", "/drain"), 200);
+    let new = old.successor(&agent, &Agent::start(1, SHORT_RUN, false));
     drop(old);
     for status in [503, 200] {
         wait_for("the new process alone", || {
@@ -100,16 +100,16 @@
             let (_, mut bytes) = (stream.write_all(b"GET /check HTTP/1.1\r\n\r\n"), [0; 12]);
             stream.read_exact(&mut bytes).is_ok() && bytes.ends_with(status.to_string().as_bytes())
         });
-        assert_eq!(new.call("POST", "/undrain"), 200);
+        assert_eq!(new.admin_status("POST", "/undrain"), 200);
     }
 }
 
 #[test]
 fn a_link_that_breaks_with_both_alive_leaves_one_that_decides() {
     // Guards against two processes that both run keys: after a break each one took the other for dead.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
-    assert_eq!(exchange(old.http, &Ask::keyed("a", b"x").http()).status, 200);
+    assert_eq!(exchange(old.http, &Request::keyed("a", b"x").http()).status, 200);
     // This test is the new process: it has the keys, and then hangs up and lives on.
     let mut link = std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).unwrap();
     link.write_all(b"begin\n").unwrap();
@@ -121,8 +121,9 @@
     }
     drop(link);
     old.wait_for_log("it lives on");
-    for ask in [Ask::keyed("a", b"x"), Ask::keyed("b", b"x"), Ask::new("queue-status", b"x")] {
-        assert_eq!(exchange(old.http, &ask.http()).status, 503);
+    for request in [Request::keyed("a", b"x"), Request::keyed("b", b"x"), Request::new("queue-status", b"x")]
+    {
+        assert_eq!(exchange(old.http, &request.http()).status, 503);
     }
     assert_eq!(agent.launches().len(), 1, "nothing begins here any more");
 }
@@ -131,11 +132,11 @@
 fn keys_are_not_handed_over_while_some_are_missing_that_a_gone_process_ran() {
     // Guards against a key that a new process ran before it went away, and the one after it runs again.
     const WINDOW: (&str, &str) = (r#""memory_span_us": 13356000"#, r#""memory_span_us": 3000000"#);
-    let (agent, second_agent) = (Agent::start(1, QUICK, false), Agent::start(1, QUICK, false));
+    let (agent, second_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let site = vec![WINDOW, (r#""memory_span_us": 5000000"#, r#""memory_span_us": 3000000"#)];
     let old = Program::start(Setup { site, ..with_agent(&agent) });
     let second = old.successor(&agent, &second_agent);
-    assert_eq!(exchange(second.http, &Ask::keyed("k", b"x").http()).status, 200);
+    assert_eq!(exchange(second.http, &Request::keyed("k", b"x").http()).status, 200);
     let since = std::time::Instant::now();
     drop(second);
 
@@ -147,15 +148,15 @@
     });
     let mut link = link.unwrap();
     link.write_all(b"begin\n").unwrap();
-    let said = |what: &str| old.log().matches(what).count();
-    wait_for("a word on the third process", || said("a new process") == 2);
-    assert_eq!(said("hands over to a new process"), 1, "{}", old.log());
+    let log_count = |what: &str| old.log().matches(what).count();
+    wait_for("a word on the third process", || log_count("a new process") == 2);
+    assert_eq!(log_count("hands over to a new process"), 1, "{}", old.log());
     assert_eq!(
-        exchange(old.http, &Ask::keyed("k", b"x").http()).status,
+        exchange(old.http, &Request::keyed("k", b"x").http()).status,
         503,
         "the old one decides until then"
     );
-    assert_eq!(exchange(old.http, &Ask::new("queue-status", b"a").http()).status, 200);
+    assert_eq!(exchange(old.http, &Request::new("queue-status", b"a").http()).status, 200);
     let (mut told, mut chunk) = (String::new(), [0; 1024]);
     while !told.contains("complete") {
         let len = link.read(&mut chunk).unwrap();
@@ -169,16 +170,16 @@
 fn the_end_of_a_run_reaches_a_third_process_by_way_of_the_second() {
     // Guards against a key that stays taken in the newest of three processes, though the oldest told what came of it.
     let slow = Agent::start(1, Duration::from_millis(2000), false);
-    let (second_agent, third_agent) = (Agent::start(1, QUICK, false), Agent::start(1, QUICK, false));
+    let (second_agent, third_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let oldest = Program::start(with_agent(&slow));
-    let ask = Ask { patience_ms: 4_500, ..Ask::keyed("k", b"x") };
+    let request = Request { timeout_ms: 4_500, ..Request::keyed("k", b"x") };
     let mut open = connect(oldest.http);
-    open.write_all(&ask.http()).unwrap();
+    open.write_all(&request.http()).unwrap();
     wait_for("the launch", || slow.launches().len() == 1);
     let second = oldest.successor(&slow, &second_agent);
     let third = second.successor(&second_agent, &third_agent);
     let mut again = connect(third.http);
-    again.write_all(&ask.http()).unwrap();
+    again.write_all(&request.http()).unwrap();
     let answers = [&mut open, &mut again].map(read_answer).map(|answer| (answer.status, answer.body));
     assert_eq!(answers, [(200, b"made:x".to_vec()), (200, b"made:x".to_vec())]);
     let launches = [&slow, &second_agent, &third_agent].map(|agent| agent.launches().len());
@@ -188,36 +189,36 @@
 #[test]
 fn the_second_of_three_processes_ends_once_it_has_handed_over_as_the_first_did() {
     // Guards against an old process that is never done, as what the one before it left at the address keeps connections away.
-    let agents = [1, 2, 3].map(|_| Agent::start(1, QUICK, false));
+    let agents = [1, 2, 3].map(|_| Agent::start(1, SHORT_RUN, false));
     let mut first = Program::start(with_agent(&agents[0]));
     let mut second = first.successor(&agents[0], &agents[1]);
     first.signal("TERM");
-    assert!(first.end().success());
+    assert!(first.wait_for_exit().success());
     let third = second.successor(&agents[1], &agents[2]);
     second.signal("TERM");
     second.wait_for_log("leaves to the process that took over");
-    assert!(second.end().success());
-    assert_eq!(exchange(third.http, &Ask::new("queue-status", b"a").http()).body, b"made:a");
+    assert!(second.wait_for_exit().success());
+    assert_eq!(exchange(third.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
 }
 
 #[test]
 fn a_client_of_the_handover_socket_that_says_nothing_changes_nothing() {
     // Guards against keys that are refused for their whole window after anybody touched the socket.
-    let agent = Agent::start(1, QUICK, false);
+    let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
     drop(std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).unwrap());
     old.wait_for_log("it lives on");
-    assert_eq!(exchange(old.http, &Ask::keyed("b", b"x").http()).status, 200);
+    assert_eq!(exchange(old.http, &Request::keyed("b", b"x").http()).status, 200);
 }
 
 /// A request that the old process has passed on to a new one, which hangs.
-fn passed_on_to_a_process_that_hangs(patience_ms: u64) -> (Program, Program, std::net::TcpStream) {
-    let (old_agent, new_agent) = (Agent::start(1, QUICK, false), Agent::start(1, QUICK, false));
+fn passed_on_to_a_process_that_hangs(timeout_ms: u64) -> (Program, Program, std::net::TcpStream) {
+    let (old_agent, new_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let old = Program::start(with_agent(&old_agent));
     let mut kept = connect(old.http);
-    kept.write_all(&Ask::new("queue-status", b"a").http()).unwrap();
+    kept.write_all(&Request::new("queue-status", b"a").http()).unwrap();
     assert_eq!(read_answer(&mut kept).status, 200);
-    let bytes = Ask { patience_ms, ..Ask::new("queue-status", b"b") }.http();
+    let bytes = Request { timeout_ms, ..Request::new("queue-status", b"b") }.http();
     let (most, last) = bytes.split_at(bytes.len() - 1);
     kept.write_all(most).unwrap();
     let new = old.successor(&old_agent, &new_agent);
@@ -246,5 +247,5 @@
     let (mut old, _new, mut kept) = passed_on_to_a_process_that_hangs(60_000);
     old.signal("TERM");
     assert_eq!(read_answer(&mut kept).status, 500);
-    assert!(old.end().success());
+    assert!(old.wait_for_exit().success());
 }
