--- a/tests/program/main.rs
+++ b/tests/program/main.rs
@@ -1,4 +1,6 @@
-//! The real program, spoken to over sockets as its callers, its agent and its vault do.
+//! End-to-end tests: they start the program's binary and talk to it over real sockets, as its callers, its agent and
+//! its vault do. `harness` starts the program and sends requests; `scripted` has peers that a test controls step by
+//! step.
 
 mod admin;
 mod appliance;
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_request_goes_all_the_way_and_the_connection_stays_open() {
+fn a_request_reaches_agent_and_vault_and_the_connection_stays_open() {
     let agent = Agent::start(2, SHORT_RUN, true);
     let program = Program::start(with_agent(&agent));
     let mut stream = connect(program.http);
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn a_check_is_good_and_reports_reach_the_control_plane() {
+fn a_health_check_succeeds_and_lease_reports_reach_the_control_plane() {
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let check = exchange(program.http, b"GET /check?deep=1 HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -63,11 +65,11 @@
         let len = program.control.recv(&mut bytes).unwrap();
         assert_eq!(&bytes[..len], b"lease n7 Ready");
     }
-    assert!(since.elapsed() < Duration::from_secs(3), "an entry would lapse");
+    assert!(since.elapsed() < Duration::from_secs(3), "the lease would expire");
 }
 
 #[test]
-fn both_tries_of_a_key_get_the_result_of_one_run() {
+fn all_tries_of_a_key_get_the_result_of_one_run() {
     let agent = Agent::start(2, Duration::from_millis(50), false);
     let program = Program::start(with_agent(&agent));
     let mut first = connect(program.http);
@@ -87,7 +89,7 @@
 #[case(Request::new("lobby-confirm", b"").http(), 400)]
 #[case(Request::new("queue-status", &[0; 3000]).http(), 413)]
 #[case(vec![b'x'; 20_000], 431)]
-fn bad_input_is_answered_and_closed_and_harms_nothing(#[case] bytes: Vec<u8>, #[case] status: u16) {
+fn malformed_input_is_rejected_and_affects_no_later_request(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let mut stream = connect(program.http);
@@ -100,8 +102,8 @@
 }
 
 #[test]
-fn a_broken_link_is_taken_up_from_the_last_notice_read() {
-    // Guards against a lost request: the outcome of a run falls into the time without a link.
+fn a_new_agent_link_resumes_after_the_last_notice_read() {
+    // Guards against a lost request: its run ends while there is no link.
     let agent = Agent::start(1, Duration::from_millis(300), false);
     let program = Program::start(with_agent(&agent));
     assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).status, 200);
@@ -115,8 +117,8 @@
 }
 
 #[test]
-fn a_line_of_brackets_from_the_agent_costs_a_link_and_no_more() {
-    // Guards against a line that is nested so deep that reading it overruns the stack of the link's coroutine.
+fn a_deeply_nested_line_from_the_agent_closes_only_its_link() {
+    // Guards against a line that is nested so deeply that parsing it overflows the stack of the link's coroutine.
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).status, 200);
@@ -127,12 +129,16 @@
 }
 
 #[rstest]
-#[case::breaks(true, "call_broken")]
-#[case::is_not_there(false, "call_refused")]
-fn a_call_that_is_lost_fails_its_request_and_frees_no_key(#[case] breaks: bool, #[case] counted: &str) {
-    // Guards against a second run or call: a connection that breaks during a call proves nothing.
+#[case::connection_breaks(true, "call_broken")]
+#[case::connection_refused(false, "call_refused")]
+fn a_lost_call_fails_its_request_and_does_not_free_its_key(
+    #[case] connection_breaks: bool,
+    #[case] counter_name: &str,
+) {
+    // Guards against a second run or call: a connection that breaks during a call does not prove that the call
+    // never ran.
     let agent = Agent::start(1, SHORT_RUN, true);
-    let vault = if breaks { broken_vault() } else { gone() };
+    let vault = if connection_breaks { broken_vault() } else { gone() };
     let program = Program::start(Setup { vault: Some(vault), ..with_agent(&agent) });
     for _ in 0..2 {
         let answer =
@@ -140,12 +146,15 @@
         assert_eq!(answer.status, 500);
     }
     assert_eq!(agent.launches().len(), 1);
-    let lost = program.counter(counted);
-    assert!(if breaks { lost == 1 } else { lost > 1 }, "{lost} calls: only what never ran is made again");
+    let lost = program.counter(counter_name);
+    assert!(
+        if connection_breaks { lost == 1 } else { lost > 1 },
+        "{lost} calls: only a call that never ran may be made again"
+    );
 }
 
 #[test]
-fn a_request_that_no_run_ends_is_answered_by_its_due_time() {
+fn a_request_whose_run_does_not_end_is_answered_by_its_deadline() {
     let agent = Agent::start(1, Duration::from_secs(60), false);
     let program = Program::start(with_agent(&agent));
     let since = Instant::now();
@@ -156,7 +165,7 @@
 }
 
 #[test]
-fn a_drain_answers_what_was_read_refuses_the_rest_and_ends_well() {
+fn a_drain_answers_what_was_read_then_closes_the_listener_and_exits_with_success() {
     let agent = Agent::start(1, Duration::from_millis(600), false);
     let mut program = Program::start(with_agent(&agent));
     let mut early = connect(program.http);
@@ -167,7 +176,7 @@
     assert_eq!(read_answer(&mut early).body, b"made:e");
     let mut open = connect(program.http);
     open.write_all(&Request::new("queue-status", b"o").http()).unwrap();
-    assert_eq!(read_answer(&mut open).status, 200, "within the grace requests are run");
+    assert_eq!(read_answer(&mut open).status, 200, "requests that arrive within the grace period are run");
     assert!(program.wait_for_exit().success());
     assert!(std::net::TcpStream::connect(program.http).is_err());
     program.wait_for_log("counters at exit: taken_in=2");
@@ -190,10 +199,10 @@
     r#""cold_from": 20"#,
     "settings.rules.cold_from: is over 1\n  help: give a part from 0 to 1, such as 0.3 for 30 per cent"
 )]
-fn a_bad_configuration_ends_the_program_and_names_the_key(
+fn an_invalid_configuration_ends_the_program_and_names_the_key(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let site = include_str!("../../src/lab/site.json").replace(from, to);
     let config = format!(r#"{{"name":"n","listen":"127.0.0.1:0","agent":"127.0.0.1:1","settings":{site}}}"#);
@@ -201,7 +210,7 @@
     let output = child.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(message.trim_end(), format!("hopwalk: {says}"));
+    assert_eq!(message.trim_end(), format!("hopwalk: {expected}"));
 }
 
 fn address_change(from: SocketAddr, to: SocketAddr) -> (String, String) {
@@ -209,8 +218,9 @@
 }
 
 #[test]
-fn on_a_hangup_the_links_move_and_runs_keys_and_notices_carry_on() {
-    // Guards against a hangup that ends the process, and a move that loses or repeats a launch.
+fn a_reload_moves_the_links_and_keeps_runs_keys_and_notices() {
+    // Guards against a SIGHUP that ends the process, and a change of the agent's address that loses or repeats a
+    // launch.
     let agent = Agent::start(2, Duration::from_millis(150), true);
     let program = Program::start(with_agent(&agent));
     assert_eq!(exchange(program.http, &Request::keyed("old", b"o").http()).status, 200);
@@ -219,23 +229,28 @@
     wait_for("the launch", || agent.launches().len() == 2);
     let (new, control) = (agent.moved(), UdpSocket::bind("127.0.0.1:0").unwrap());
     control.set_read_timeout(Some(PATIENCE)).unwrap();
-    let was = program.control.local_addr().unwrap();
+    let old_control = program.control.local_addr().unwrap();
     program.reload(&[
         address_change(agent.address, new.address),
-        address_change(was, control.local_addr().unwrap()),
+        address_change(old_control, control.local_addr().unwrap()),
     ]);
     assert_eq!(read_answer(&mut stream).body, b"made:xreply:x");
     program.wait_for_log(&format!("linked to the agent at {}", new.address));
     assert_eq!(exchange(program.http, &Request::keyed("old", b"o").http()).body, b"made:oreply:o");
     assert_eq!((agent.launches().len(), program.counter("links_lost")), (2, 0));
     assert_eq!(agent.subscribed()[0], 0);
-    assert!(agent.subscribed()[1] >= 2, "the notices carry on: {:?}", agent.subscribed());
+    assert!(
+        agent.subscribed()[1] >= 2,
+        "the subscription continues after the last notice: {:?}",
+        agent.subscribed()
+    );
     assert!(control.recv(&mut [0; 64]).is_ok());
 }
 
 #[test]
-fn a_new_address_where_nobody_listens_yet_is_tried_again() {
-    // Guards against a link that stays at the old address because the new one came up a moment later.
+fn a_new_agent_address_where_nobody_listens_yet_is_retried() {
+    // Guards against a link that stays at the old address because the agent starts to listen at the new one a moment
+    // later.
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let new = gone();
@@ -249,8 +264,8 @@
 }
 
 #[test]
-fn calls_at_once_are_bounded_by_the_descriptors_kept_for_them() {
-    // Guards against a connection a call eating up the descriptors of a small server.
+fn concurrent_calls_are_limited_by_the_descriptors_reserved_for_them() {
+    // Guards against calls that use up the descriptors of a small server, as each has a connection of its own.
     let agent = Agent::start(2, SHORT_RUN, true);
     let vault = Some(spoiling_vault());
     let program = Program::start(Setup { sockets: Some(6), vault, ..with_agent(&agent) });
@@ -258,7 +273,7 @@
     first.write_all(&Request::keyed("good", b"good").http()).unwrap();
     wait_for("the call", || program.counter("calls_made") == 1);
     let second = Request { timeout_ms: 800, ..Request::keyed("bad", b"bad") };
-    assert_eq!(exchange(program.http, &second.http()).status, 500, "there is room for one call");
+    assert_eq!(exchange(program.http, &second.http()).status, 500, "there are descriptors for one call only");
     assert!(program.counter("call_refused") > 0);
     assert_eq!(program.counter("call_malformed"), 0, "the second call was never made");
     assert_eq!(read_answer(&mut first).status, 500);
@@ -275,23 +290,24 @@
     r#""promise_us": "soon""#,
     "settings.profiles[0].promise_us: is no number"
 )]
-fn a_bad_file_at_a_hangup_is_told_and_changes_nothing(
+fn an_invalid_file_at_a_reload_is_logged_and_changes_nothing(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
-    // Guards against half of a spoilt file being taken up: classes renamed, links moved to nowhere.
+    // Guards against an invalid file that is partly applied: classes renamed, links moved to an address where nobody
+    // listens.
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(with_agent(&agent));
     let renamed = ("queue-status".to_string(), "queue-status-x".to_string());
     program.reload(&[(from.to_string(), to.to_string()), renamed, address_change(agent.address, gone())]);
-    program.wait_for_log(&format!("the configuration stays as it was: {says}"));
+    program.wait_for_log(&format!("the configuration stays as it was: {expected}"));
     assert_eq!(exchange(program.http, &Request::new("queue-status", b"ok").http()).body, b"made:ok");
 }
 
 #[test]
-fn a_spoilt_reply_ends_no_other_call_and_replies_of_others_are_passed_over() {
-    // Guards against a reply that ends every call with it: each had the connection to share.
+fn a_malformed_reply_ends_no_other_call_and_replies_to_other_calls_are_ignored() {
+    // Guards against a malformed reply that ends other calls as well because they share its connection.
     let agent = Agent::start(2, SHORT_RUN, true);
     let program = Program::start(Setup { vault: Some(spoiling_vault()), ..with_agent(&agent) });
     let mut good = connect(program.http);
@@ -307,30 +323,33 @@
 }
 
 #[test]
-fn clients_that_say_nothing_make_room_for_those_that_ask() {
-    // Guards against a table full of silent connections that keeps the gateways out.
+fn silent_connections_are_evicted_for_connections_with_requests() {
+    // Guards against a connection table full of silent connections that keeps the gateways out.
     let agent = Agent::start(1, SHORT_RUN, false);
     let program = Program::start(Setup { sockets: Some(6), ..with_agent(&agent) });
     let mut silent: Vec<_> = (0..3).map(|_| connect(program.http)).collect();
     let since = Instant::now();
-    wait_for("a place", || {
+    wait_for("a free slot", || {
         let mut stream = connect(program.http);
         let _ = stream.write_all(&Request::new("queue-status", b"b").http());
         stream.read(&mut [0]).is_ok_and(|n| n == 1)
     });
-    assert!(is_closed(&mut silent[0]), "who was silent for longest makes room");
-    assert!(since.elapsed() < Duration::from_secs(2), "before it would be closed in any case");
+    assert!(is_closed(&mut silent[0]), "the connection that was silent for longest is closed to make room");
+    assert!(
+        since.elapsed() < Duration::from_secs(2),
+        "evicted before it would be closed as idle in any case"
+    );
 }
 
 #[test]
-fn at_a_hangup_classes_come_and_go_and_open_requests_keep_theirs() {
+fn a_reload_can_add_a_class_and_open_requests_keep_theirs() {
     let agent = Agent::start(1, Duration::from_millis(200), false);
     let program = Program::start(with_agent(&agent));
     let mut open = connect(program.http);
     open.write_all(&Request::keyed("k", b"o").http()).unwrap();
     wait_for("the launch", || agent.launches().len() == 1);
     assert_eq!(exchange(program.http, &Request::new("lobby-confirm-next", b"").http()).status, 404);
-    // The new class takes the first place in the file.
+    // The new class is inserted before existing classes, whose indices change.
     let prefs = r#"{"name": "queue-prefs","#;
     let next = r#"{"name": "lobby-confirm-next", "give_up_us": 4500000, "promise_us": 1800000, "memory_span_us": 13356000, "repeat": "deduplicated", "worth": 10.0}, "#;
     program.reload(&[(prefs.to_string(), next.to_string() + prefs)]);
@@ -344,7 +363,7 @@
 }
 
 #[test]
-fn a_second_program_does_not_share_the_address() {
+fn a_second_process_cannot_listen_at_the_same_address() {
     let agent = Agent::start(1, SHORT_RUN, false);
     let first = Program::start(with_agent(&agent));
     let (site, listen) = (include_str!("../../src/lab/site.json"), first.http);
@@ -352,6 +371,6 @@
     let (child, _dir) = spawn_program(&config, "{}");
     let second = child.wait_with_output().unwrap();
     assert_eq!(second.status.code(), Some(2));
-    let said = String::from_utf8(second.stderr).unwrap();
-    assert!(said.contains(&format!("hopwalk: listen: {listen}: ")), "{said}");
+    let stderr = String::from_utf8(second.stderr).unwrap();
+    assert!(stderr.contains(&format!("hopwalk: listen: {listen}: ")), "{stderr}");
 }
