--- a/tests/program/upgrade.rs
+++ b/tests/program/upgrade.rs
@@ -1,10 +1,10 @@
-//! A new version takes over from the program that serves.
+//! Upgrades: a new process of the same matcher takes over from the running one.
 
 use super::*;
 
 #[test]
-fn a_new_process_takes_over_with_all_keys_and_nothing_is_lost_or_run_twice() {
-    // Guards against a second process that cannot start, shares the address by chance, or runs a key again.
+fn a_successor_takes_over_all_keys_and_nothing_is_lost_or_run_twice() {
+    // Guards against a successor that cannot start, shares the address without a handover, or runs a key again.
     let (old_agent, new_agent) =
         (Agent::start(2, Duration::from_millis(400), true), Agent::start(2, SHORT_RUN, true));
     let mut old = Program::start(with_agent(&old_agent));
@@ -14,7 +14,7 @@
     wait_for("the launch", || old_agent.launches().len() == 2);
     let new = old.successor(&old_agent, &new_agent);
 
-    // What still comes to the old process is passed on, and its connections end in good order.
+    // The predecessor forwards requests that still reach it, and closes their connections in good order.
     kept.write_all(&Request::new("queue-prefs", b"k").http()).unwrap();
     let answer = read_answer(&mut kept);
     assert_eq!((answer.status, answer.body), (200, b"made:kreply:k".to_vec()));
@@ -22,7 +22,7 @@
     old.signal("TERM");
     old.wait_for_log("leaves to the process that took over");
 
-    // Tries of keys that the old process ran, or still runs, get its results from the new one.
+    // Tries of keys that the predecessor has run, or still runs, get its results from the successor.
     let mut again = connect(new.http);
     again.write_all(&Request::keyed("open", b"o").http()).unwrap();
     assert_eq!(exchange(new.http, &Request::keyed("done", b"d").http()).body, b"made:dreply:d");
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn the_old_process_serves_on_if_the_new_one_goes_away() {
+fn the_predecessor_serves_again_if_its_successor_exits() {
     let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
     drop(old.successor(&agent, &Agent::start(1, SHORT_RUN, false)));
-    wait_for("the old process", || {
+    wait_for("an answer from the predecessor", || {
         let mut stream = connect(old.http);
         let _ = stream.write_all(&Request::new("queue-status", b"a").http());
         let mut status = [0; 12];
@@ -48,11 +48,11 @@
     });
     assert_eq!(exchange(old.http, &Request::new("queue-status", b"b").http()).body, b"made:b");
     let keyed = exchange(old.http, &Request::keyed("k", b"x").http());
-    assert_eq!(keyed.status, 503, "the new process may have run this key");
+    assert_eq!(keyed.status, 503, "the successor may have run this key");
 }
 
 #[test]
-fn a_handover_socket_that_nobody_listens_on_is_replaced() {
+fn a_handover_socket_without_a_listener_is_replaced() {
     let agent = Agent::start(1, SHORT_RUN, false);
     let mut first = Program::start(with_agent(&agent));
     first.signal("KILL");
@@ -63,39 +63,39 @@
 }
 
 #[test]
-fn two_processes_stay_within_the_descriptors_of_one() {
-    // Guards against an old process with a full table beside a new one that fills its own.
+fn two_processes_stay_within_the_descriptor_limit_of_one() {
+    // Guards against a predecessor with a full connection table beside a successor that fills its own.
     let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(Setup { sockets: Some(24), ..with_agent(&agent) });
     let mut open: Vec<_> = (0..12).map(|_| connect(old.http)).collect();
-    // With half a request they are not closed as idle meanwhile.
+    // A connection that holds part of a request is not closed as idle.
     open.iter_mut().for_each(|s| s.write_all(b"POST /do/").unwrap());
-    std::thread::sleep(Duration::from_millis(150)); // Until then a request may be on the way.
+    std::thread::sleep(Duration::from_millis(150)); // Younger ones are not evicted: a request may be on the way.
     let new = old.successor(&agent, &Agent::start(1, SHORT_RUN, false));
     for oldest in &mut open[..6] {
         assert_eq!(
             read_answer(oldest).status,
             408,
-            "it makes room: the rest of its request did not come in time"
+            "it is evicted: the rest of its request did not arrive in time"
         );
         assert!(is_closed(oldest));
     }
     let rest = Request::new("queue-status", b"6").http();
     open[11].write_all(&rest[9..]).unwrap();
-    assert_eq!(read_answer(&mut open[11]).body, b"made:6", "the others are read on");
+    assert_eq!(read_answer(&mut open[11]).body, b"made:6", "the other connections are still read");
     assert_eq!(exchange(new.http, &Request::new("queue-status", b"n").http()).body, b"made:n");
 }
 
 #[test]
-fn a_server_that_operators_drained_stays_so_with_a_new_version() {
-    // Guards against a drained server that takes callers because it was upgraded.
+fn a_server_drained_by_operators_stays_drained_after_an_upgrade() {
+    // Guards against a drained server that accepts callers again because it was upgraded.
     let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
     assert_eq!(old.admin_status("POST", "/drain"), 200);
     let new = old.successor(&agent, &Agent::start(1, SHORT_RUN, false));
     drop(old);
     for status in [503, 200] {
-        wait_for("the new process alone", || {
+        wait_for("the successor's health check", || {
             let mut stream = connect(new.http);
             let (_, mut bytes) = (stream.write_all(b"GET /check HTTP/1.1\r\n\r\n"), [0; 12]);
             stream.read_exact(&mut bytes).is_ok() && bytes.ends_with(status.to_string().as_bytes())
@@ -105,19 +105,19 @@
 }
 
 #[test]
-fn a_link_that_breaks_with_both_alive_leaves_one_that_decides() {
-    // Guards against two processes that both run keys: after a break each one took the other for dead.
+fn a_handover_link_that_breaks_with_both_processes_alive_leaves_one_that_decides() {
+    // Guards against two processes that both run keys: after their link broke, each took the other for dead.
     let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
     assert_eq!(exchange(old.http, &Request::keyed("a", b"x").http()).status, 200);
-    // This test is the new process: it has the keys, and then hangs up and lives on.
+    // This test acts as the successor: it receives the keys, then closes the link and stays alive.
     let mut link = std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).unwrap();
     link.write_all(b"begin\n").unwrap();
-    let (mut told, mut chunk) = (String::new(), [0; 1024]);
-    while !told.contains("complete") {
+    let (mut received, mut chunk) = (String::new(), [0; 1024]);
+    while !received.contains("complete") {
         let len = link.read(&mut chunk).unwrap();
-        assert!(len > 0, "{told}");
-        told += std::str::from_utf8(&chunk[..len]).unwrap();
+        assert!(len > 0, "{received}");
+        received += std::str::from_utf8(&chunk[..len]).unwrap();
     }
     drop(link);
     old.wait_for_log("it lives on");
@@ -125,12 +125,12 @@
     {
         assert_eq!(exchange(old.http, &request.http()).status, 503);
     }
-    assert_eq!(agent.launches().len(), 1, "nothing begins here any more");
+    assert_eq!(agent.launches().len(), 1, "the predecessor starts no further run");
 }
 
 #[test]
-fn keys_are_not_handed_over_while_some_are_missing_that_a_gone_process_ran() {
-    // Guards against a key that a new process ran before it went away, and the one after it runs again.
+fn keys_are_not_handed_over_while_keys_that_an_exited_successor_ran_are_missing() {
+    // Guards against a key that one successor ran before it exited and that the next successor runs again.
     const WINDOW: (&str, &str) = (r#""memory_span_us": 13356000"#, r#""memory_span_us": 3000000"#);
     let (agent, second_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let site = vec![WINDOW, (r#""memory_span_us": 5000000"#, r#""memory_span_us": 3000000"#)];
@@ -140,7 +140,7 @@
     let since = std::time::Instant::now();
     drop(second);
 
-    // This test is the third process.
+    // This test acts as the third process.
     let mut link = None;
     wait_for("the handover socket", || {
         link = std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).ok();
@@ -149,26 +149,27 @@
     let mut link = link.unwrap();
     link.write_all(b"begin\n").unwrap();
     let log_count = |what: &str| old.log().matches(what).count();
-    wait_for("a word on the third process", || log_count("a new process") == 2);
+    wait_for("the log line about the third process", || log_count("a new process") == 2);
     assert_eq!(log_count("hands over to a new process"), 1, "{}", old.log());
     assert_eq!(
         exchange(old.http, &Request::keyed("k", b"x").http()).status,
         503,
-        "the old one decides until then"
+        "the predecessor decides until then"
     );
     assert_eq!(exchange(old.http, &Request::new("queue-status", b"a").http()).status, 200);
-    let (mut told, mut chunk) = (String::new(), [0; 1024]);
-    while !told.contains("complete") {
+    let (mut received, mut chunk) = (String::new(), [0; 1024]);
+    while !received.contains("complete") {
         let len = link.read(&mut chunk).unwrap();
-        assert!(len > 0, "{told}");
-        told += std::str::from_utf8(&chunk[..len]).unwrap();
+        assert!(len > 0, "{received}");
+        received += std::str::from_utf8(&chunk[..len]).unwrap();
     }
     assert!(since.elapsed() > Duration::from_secs(3), "{:?}", since.elapsed());
 }
 
 #[test]
-fn the_end_of_a_run_reaches_a_third_process_by_way_of_the_second() {
-    // Guards against a key that stays taken in the newest of three processes, though the oldest told what came of it.
+fn the_outcome_of_a_run_reaches_a_third_process_through_the_second() {
+    // Guards against a key that stays in use in the newest of three processes although the oldest has reported its
+    // outcome.
     let slow = Agent::start(1, Duration::from_millis(2000), false);
     let (second_agent, third_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let oldest = Program::start(with_agent(&slow));
@@ -187,8 +188,9 @@
 }
 
 #[test]
-fn the_second_of_three_processes_ends_once_it_has_handed_over_as_the_first_did() {
-    // Guards against an old process that is never done, as what the one before it left at the address keeps connections away.
+fn the_second_of_three_processes_exits_after_its_handover_as_the_first_did() {
+    // Guards against a predecessor that never exits: the system kept sending connections at its address to the
+    // successor, as the first process had requested, also the one by which the second process wakes its own listener.
     let agents = [1, 2, 3].map(|_| Agent::start(1, SHORT_RUN, false));
     let mut first = Program::start(with_agent(&agents[0]));
     let mut second = first.successor(&agents[0], &agents[1]);
@@ -202,8 +204,8 @@
 }
 
 #[test]
-fn a_client_of_the_handover_socket_that_says_nothing_changes_nothing() {
-    // Guards against keys that are refused for their whole window after anybody touched the socket.
+fn a_silent_client_of_the_handover_socket_changes_nothing() {
+    // Guards against keys that are refused for their whole window after any process connected to the socket.
     let agent = Agent::start(1, SHORT_RUN, false);
     let old = Program::start(with_agent(&agent));
     drop(std::os::unix::net::UnixStream::connect(old.dir.path("hopwalk-n7.sock")).unwrap());
@@ -211,16 +213,16 @@
     assert_eq!(exchange(old.http, &Request::keyed("b", b"x").http()).status, 200);
 }
 
-/// A request that the old process has passed on to a new one, which hangs.
-fn passed_on_to_a_process_that_hangs(timeout_ms: u64) -> (Program, Program, std::net::TcpStream) {
+/// Has a predecessor forward a request to its successor, which hangs; returns both and the caller's connection.
+fn forward_to_a_hung_successor(timeout_ms: u64) -> (Program, Program, std::net::TcpStream) {
     let (old_agent, new_agent) = (Agent::start(1, SHORT_RUN, false), Agent::start(1, SHORT_RUN, false));
     let old = Program::start(with_agent(&old_agent));
     let mut kept = connect(old.http);
     kept.write_all(&Request::new("queue-status", b"a").http()).unwrap();
     assert_eq!(read_answer(&mut kept).status, 200);
     let bytes = Request { timeout_ms, ..Request::new("queue-status", b"b") }.http();
-    let (most, last) = bytes.split_at(bytes.len() - 1);
-    kept.write_all(most).unwrap();
+    let (head, last) = bytes.split_at(bytes.len() - 1);
+    kept.write_all(head).unwrap();
     let new = old.successor(&old_agent, &new_agent);
     new.signal("STOP");
     kept.write_all(last).unwrap();
@@ -229,22 +231,22 @@
 }
 
 #[test]
-fn what_was_passed_on_to_a_process_that_hangs_is_answered_when_due() {
-    let (_old, _new, mut kept) = passed_on_to_a_process_that_hangs(5_000);
+fn a_request_forwarded_to_a_hung_successor_is_answered_by_its_deadline() {
+    let (_old, _new, mut kept) = forward_to_a_hung_successor(5_000);
     assert_eq!(read_answer(&mut kept).status, 500);
 }
 
 #[test]
-fn what_was_passed_on_to_a_process_that_dies_is_answered_at_once() {
-    let (_old, new, mut kept) = passed_on_to_a_process_that_hangs(60_000);
+fn a_request_forwarded_to_a_successor_that_dies_is_answered_at_once() {
+    let (_old, new, mut kept) = forward_to_a_hung_successor(60_000);
     drop(new);
     assert_eq!(read_answer(&mut kept).status, 500);
 }
 
 #[test]
-fn what_was_passed_on_to_a_process_that_hangs_is_answered_before_the_old_one_is_stopped() {
-    // Guards against a request that waits for the other process until the kill: it is due only later.
-    let (mut old, _new, mut kept) = passed_on_to_a_process_that_hangs(60_000);
+fn a_request_forwarded_to_a_hung_successor_is_answered_before_the_predecessor_is_stopped() {
+    // Guards against a request that waits for the successor until the kill, as its deadline is later.
+    let (mut old, _new, mut kept) = forward_to_a_hung_successor(60_000);
     old.signal("TERM");
     assert_eq!(read_answer(&mut kept).status, 500);
     assert!(old.wait_for_exit().success());
