--- a/tests/program/closing.rs
+++ b/tests/program/closing.rs
@@ -1,4 +1,5 @@
-//! How connections of callers end: nobody whose request was accepted by the system is left without an answer.
+//! How connections of callers end: no caller whose request the operating system has accepted is left without an
+//! answer.
 
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
@@ -8,18 +9,19 @@
 
 use crate::harness::*;
 
-/// A run that no test waits for.
-const ENDLESS: Duration = Duration::from_secs(60);
-/// When a process that was told to leave is killed, as the tests' configuration has it.
-const STOP: Duration = Duration::from_millis(3200);
+/// The duration of a run that no test waits for.
+const ENDLESS_RUN: Duration = Duration::from_secs(60);
+/// Time from the stop signal to the kill, as in the tests' configuration.
+const STOP_TIME: Duration = Duration::from_millis(3200);
 const CHECK: &[u8] = b"GET /check HTTP/1.1\r\n\r\n";
 
-/// A program whose table has room for three connections, and none to spare.
-fn with_three_places(agent: &Agent) -> Program {
+/// Starts a program whose connection table has exactly three slots.
+fn start_with_three_slots(agent: &Agent) -> Program {
     Program::start(Setup { agent: Some(agent.address), sockets: Some(6), ..Setup::default() })
 }
 
-/// The other side has answered what was written last with a reset: on this machine that comes before the next look.
+/// Returns true if the peer has answered the last write with a reset: over the loopback interface it has arrived by
+/// now.
 fn was_reset(stream: &TcpStream) -> bool {
     stream.take_error().unwrap().is_some()
 }
@@ -28,9 +30,9 @@
     Program::start(Setup { agent: Some(agent.address), ..Setup::default() })
 }
 
-/// A program with one request that runs and takes longer than any drain, and its caller.
-fn with_an_endless_run() -> (Program, TcpStream) {
-    let agent = Agent::start(1, ENDLESS, false);
+/// Starts a program with one request whose run outlasts any drain; returns the program and the caller's connection.
+fn start_with_endless_run() -> (Program, TcpStream) {
+    let agent = Agent::start(1, ENDLESS_RUN, false);
     let program = start_program(&agent);
     let caller = send(&program, &Request { timeout_ms: 10_000, ..Request::new("queue-status", b"open") });
     wait_for("the launch", || agent.launches().len() == 1);
@@ -44,9 +46,9 @@
 }
 
 #[test]
-fn whoever_connects_during_a_drain_is_answered_or_refused() {
-    // Guards against connections that wait in the backlog of a listener from which nobody accepts any more.
-    let (mut program, mut open) = with_an_endless_run();
+fn clients_that_connect_during_a_drain_are_answered_or_refused() {
+    // Guards against connections that wait in the backlog of a listener from which the program no longer accepts.
+    let (mut program, mut open) = start_with_endless_run();
     program.signal("TERM");
     let mut answered = 0;
     let refused = loop {
@@ -64,13 +66,13 @@
     };
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
     assert!(answered > 0);
-    assert_eq!(read_answer(&mut open).status, 500, "the process had not left yet");
+    assert_eq!(read_answer(&mut open).status, 500, "the process had not exited yet");
     assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn a_request_that_is_half_there_as_the_listener_closes_is_still_answered_whole() {
-    let agent = Agent::start(1, ENDLESS, false);
+fn a_partly_read_request_is_still_answered_after_the_listener_closed() {
+    let agent = Agent::start(1, ENDLESS_RUN, false);
     let mut program = start_program(&agent);
     let request = Request::new("queue-status", b"two pieces").http();
     let (first, second) = request.split_at(request.len() / 2);
@@ -85,30 +87,30 @@
     assert!(answer.status == 503 && answer.head.contains("Connection: close"), "{answer:?}");
     assert!(is_closed(&mut stream));
     assert!(program.wait_for_exit().success());
-    assert!(agent.launches().is_empty(), "what came after the grace is not run");
+    assert!(agent.launches().is_empty(), "a request that is completed after the grace period is not run");
 }
 
 #[test]
-fn past_its_limit_a_connection_waits_for_a_place_and_takes_nobody_elses() {
-    // Guards against a connection that is closed unread though its request was accepted by the system.
+fn a_connection_over_the_limit_waits_for_a_free_slot() {
+    // Guards against a connection that is closed unread although the system has accepted its request.
     let agent = Agent::start(3, Duration::from_millis(700), false);
-    let program = with_three_places(&agent);
+    let program = start_with_three_slots(&agent);
     let request = |body| Request { timeout_ms: 4000, ..Request::new("queue-status", body) };
-    let mut taken: Vec<_> = (0..3).map(|_| send(&program, &request(b"in"))).collect();
+    let mut accepted: Vec<_> = (0..3).map(|_| send(&program, &request(b"in"))).collect();
     wait_for("the requests", || agent.launches().len() == 3);
     let mut fourth = send(&program, &request(b"fourth"));
-    assert_eq!(program.counter("taken_in"), 3, "there is no room for a fourth yet");
-    for stream in &mut taken {
+    assert_eq!(program.counter("taken_in"), 3, "there is no slot for a fourth yet");
+    for stream in &mut accepted {
         assert_eq!(read_answer(stream).body, b"made:in");
     }
     assert_eq!(read_answer(&mut fourth).body, b"made:fourth");
 }
 
 #[test]
-fn a_request_that_is_there_as_its_connection_is_to_make_room_is_answered() {
-    // Guards against a request that is read from a connection that was closed to make room, and dropped.
-    let agent = Agent::start(2, ENDLESS, false);
-    let program = with_three_places(&agent);
+fn a_request_that_arrives_as_its_connection_is_evicted_is_answered() {
+    // Guards against a request that is read from a connection under eviction, and then dropped.
+    let agent = Agent::start(2, ENDLESS_RUN, false);
+    let program = start_with_three_slots(&agent);
     let request = |body| Request { timeout_ms: 3000, ..Request::new("queue-status", body) };
     let mut idle = connect(program.http);
     idle.write_all(CHECK).unwrap();
@@ -116,14 +118,15 @@
     let answered = Instant::now();
     let mut busy: Vec<_> = (0..2).map(|_| send(&program, &request(b"busy"))).collect();
     wait_for("the requests", || agent.launches().len() == 2);
-    wait_for("the time of an idle connection", || answered.elapsed() > EVICT_AFTER * 2);
-    // The process finds the new connection first, for which the idle one is to go, and then its request.
+    wait_for("the time for eviction", || answered.elapsed() > EVICT_AFTER * 2);
+    // The process first finds the new connection, for which it evicts the idle one, and then the request on the idle
+    // one.
     program.pause();
     let mut new = send(&program, &request(b"new"));
     idle.write_all(&request(b"idle").http()).unwrap();
     program.resume();
     let answer = read_answer(&mut idle);
-    assert!(answer.head.contains("Connection: close"), "it has made room: {answer:?}");
+    assert!(answer.head.contains("Connection: close"), "its connection is evicted: {answer:?}");
     assert!([500, 503].contains(&answer.status));
     for stream in busy.iter_mut().chain([&mut new]) {
         assert!([500, 503].contains(&read_answer(stream).status));
@@ -131,9 +134,9 @@
 }
 
 #[test]
-fn what_is_turned_down_in_the_middle_is_read_to_its_end_before_the_close() {
-    // Guards against a close over unread bytes, which resets the connection and may overtake the answer.
-    let agent = Agent::start(1, ENDLESS, false);
+fn a_request_rejected_before_its_end_is_read_to_its_end_before_the_close() {
+    // Guards against a close with unread bytes: it resets the connection, and the reset may overtake the answer.
+    let agent = Agent::start(1, ENDLESS_RUN, false);
     let program = start_program(&agent);
     let mut stream = connect(program.http);
     stream.write_all(&Request::new("queue-status", &[0; 400_000]).http()).unwrap();
@@ -145,15 +148,15 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_without_a_reset_of_what_crosses_the_close() {
-    let agent = Agent::start(1, ENDLESS, false);
+fn a_request_that_crosses_the_close_of_an_idle_connection_causes_no_reset() {
+    let agent = Agent::start(1, ENDLESS_RUN, false);
     let mut program = start_program(&agent);
     let mut idle = connect(program.http);
     idle.write_all(CHECK).unwrap();
     assert_eq!(read_answer(&mut idle).status, 200);
     program.signal("TERM");
     assert!(is_closed(&mut idle));
-    // It crosses the close: it is not run.
+    // This request crosses the close and is not run.
     idle.write_all(&Request::new("queue-status", b"late").http()).unwrap();
     assert!(!was_reset(&idle));
     drop(idle);
@@ -162,19 +165,20 @@
 }
 
 #[test]
-fn callers_that_keep_their_side_open_do_not_hold_up_the_end_past_the_stop() {
-    // Guards against answers given just before the stop, each waiting for a caller to close as long as there is left.
-    let (mut program, mut open) = with_an_endless_run();
+fn callers_that_keep_their_side_open_do_not_delay_the_exit_past_the_stop() {
+    // Guards against a program that answers just before the stop and then waits for each caller to close its side for
+    // all the time that is left.
+    let (mut program, mut open) = start_with_endless_run();
     let signalled = Instant::now();
     program.signal("TERM");
     assert_eq!(read_answer(&mut open).status, 500);
     assert!(program.wait_for_exit().success());
-    assert!(signalled.elapsed() < STOP, "{:?}", signalled.elapsed());
+    assert!(signalled.elapsed() < STOP_TIME, "{:?}", signalled.elapsed());
 }
 
-/// Three callers that take all places for so long as `busy_ms`, until their requests fall due; one more that has been
-/// accepted, and two in the backlog behind it.
-fn more_callers_than_places(
+/// Connects three callers that take all slots until their requests fall due after `busy_ms`, and then three more, of
+/// which one is accepted and two stay in the backlog behind it.
+fn connect_more_callers_than_slots(
     program: &Program,
     agent: &Agent,
     busy_ms: u64,
@@ -189,14 +193,14 @@
 }
 
 #[test]
-fn what_waits_in_the_backlog_as_the_listener_closes_is_answered() {
-    // Guards against a listener that is closed over connections that the system has accepted.
-    let agent = Agent::start(3, ENDLESS, false);
-    let mut program = with_three_places(&agent);
+fn requests_in_the_backlog_are_answered_when_the_listener_closes() {
+    // Guards against closing a listener while its backlog holds connections that the system has accepted.
+    let agent = Agent::start(3, ENDLESS_RUN, false);
+    let mut program = start_with_three_slots(&agent);
     program.signal("TERM");
     program.wait_for_log("leaving");
-    // Longer than the grace, within which room would be found for all of them.
-    let (busy, waiting) = more_callers_than_places(&program, &agent, 2500);
+    // Longer than the grace period, within which all of them would get a slot.
+    let (busy, waiting) = connect_more_callers_than_slots(&program, &agent, 2500);
     program.wait_for_log("takes no new connections");
     for mut stream in busy.into_iter().chain(waiting) {
         assert!([500, 503].contains(&read_answer(&mut stream).status));
@@ -205,15 +209,19 @@
 }
 
 #[test]
-fn what_waits_in_the_backlog_of_an_old_process_in_an_upgrade_is_answered_by_the_new_one() {
-    let old_agent = Agent::start(3, ENDLESS, false);
+fn requests_in_the_backlog_of_a_predecessor_are_answered_by_its_successor() {
+    let old_agent = Agent::start(3, ENDLESS_RUN, false);
     let new_agent = Agent::start(3, Duration::from_millis(5), false);
-    let mut old = with_three_places(&old_agent);
-    let (busy, waiting) = more_callers_than_places(&old, &old_agent, 1500);
+    let mut old = start_with_three_slots(&old_agent);
+    let (busy, waiting) = connect_more_callers_than_slots(&old, &old_agent, 1500);
     let new = old.successor(&old_agent, &new_agent);
     old.signal("TERM");
     for mut stream in busy {
-        assert_eq!(read_answer(&mut stream).status, 500, "its run ends in the old process, which has none");
+        assert_eq!(
+            read_answer(&mut stream).status,
+            500,
+            "it waits for a run of the predecessor, which does not end"
+        );
     }
     for mut stream in waiting {
         assert_eq!(read_answer(&mut stream).body, b"made:waiting");
@@ -223,7 +231,7 @@
 }
 
 #[test]
-fn a_caller_that_does_not_read_holds_up_no_end_and_finds_its_answer_later() {
+fn a_caller_that_reads_late_does_not_delay_the_exit_and_still_gets_its_answer() {
     let agent = Agent::start(1, Duration::from_millis(5), false);
     let mut program = start_program(&agent);
     let mut slow = send(&program, &Request::new("queue-status", &[7; 2048]));
@@ -235,7 +243,7 @@
 }
 
 #[test]
-fn clients_that_fill_the_descriptors_keep_out_no_request_no_call_and_no_operator() {
+fn clients_that_use_up_the_descriptors_block_no_request_no_call_and_no_admin_client() {
     let agent = Agent::start(2, Duration::from_millis(5), true);
     let sockets = 64;
     let setup = Setup {
--- a/tests/program/signals.rs
+++ b/tests/program/signals.rs
@@ -1,4 +1,4 @@
-//! Signals at the wrong moment: during the start, twice, around a reload, and against a short time to stop.
+//! Signals at an unfavourable moment: during the start, twice, around a reload, and with a short time to stop.
 
 use std::fs::File;
 use std::io::Write;
@@ -14,8 +14,8 @@
 
 const SITE: &str = include_str!("../../src/lab/site.json");
 
-/// Makes a pipe that whoever opens it waits at, in place of a file.
-fn pipe_at(path: &Path) {
+/// Replaces a file by a FIFO, so that a process that opens it waits for the other end.
+fn replace_by_fifo(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
@@ -26,15 +26,15 @@
 }
 
 #[rstest]
-#[case::to_leave(&["TERM"])]
-#[case::to_read_again_and_to_leave(&["HUP", "TERM"])]
-#[case::to_count_and_to_leave(&["USR1", "INT"])]
-fn a_signal_before_the_configuration_is_read_does_not_kill(#[case] signals: &[&str]) {
-    // Guards against signals being taken only once the program listens: a notice to leave in its first
-    // milliseconds would be a crash.
+#[case::stop(&["TERM"])]
+#[case::reload_and_stop(&["HUP", "TERM"])]
+#[case::log_counters_and_stop(&["USR1", "INT"])]
+fn a_signal_before_the_configuration_is_read_does_not_kill_the_process(#[case] signals: &[&str]) {
+    // Guards against signals that are handled only once the program listens: a stop signal in its first milliseconds
+    // would be a crash.
     let dir = ScratchDir::new();
     let path = dir.path("config.json");
-    pipe_at(&path);
+    replace_by_fifo(&path);
     let mut child = Command::new(env!("CARGO_BIN_EXE_hopwalk"))
         .env("TMPDIR", dir.path(""))
         .env("RELAY_CONFIG", &path)
@@ -42,7 +42,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // Opened for writing: the program has opened it for reading, and waits.
+    // Opened for writing: by now the program has opened it for reading, and waits for its content.
     let mut config = File::options().write(true).open(&path).unwrap();
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","agent":"{}","stop_ms":1000,"settings":{SITE}}}"#,
@@ -63,24 +63,24 @@
 }
 
 #[test]
-fn a_configuration_that_takes_long_to_read_holds_up_no_drain() {
-    // Guards against a notice to leave that waits behind a reload.
+fn a_configuration_that_takes_long_to_read_delays_no_drain() {
+    // Guards against a stop signal that waits for the end of a reload.
     let agent = Agent::start(1, Duration::from_millis(5), false);
     let mut program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let path = program.dir.path("config.json");
-    pipe_at(&path);
+    replace_by_fifo(&path);
     program.signal("HUP");
-    let held = File::options().write(true).open(&path).unwrap();
+    let writer = File::options().write(true).open(&path).unwrap();
     program.signal("TERM");
     program.wait_for_log("leaving");
     assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
     assert!(program.wait_for_exit().success());
-    drop(held);
+    drop(writer);
 }
 
 #[test]
-fn a_drain_before_the_agent_greets_answers_what_was_read() {
-    // Guards against a process that cannot leave, or leaves without a word, because its agent never came up.
+fn a_drain_before_the_agents_greeting_answers_what_was_read() {
+    // Guards against a process that cannot exit, or exits without answering, because its agent never came up.
     let agent = Listener::start();
     let mut program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let mut link = agent.accept();
@@ -106,10 +106,10 @@
 
 #[rstest]
 #[case::shorter_than_closing_takes(700)]
-#[case::shorter_than_the_margin_of_the_module(150)]
+#[case::shorter_than_the_margin_of_the_decision_module(150)]
 #[case::a_little_longer_than_closing_takes(1200)]
 fn a_drain_answers_in_time_however_short_it_is(#[case] stop_ms: u64) {
-    // Guards against answers that come when the process has been killed already.
+    // Guards against answers that are due only after the process has been killed.
     let agent = Agent::start(1, Duration::from_secs(60), false);
     let setup = Setup { agent: Some(agent.address), stop_ms: Some(stop_ms), ..Setup::default() };
     let mut program = Program::start(setup);
@@ -134,38 +134,38 @@
 #[case::before(&["HUP", "TERM"])]
 #[case::after(&["TERM", "HUP"])]
 #[case::twice(&["TERM", "HUP", "TERM", "HUP"])]
-fn a_reload_beside_a_notice_to_leave_loses_no_run_and_no_call(#[case] signals: &[&str]) {
-    // Guards against links that move under a drain and take runs, calls or answers with them.
+fn a_reload_around_a_stop_signal_loses_no_run_and_no_call(#[case] signals: &[&str]) {
+    // Guards against links that move during a drain and lose runs, calls or answers.
     let (agent, vault) = (Agent::start(2, Duration::from_millis(5), true), Listener::start());
     let setup = Setup { agent: Some(agent.address), vault: Some(vault.address), ..Setup::default() };
     let mut program = Program::start(setup);
     let mut early = connect(program.http);
     early.write_all(&Request::keyed("k", b"early").http()).unwrap();
-    let mut call = vault.accept();
-    let (handle, _, body) = call.read_call();
+    let mut old_call = vault.accept();
+    let (handle, _, body) = old_call.read_call();
     assert_eq!(body, b"early");
-    let (to, below) = (agent.moved(), Listener::start());
-    let moves = [(agent.address, to.address), (vault.address, below.address)];
+    let (new_agent, new_vault) = (agent.moved(), Listener::start());
+    let moves = [(agent.address, new_agent.address), (vault.address, new_vault.address)];
     program.write_config(&moves.map(|(from, to)| (from.to_string(), to.to_string())));
     signals.iter().for_each(|name| program.signal(name));
     program.wait_for_log("leaving");
-    program.wait_for_log(&format!("linked to the agent at {}", to.address));
+    program.wait_for_log(&format!("linked to the agent at {}", new_agent.address));
     let mut late = connect(program.http);
     late.write_all(&Request::keyed("l", b"late").http()).unwrap();
-    let mut moved = below.accept();
-    let (other, _, body) = moved.read_call();
-    assert_eq!(body, b"late", "the call that was out is not made again at the new address");
-    call.reply(&handle, b"+old");
-    moved.reply(&other, b"+new");
+    let mut new_call = new_vault.accept();
+    let (other, _, body) = new_call.read_call();
+    assert_eq!(body, b"late", "the open call is not made again at the new address");
+    old_call.reply(&handle, b"+old");
+    new_call.reply(&other, b"+new");
     assert_eq!(read_answer(&mut early).body, b"made:early+old");
     assert_eq!(read_answer(&mut late).body, b"made:late+new");
-    assert!(below.has_no_new_connection() && vault.has_no_new_connection());
+    assert!(new_vault.has_no_new_connection() && vault.has_no_new_connection());
     assert_eq!((agent.launches().len(), program.counter("links_lost")), (2, 0));
     assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn a_reload_with_other_classes_during_a_drain_keeps_what_is_open() {
+fn a_reload_with_other_classes_during_a_drain_keeps_open_requests() {
     let agent = Agent::start(2, Duration::from_millis(300), false);
     let mut program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let mut open = connect(program.http);
@@ -178,11 +178,14 @@
     assert_eq!(
         exchange(program.http, &Request::new("lobby-confirm-next", b"").http()).status,
         400,
-        "it has no key"
+        "the request has no key"
     );
     assert_eq!(read_answer(&mut open).body, b"made:o");
     let again = exchange(program.http, &Request::keyed("k", b"o").http());
-    assert_eq!(again.body, b"made:o", "the dropped class is still served to who learns late");
+    assert_eq!(
+        again.body, b"made:o",
+        "the dropped class is still served to callers that have not learned of the change"
+    );
     assert_eq!(agent.launches().len(), 1);
     assert!(program.wait_for_exit().success());
 }
