--- a/tests/program/appliance.rs
+++ b/tests/program/appliance.rs
@@ -1,4 +1,4 @@
-//! The console and the certificates, in the real program.
+//! End-to-end tests of the console and of certificates ordered over ACME.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 use hopwalk::lab::shim::{Dial, Shim};
 use rstest::rstest;
 
-use super::authority::{Authority, Rules};
+use super::authority::{Authority, Behaviour};
 use super::clock::shim;
 use super::harness::*;
 
-const MONTHS: Duration = Duration::from_secs(90 * 24 * 3600);
+const LONG_LIFETIME: Duration = Duration::from_secs(90 * 24 * 3600);
 
-/// A program with a console and, where an authority is given, certificates.
+/// A program with a console and, if `acme` settings are given, certificates.
 struct Appliance {
     program: Program,
     socket: PathBuf,
@@ -30,11 +30,11 @@
 
 impl Appliance {
     fn start(acme: &str) -> Self {
-        Self::start_on(acme, None)
+        Self::start_with_shim(acme, None)
     }
 
-    /// On a system whose calls can be made to fail.
-    fn start_on(acme: &str, shim: Option<&'static Shim>) -> Self {
+    /// Starts the program with a shim that can make system calls fail.
+    fn start_with_shim(acme: &str, shim: Option<&'static Shim>) -> Self {
         let agent = Agent::start(2, Duration::from_millis(5), false);
         let dir = ScratchDir::new();
         let socket = dir.path("console.sock");
@@ -52,14 +52,14 @@
         client.unwrap()
     }
 
-    /// What the console says under a name.
+    /// The value that a console command prints under `name`.
     fn console_value(&self, command: &str, name: &str) -> String {
         let out = String::from_utf8(self.console(command).stdout).unwrap();
         let value = out.lines().find_map(|l| l.strip_prefix(&format!("{name}: ")));
         value.unwrap_or_default().to_string()
     }
 
-    fn serves(&self) -> bool {
+    fn serves_requests(&self) -> bool {
         exchange(self.program.http, &Request::new("queue-status", b"x").http()).body == b"made:x"
     }
 }
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn the_console_tells_and_drains() {
+fn the_console_shows_values_and_starts_a_drain() {
     let mut appliance = Appliance::start("");
-    assert!(appliance.serves());
+    assert!(appliance.serves_requests());
     assert_eq!(appliance.console_value("status", "healthy"), "yes");
     assert_eq!(appliance.console_value("counters", "served"), "1");
     assert_eq!(appliance.console_value("settings", "name"), "n7");
@@ -89,12 +89,12 @@
 }
 
 #[test]
-fn the_console_waits_while_the_system_gives_no_connections() {
-    // Guards against a loop that asks again at once and takes the server's one core.
-    let appliance = Appliance::start_on("", Some(shim()));
+fn the_console_waits_between_failed_accepts() {
+    // Guards against a loop that retries a failed accept at once and takes up the server's only core.
+    let appliance = Appliance::start_with_shim("", Some(shim()));
     let accepts_fail = |rate| appliance.program.faults().set(Dial::Accept, rate).unwrap();
     accepts_fail(1000);
-    // It wakes the console's thread, which may wait in an accept from before.
+    // This connection wakes the console's thread, which may still wait in an earlier accept.
     drop(UnixStream::connect(&appliance.socket).unwrap());
     let (since, before) = (Instant::now(), appliance.program.processor_ticks());
     wait_for("some time", || since.elapsed() >= Duration::from_millis(500));
@@ -108,7 +108,10 @@
 fn an_order_survives_a_bad_nonce_and_its_certificate_a_restart() {
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let authority = Authority::start(challenges, Rules { bad_nonces: 2, life: MONTHS, ..Rules::default() });
+    let authority = Authority::start(
+        challenges,
+        Behaviour { bad_nonces: 2, lifetime: LONG_LIFETIME, ..Behaviour::default() },
+    );
     let first = Appliance::start(&acme_settings(authority.address, challenges, &store));
     wait_for("a certificate", || first.console_value("certificate", "certificate") == "valid");
     assert_eq!(first.console_value("certificate", "names"), "lobby.example");
@@ -127,7 +130,8 @@
 fn a_request_is_served_under_tls_with_the_ordered_certificate() {
     let (challenges, dir, port) = (gone(), ScratchDir::new(), gone());
     let store = dir.path("acme");
-    let authority = Authority::start(challenges, Rules { life: MONTHS, ..Rules::default() });
+    let authority =
+        Authority::start(challenges, Behaviour { lifetime: LONG_LIFETIME, ..Behaviour::default() });
     let tls = format!(r#","tls":{{"listen":"{port}"}}"#);
     let appliance = Appliance::start(&(acme_settings(authority.address, challenges, &store) + &tls));
     wait_for("a certificate", || appliance.console_value("certificate", "certificate") == "valid");
@@ -147,49 +151,51 @@
 }
 
 #[test]
-fn a_failed_challenge_is_tried_again_later() {
+fn a_failed_challenge_is_retried_later() {
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let authority =
-        Authority::start(challenges, Rules { fail_challenges: true, life: MONTHS, ..Rules::default() });
+    let authority = Authority::start(
+        challenges,
+        Behaviour { fail_challenges: true, lifetime: LONG_LIFETIME, ..Behaviour::default() },
+    );
     let appliance = Appliance::start(&acme_settings(authority.address, challenges, &store));
     wait_for("a failure", || {
         appliance.console_value("certificate", "last_error").contains("unauthorized not found")
     });
-    assert!(appliance.serves() && !store.join("certificate.pem").exists());
-    authority.rules.lock().unwrap().fail_challenges = false;
+    assert!(appliance.serves_requests() && !store.join("certificate.pem").exists());
+    authority.behaviour.lock().unwrap().fail_challenges = false;
     wait_for("a certificate", || appliance.console_value("certificate", "certificate") == "valid");
     assert_eq!(appliance.console_value("certificate", "failures"), "0");
 }
 
 #[rstest]
-#[case::key(Rules { other_key: true, life: MONTHS, ..Rules::default() })]
-#[case::name(Rules { other_name: Some("bar.example"), life: MONTHS, ..Rules::default() })]
-fn a_certificate_of_another_order_is_not_taken(#[case] rules: Rules) {
-    // Guards against a certificate that no caller can use in place of one that works: it was of an earlier order.
+#[case::key(Behaviour { other_key: true, lifetime: LONG_LIFETIME, ..Behaviour::default() })]
+#[case::name(Behaviour { other_name: Some("bar.example"), lifetime: LONG_LIFETIME, ..Behaviour::default() })]
+fn a_certificate_of_another_order_is_rejected(#[case] behaviour: Behaviour) {
+    // Guards against a certificate of an earlier order, which no caller can use, in place of one that works.
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let authority = Authority::start(challenges, rules);
+    let authority = Authority::start(challenges, behaviour);
     let appliance = Appliance::start(&acme_settings(authority.address, challenges, &store));
     wait_for("the end of an order", || {
         ["orders", "failures"].iter().any(|what| appliance.console_value("certificate", what) != "0")
     });
     assert_eq!(appliance.console_value("certificate", "certificate"), "none");
     assert!(!store.join("certificate.pem").exists());
-    *authority.rules.lock().unwrap() = Rules { life: MONTHS, ..Rules::default() };
+    *authority.behaviour.lock().unwrap() = Behaviour { lifetime: LONG_LIFETIME, ..Behaviour::default() };
     wait_for("a certificate", || appliance.console_value("certificate", "certificate") == "valid");
 }
 
 #[test]
-fn of_two_processes_that_store_certificates_one_is_kept_whole() {
-    // Guards against a file that is half of one and half of another: two versions keep it at once in an upgrade.
+fn certificates_stored_by_two_processes_at_once_are_never_mixed() {
+    // Guards against a file that mixes two certificates: during an upgrade two processes store theirs at once.
     let (dir, writers) = (ScratchDir::new(), AtomicUsize::new(2));
     let folder = dir.path("acme");
     let pems = ["a".repeat(300_000), "b".repeat(200_000)];
     Store::open(&folder).unwrap().keep_certificate(&pems[0]).unwrap();
-    std::thread::scope(|threads| {
+    std::thread::scope(|scope| {
         for pem in &pems {
-            threads.spawn(|| {
+            scope.spawn(|| {
                 let store = Store::open(&folder).unwrap();
                 let stored: Result<Vec<()>, _> = (0..100).map(|_| store.keep_certificate(pem)).collect();
                 writers.fetch_sub(1, Ordering::Relaxed);
@@ -205,25 +211,26 @@
 
 #[test]
 fn a_certificate_that_cannot_be_stored_is_used_and_not_ordered_again() {
-    // Guards against orders up to the authority's limit while a disk is full, and no certificate in use.
+    // Guards against orders up to the authority's rate limit while a disk is full, with no certificate in use.
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let rules = Rules { fail_challenges: true, life: MONTHS, ..Rules::default() };
-    let authority = Authority::start(challenges, rules);
-    let appliance = Appliance::start_on(&acme_settings(authority.address, challenges, &store), Some(shim()));
-    // The account is made and stored.
+    let behaviour = Behaviour { fail_challenges: true, lifetime: LONG_LIFETIME, ..Behaviour::default() };
+    let authority = Authority::start(challenges, behaviour);
+    let appliance =
+        Appliance::start_with_shim(&acme_settings(authority.address, challenges, &store), Some(shim()));
+    // By then the account is created and stored.
     wait_for("a failure", || appliance.console_value("certificate", "failures") != "0");
     let disk_fails = |rate| appliance.program.faults().set(Dial::Disk, rate).unwrap();
     disk_fails(1000);
-    authority.rules.lock().unwrap().fail_challenges = false;
+    authority.behaviour.lock().unwrap().fail_challenges = false;
     wait_for("a certificate", || appliance.console_value("certificate", "certificate") == "valid");
     let orders = authority.orders();
-    wait_for("the storage's failure", || {
+    wait_for("the storage error", || {
         appliance.console_value("certificate", "last_error").starts_with("storage")
     });
     assert_eq!(authority.orders(), orders);
     disk_fails(0);
-    wait_for("the stored one", || store.join("certificate.pem").exists());
+    wait_for("the stored certificate", || store.join("certificate.pem").exists());
     assert_eq!(
         (authority.orders(), appliance.console_value("certificate", "orders").as_str()),
         (orders, "1")
@@ -233,23 +240,28 @@
 #[rstest]
 #[case::forward(Duration::from_secs(90 * 60), 3700)]
 #[case::back(Duration::from_secs(6), -3600)]
-fn a_certificate_is_renewed_in_time_though_the_clock_is_stepped(#[case] life: Duration, #[case] by_s: i64) {
-    // Guards against a certificate that expires while nobody looks: a wait by the clock before the step.
+fn a_certificate_is_renewed_in_time_though_the_clock_is_stepped(
+    #[case] lifetime: Duration,
+    #[case] by_s: i64,
+) {
+    // Guards against a certificate that expires unnoticed because the wait for its renewal was computed from the
+    // clock before the step.
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let authority = Authority::start(challenges, Rules { life, ..Rules::default() });
-    let appliance = Appliance::start_on(&acme_settings(authority.address, challenges, &store), Some(shim()));
+    let authority = Authority::start(challenges, Behaviour { lifetime, ..Behaviour::default() });
+    let appliance =
+        Appliance::start_with_shim(&acme_settings(authority.address, challenges, &store), Some(shim()));
     wait_for("a certificate", || appliance.console_value("certificate", "orders") == "1");
     appliance.program.faults().set(Dial::WallOffsetUs, by_s * 1_000_000).unwrap();
     wait_for("its renewal", || authority.orders() >= 2);
 }
 
 #[test]
-fn an_authority_that_is_down_disturbs_nothing() {
+fn an_unreachable_authority_does_not_affect_requests() {
     let dir = ScratchDir::new();
     let appliance = Appliance::start(&acme_settings(gone(), gone(), &dir.path("acme")));
     wait_for("failures", || appliance.console_value("certificate", "failures").parse::<u32>().unwrap() >= 3);
-    assert!(appliance.serves());
+    assert!(appliance.serves_requests());
     assert_eq!(appliance.console_value("status", "healthy"), "yes");
 }
 
@@ -257,8 +269,8 @@
 fn a_certificate_is_renewed_before_it_expires() {
     let (challenges, dir) = (gone(), ScratchDir::new());
     let store = dir.path("acme");
-    let life = Duration::from_secs(6);
-    let authority = Authority::start(challenges, Rules { life, ..Rules::default() });
+    let lifetime = Duration::from_secs(6);
+    let authority = Authority::start(challenges, Behaviour { lifetime, ..Behaviour::default() });
     let appliance = Appliance::start(&acme_settings(authority.address, challenges, &store));
     wait_for("a certificate", || appliance.console_value("certificate", "certificate") == "valid");
     wait_for("its renewal", || {
--- a/tests/program/authority.rs
+++ b/tests/program/authority.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an ACME authority, after RFC 8555: it checks nonces, addresses and signatures, looks for
-//! http-01 challenges, and signs what it is sent.
+//! A simulated ACME authority (RFC 8555): it checks nonces, URLs and signatures, fetches http-01 challenges, and
+//! issues the certificates that are requested.
 
 use std::collections::{HashMap, HashSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,21 +16,22 @@
 
 type Json = HashMap<String, JsonValue>;
 
+/// How the authority departs from the protocol, and the lifetime of its certificates.
 #[derive(Default)]
-pub struct Rules {
-    /// So many good nonces are called bad.
+pub struct Behaviour {
+    /// Number of valid nonces that are still to be rejected.
     pub bad_nonces: u32,
-    /// Challenges are failed whatever is found.
+    /// Challenges fail whatever response is fetched.
     pub fail_challenges: bool,
-    /// Certificates are of another key than was asked for: as of an earlier order.
+    /// Certificates are for another key than the requested one, as if they were of an earlier order.
     pub other_key: bool,
-    /// Certificates are of this name, whatever was asked for.
+    /// Certificates are for this name instead of the requested one.
     pub other_name: Option<&'static str>,
-    pub life: Duration,
+    pub lifetime: Duration,
 }
 
 #[derive(Default)]
-struct Known {
+struct State {
     nonces: HashSet<String>,
     next: u64,
     key: Option<Json>,
@@ -42,10 +43,10 @@
 
 pub struct Authority {
     pub address: SocketAddr,
-    pub rules: Arc<Mutex<Rules>>,
+    pub behaviour: Arc<Mutex<Behaviour>>,
     /// Its root certificate.
     pub root: Vec<u8>,
-    known: Arc<Mutex<Known>>,
+    state: Arc<Mutex<State>>,
 }
 
 struct Reply(u16, Vec<(&'static str, String)>, String);
@@ -64,8 +65,8 @@
 }
 
 impl Authority {
-    /// Looks for challenges at `challenges`, in place of port 80 of the name.
-    pub fn start(challenges: SocketAddr, rules: Rules) -> Self {
+    /// Fetches challenges from `challenges` instead of port 80 of the name.
+    pub fn start(challenges: SocketAddr, behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let key = rcgen::KeyPair::generate().unwrap();
@@ -74,36 +75,36 @@
         let root = params.self_signed(&key).unwrap();
         let authority = Self {
             address,
-            rules: Arc::new(Mutex::new(rules)),
+            behaviour: Arc::new(Mutex::new(behaviour)),
             root: root.der().to_vec(),
-            known: Arc::default(),
+            state: Arc::default(),
         };
-        let (rules, known) = (authority.rules.clone(), authority.known.clone());
+        let (behaviour, state) = (authority.behaviour.clone(), authority.state.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let issue = |csr: &[u8], rules: &Rules| issue(csr, rules, &root, &key);
-                serve(stream, address, challenges, &rules, &known, issue);
+                let issue = |csr: &[u8], behaviour: &Behaviour| issue(csr, behaviour, &root, &key);
+                serve(stream, address, challenges, &behaviour, &state, issue);
             }
         });
         authority
     }
 
     pub fn orders(&self) -> u64 {
-        self.known.lock().unwrap().orders
+        self.state.lock().unwrap().orders
     }
 }
 
-fn issue(csr: &[u8], rules: &Rules, root: &rcgen::Certificate, key: &rcgen::KeyPair) -> String {
+fn issue(csr: &[u8], behaviour: &Behaviour, root: &rcgen::Certificate, key: &rcgen::KeyPair) -> String {
     let mut csr = rcgen::CertificateSigningRequestParams::from_der(&csr.to_vec().into()).unwrap();
-    if let Some(name) = rules.other_name {
+    if let Some(name) = behaviour.other_name {
         csr.params.subject_alt_names = vec![rcgen::SanType::DnsName(name.try_into().unwrap())];
     }
     csr.params.not_before = SystemTime::now().into();
-    csr.params.not_after = (SystemTime::now() + rules.life).into();
+    csr.params.not_after = (SystemTime::now() + behaviour.lifetime).into();
     csr.signed_by(root, key).unwrap().pem() + &root.pem()
 }
 
-/// A request for a certificate, of a key that nobody has.
+/// A certificate signing request for a new key that is then discarded.
 fn csr_for_unknown_key(names: &[String]) -> Vec<u8> {
     let params = rcgen::CertificateParams::new(names.to_vec()).unwrap();
     let key = rcgen::KeyPair::generate().unwrap();
@@ -114,29 +115,29 @@
     stream: TcpStream,
     address: SocketAddr,
     challenges: SocketAddr,
-    rules: &Mutex<Rules>,
-    known: &Mutex<Known>,
-    issue: impl Fn(&[u8], &Rules) -> String,
+    behaviour: &Mutex<Behaviour>,
+    state: &Mutex<State>,
+    issue: impl Fn(&[u8], &Behaviour) -> String,
 ) {
-    let (mut reads, mut writes) = (BufReader::new(stream.try_clone().unwrap()), stream);
+    let (mut reader, mut writer) = (BufReader::new(stream.try_clone().unwrap()), stream);
     let (mut head, mut len) = (String::new(), 0);
     while !head.ends_with("\r\n\r\n") {
-        let had = head.len();
-        if reads.read_line(&mut head).unwrap_or(0) == 0 {
+        let line_start = head.len();
+        if reader.read_line(&mut head).unwrap_or(0) == 0 {
             return;
         }
-        if let Some(value) = head[had..].to_lowercase().strip_prefix("content-length:") {
+        if let Some(value) = head[line_start..].to_lowercase().strip_prefix("content-length:") {
             len = value.trim().parse().unwrap();
         }
     }
     let is_post = head.starts_with("POST ");
-    let jose = head.to_lowercase().matches("\r\ncontent-type: application/jose+json\r\n").count();
-    assert_eq!(jose, usize::from(is_post), "{head}");
+    let jose_headers = head.to_lowercase().matches("\r\ncontent-type: application/jose+json\r\n").count();
+    assert_eq!(jose_headers, usize::from(is_post), "{head}");
     let mut body = vec![0; len];
-    reads.read_exact(&mut body).unwrap();
+    reader.read_exact(&mut body).unwrap();
     let path = head.split(' ').nth(1).unwrap().to_string();
     let base = format!("http://{address}");
-    let (mut rules, mut known) = (rules.lock().unwrap(), known.lock().unwrap());
+    let (mut behaviour, mut state) = (behaviour.lock().unwrap(), state.lock().unwrap());
     let Reply(status, fields, response_body) = match path.as_str() {
         "/directory" => Reply(
             200,
@@ -146,31 +147,36 @@
             ),
         ),
         "/nonce" => Reply(200, vec![], String::new()),
-        _ => match verify_request(&body, &format!("{base}{path}"), &mut rules, &mut known) {
-            Ok(payload) => answer(&path, &base, &payload, challenges, &rules, &mut known, issue),
+        _ => match verify_request(&body, &format!("{base}{path}"), &mut behaviour, &mut state) {
+            Ok(payload) => answer(&path, &base, &payload, challenges, &behaviour, &mut state, issue),
             Err(reply) => reply,
         },
     };
-    known.next += 1;
-    let nonce = format!("nonce{}", known.next);
-    known.nonces.insert(nonce.clone());
+    state.next += 1;
+    let nonce = format!("nonce{}", state.next);
+    state.nonces.insert(nonce.clone());
     let fields: String = fields.into_iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
     let head = format!("HTTP/1.1 {status} X\r\nReplay-Nonce: {nonce}\r\nConnection: close\r\n{fields}");
-    let _ = writes.write_all(
+    let _ = writer.write_all(
         format!("{head}Content-Length: {}\r\n\r\n{response_body}", response_body.len()).as_bytes(),
     );
 }
 
-/// Checks a signed request and returns what it carries.
-fn verify_request(body: &[u8], url: &str, rules: &mut Rules, known: &mut Known) -> Result<Vec<u8>, Reply> {
+/// Verifies a signed request and returns its payload.
+fn verify_request(
+    body: &[u8],
+    url: &str,
+    behaviour: &mut Behaviour,
+    state: &mut State,
+) -> Result<Vec<u8>, Reply> {
     let jws = parse_object(body);
     let part = |key: &str| BASE64URL.decode(string_field(&jws, key)).unwrap();
     let head = parse_object(&part("protected"));
-    if !known.nonces.remove(&string_field(&head, "nonce")) {
+    if !state.nonces.remove(&string_field(&head, "nonce")) {
         return Err(problem("badNonce", "never given"));
     }
-    if rules.bad_nonces > 0 {
-        rules.bad_nonces -= 1;
+    if behaviour.bad_nonces > 0 {
+        behaviour.bad_nonces -= 1;
         return Err(problem("badNonce", "not this one"));
     }
     assert_eq!((string_field(&head, "alg").as_str(), string_field(&head, "url").as_str()), ("ES256", url));
@@ -178,7 +184,7 @@
         Some(key) => key.clone(),
         None => {
             assert!(string_field(&head, "kid").ends_with("/account/1"), "no known account");
-            known.key.clone().expect("an account")
+            state.key.clone().expect("an account")
         }
     };
     let coordinate = |name: &str| BASE64URL.decode(string_field(&key, name)).unwrap();
@@ -187,7 +193,7 @@
     let verified =
         UnparsedPublicKey::new(&ECDSA_P256_SHA256_FIXED, point).verify(signed.as_bytes(), &part("signature"));
     verified.map_err(|_| problem("malformed", "the signature is wrong"))?;
-    known.key = Some(key);
+    state.key = Some(key);
     Ok(part("payload"))
 }
 
@@ -196,12 +202,12 @@
     base: &str,
     payload: &[u8],
     challenges: SocketAddr,
-    rules: &Rules,
-    known: &mut Known,
-    issue: impl Fn(&[u8], &Rules) -> String,
+    behaviour: &Behaviour,
+    state: &mut State,
+    issue: impl Fn(&[u8], &Behaviour) -> String,
 ) -> Reply {
-    let order = |known: &Known| {
-        let status = match (&known.issued, known.authorized) {
+    let order = |state: &State| {
+        let status = match (&state.issued, state.authorized) {
             (Some(_), _) => "valid",
             (None, Some(true)) => "ready",
             (None, Some(false)) => "invalid",
@@ -218,14 +224,14 @@
         }
         "/new" => {
             let names = parse_object(payload)["identifiers"].get::<Vec<JsonValue>>().unwrap().clone();
-            known.names = names.iter().map(|n| string_field(n.get::<Json>().unwrap(), "value")).collect();
-            (known.authorized, known.issued) = (None, None);
-            known.orders += 1;
-            Reply(201, vec![("Location", format!("{base}/order"))], order(known))
+            state.names = names.iter().map(|n| string_field(n.get::<Json>().unwrap(), "value")).collect();
+            (state.authorized, state.issued) = (None, None);
+            state.orders += 1;
+            Reply(201, vec![("Location", format!("{base}/order"))], order(state))
         }
-        "/order" => Reply(200, vec![], order(known)),
+        "/order" => Reply(200, vec![], order(state)),
         "/authz" => {
-            let (status, error) = match known.authorized {
+            let (status, error) = match state.authorized {
                 None => ("pending", ""),
                 Some(true) => ("valid", ""),
                 Some(false) => (
@@ -238,24 +244,24 @@
             Reply(200, vec![], format!(r#"{{"status":"{status}","challenges":[{dns},{http}]}}"#))
         }
         "/challenge" => {
-            let key = known.key.as_ref().unwrap();
+            let key = state.key.as_ref().unwrap();
             let jwk = format!(
                 r#"{{"crv":"P-256","kty":"EC","x":"{}","y":"{}"}}"#,
                 string_field(key, "x"),
                 string_field(key, "y")
             );
-            let wanted = format!("tok-1.{}", BASE64URL.encode(digest(&SHA256, jwk.as_bytes())));
-            let found = fetch(challenges, &known.names[0], "/.well-known/acme-challenge/tok-1");
-            known.authorized = Some(found == wanted && !rules.fail_challenges);
+            let expected = format!("tok-1.{}", BASE64URL.encode(digest(&SHA256, jwk.as_bytes())));
+            let found = fetch(challenges, &state.names[0], "/.well-known/acme-challenge/tok-1");
+            state.authorized = Some(found == expected && !behaviour.fail_challenges);
             Reply(200, vec![], r#"{"status":"processing"}"#.to_string())
         }
         "/finalize" => {
-            let asked = BASE64URL.decode(string_field(&parse_object(payload), "csr")).unwrap();
-            let csr = if rules.other_key { csr_for_unknown_key(&known.names) } else { asked };
-            known.issued = Some(issue(&csr, rules));
-            Reply(200, vec![], order(known))
+            let requested = BASE64URL.decode(string_field(&parse_object(payload), "csr")).unwrap();
+            let csr = if behaviour.other_key { csr_for_unknown_key(&state.names) } else { requested };
+            state.issued = Some(issue(&csr, behaviour));
+            Reply(200, vec![], order(state))
         }
-        "/cert" => Reply(200, vec![], known.issued.clone().unwrap()),
+        "/cert" => Reply(200, vec![], state.issued.clone().unwrap()),
         _ => Reply(404, vec![], "{}".to_string()),
     }
 }
