--- a/tests/program/payloads.rs
+++ b/tests/program/payloads.rs
@@ -1,4 +1,5 @@
-//! Classes, bodies, replies and lines reach the other side as they came, whatever happens on the way.
+//! Class names, bodies, replies and commands reach the other side unchanged, across reloads, upgrades and broken
+//! links.
 
 use std::io::Write;
 
@@ -7,14 +8,14 @@
 use crate::harness::*;
 use crate::scripted::{Listener, Peer};
 
-/// Bodies that a text protocol could trip over.
+/// Bodies that a text protocol could misread.
 fn bodies() -> Vec<Vec<u8>> {
     let all: Vec<u8> = (0..=255).collect();
     let call = b"\r\n0000000000000001 yes 2\r\nno\r\n".to_vec();
     vec![Vec::new(), all.clone(), all.repeat(8), b"\"\\\"}\n{".to_vec(), call, vec![0; 2048]]
 }
 
-fn linked(vault: Option<&Listener>) -> (Listener, Program, Peer) {
+fn start_linked(vault: Option<&Listener>) -> (Listener, Program, Peer) {
     let agent = Listener::start();
     let vault = vault.map(|vault| vault.address);
     let program = Program::start(Setup { agent: Some(agent.address), vault, ..Setup::default() });
@@ -26,7 +27,7 @@
 #[test]
 fn bodies_of_any_bytes_pass_launch_call_reply_and_result_unchanged() {
     let vault = Listener::start();
-    let (_agent, program, mut link) = linked(Some(&vault));
+    let (_agent, program, mut link) = start_linked(Some(&vault));
     for (round, body) in bodies().into_iter().enumerate() {
         let cursor = 10 * round as u64;
         let mut stream = connect(program.http);
@@ -35,14 +36,14 @@
         assert_eq!(launch.arg, body);
         link.send_call(cursor + 1, &launch.handle, &body);
         let mut call = vault.accept();
-        let (handle, _, asked) = call.read_call();
-        assert_eq!((&handle, &asked), (&launch.handle, &body));
+        let (handle, _, called_with) = call.read_call();
+        assert_eq!((&handle, &called_with), (&launch.handle, &body));
         call.reply(&handle, &body);
         assert_eq!(link.expect_command("deliver").arg, body);
         link.send_outcome(cursor + 2, &launch.handle, "complete", &body);
         assert_eq!(read_answer(&mut stream).body, body);
         let scgi = exchange(program.scgi, &Request::keyed(&format!("k{round}"), &body).scgi());
-        assert_eq!(scgi.body, body, "the result that was kept, over the other front");
+        assert_eq!(scgi.body, body, "the stored result, over the other frontend");
     }
     assert_eq!(program.counter("violations"), 0);
 }
@@ -56,7 +57,7 @@
         kept.write_all(&Request::keyed(&format!("k{round}"), &body).http()).unwrap();
         assert_eq!(read_answer(&mut kept).body, [b"made:", &body[..]].concat());
     }
-    // On a connection to the old process: passed on, and its answer passed back.
+    // The successor answers repeats of all keys.
     let new = program.successor(&agent, &agent.moved());
     for (round, body) in bodies().into_iter().enumerate() {
         let key = format!("k{round}");
@@ -69,16 +70,16 @@
 }
 
 #[test]
-fn a_class_whose_place_serves_another_one_keeps_its_name_to_the_end() {
-    // Guards against state that outlives a request and names its class by a place in a list.
-    let (_agent, program, mut link) = linked(None);
+fn a_request_keeps_its_class_name_though_its_index_belongs_to_another_class() {
+    // Guards against state that outlives a request and identifies its class by an index into a list.
+    let (_agent, program, mut link) = start_linked(None);
     let mut open = connect(program.http);
     let request = Request { timeout_ms: 9_000, ..Request::keyed("k", b"open") };
     open.write_all(&request.http()).unwrap();
     let launch = link.expect_command("launch");
     for (round, name) in ["first", "second", "third"].into_iter().enumerate() {
         program.reload(&[("lobby-confirm".to_string(), name.to_string())]);
-        wait_for("the configuration", || {
+        wait_for("the reload", || {
             program.log().matches("the configuration was read again").count() == round + 1
         });
         let mut stream = connect(program.http);
@@ -95,10 +96,10 @@
 }
 
 #[test]
-fn a_reply_to_a_call_that_was_given_up_or_a_second_copy_of_one_reaches_no_other_call() {
+fn a_second_copy_of_a_reply_reaches_no_other_call() {
     let vault = Listener::start();
-    let (_agent, program, mut link) = linked(Some(&vault));
-    // Of a class whose calls may share a connection, one after the other.
+    let (_agent, program, mut link) = start_linked(Some(&vault));
+    // Calls of this class may reuse a connection, one after the other.
     let mut stream = connect(program.http);
     stream.write_all(&Request { timeout_ms: 4_000, ..Request::new("queue-status", b"a") }.http()).unwrap();
     let first = link.expect_command("launch").handle;
@@ -107,7 +108,7 @@
     call.read_call();
     call.reply(&first, b"reply one");
     assert_eq!(link.expect_command("deliver").arg, b"reply one");
-    // The second copy comes late on that connection; the next call of the request has one of its own.
+    // The second copy arrives late on that connection; the next call of the request has a connection of its own.
     call.reply(&first, b"reply one");
     link.send_call(2, &first, b"two");
     let mut next = vault.accept();
@@ -122,8 +123,8 @@
 #[rstest]
 #[case::class("launch")]
 #[case::reply("deliver")]
-fn a_refusal_of_the_agent_is_told_with_its_run_its_command_and_a_digest(#[case] command: &str) {
-    let (_agent, program, mut link) = linked(None);
+fn a_refusal_by_the_agent_is_logged_with_its_command_its_run_and_a_digest(#[case] command: &str) {
+    let (_agent, program, mut link) = start_linked(None);
     let mut stream = connect(program.http);
     stream.write_all(&Request::new("queue-status", b"a").http()).unwrap();
     let handle = link.expect_command("launch").handle;
@@ -133,26 +134,24 @@
 }
 
 #[test]
-fn two_new_addresses_in_a_row_end_at_the_newer_one() {
-    // Guards against a move that is asked for while the link before is being settled, and forgotten.
-    let (agent, program, mut link) = linked(None);
+fn two_changes_of_address_in_a_row_lead_to_the_newer_one() {
+    // Guards against a change of address that arrives while the previous link is being closed, and is forgotten.
+    let (agent, program, mut link) = start_linked(None);
     let (second, third) = (Listener::start(), Listener::start());
     program.reload(&[(agent.address.to_string(), second.address.to_string())]);
-    // The old link is about to be settled: it asks for one more sample, which is not answered yet.
+    // Before the program closes the old link it sends one more sample on it, which is not answered yet.
     let mut command = link.next_command();
     while !command.ticket.starts_with("move-") {
         command = link.next_command();
     }
     program.reload(&[(agent.address.to_string(), third.address.to_string())]);
-    wait_for("the second configuration", || {
-        program.log().matches("the configuration was read again").count() == 2
-    });
+    wait_for("the second reload", || program.log().matches("the configuration was read again").count() == 2);
     link.answer_sample(&command.ticket);
-    let mut passed = second.accept_link();
-    while let Some(line) = passed.read_line() {
-        // It is the second link.
+    let mut second_link = second.accept_link();
+    while let Some(line) = second_link.read_line() {
+        // The ticket names the number of the link, which is the second.
         if line.contains(r#""ticket":"move-2""#) {
-            passed.answer_sample("move-2");
+            second_link.answer_sample("move-2");
         }
     }
     let mut link = third.accept_link();
@@ -165,9 +164,9 @@
 }
 
 #[test]
-fn half_a_command_is_never_one_and_is_the_last_on_its_link() {
-    // A link that breaks in the middle of a line: no beginning of a command is a command, so that whoever takes the rest
-    // of a link for a line reads none.
+fn a_prefix_of_a_command_is_never_a_command() {
+    // A link may break in the middle of a line: no prefix of a command is valid JSON, so that an agent that takes the
+    // rest of the link for a line reads no command.
     use hopwalk::core::{Command, LinkId};
     use hopwalk::net::agent::encode;
     let handle = "00000000000000ff".parse().unwrap();
