--- a/tests/program/command_errors.rs
+++ b/tests/program/command_errors.rs
@@ -1,4 +1,4 @@
-//! What stands on standard error where a command cannot do its work: the message, its help, and the exit code 2.
+//! The output of commands that fail: an error message and a help line on standard error, and exit code 2.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -8,19 +8,19 @@
 
 use super::harness::spawn_program;
 
-/// The two lines of an output that says no.
-fn told(output: Output) -> (String, String) {
+/// Checks that a command failed; returns its error message and its help line.
+fn error_and_help(output: Output) -> (String, String) {
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{message}");
     let lines: Vec<&str> = message.lines().collect();
-    let [said, help] = lines[..] else { panic!("{message}") };
-    let (said, help) = (said.strip_prefix("hopwalk: "), help.strip_prefix("  help: "));
-    (said.expect(&message).to_string(), help.expect(&message).to_string())
+    let [error, help] = lines[..] else { panic!("{message}") };
+    let (error, help) = (error.strip_prefix("hopwalk: "), help.strip_prefix("  help: "));
+    (error.expect(&message).to_string(), help.expect(&message).to_string())
 }
 
-/// A file of this test, with this text.
+/// Writes a temporary file with this text.
 fn write_temp_file(name: &str, text: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("hopwalk-told-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("hopwalk-command-errors-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
@@ -35,36 +35,44 @@
 #[case::console("console --socket /no/such.sock status", "/no/such.sock: No such file", "console.socket")]
 #[case::no_console("console status", "console.socket: is not set", "--socket PATH")]
 #[case::fleet("fleet routes propose /no/such.json --admin 127.0.0.1:1", "/no/such.json: ", "may read it")]
-fn a_command_that_cannot_be_carried_out(#[case] words: &str, #[case] says: &str, #[case] helps: &str) {
+fn a_command_that_cannot_do_its_work_prints_an_error_and_help(
+    #[case] args: &str,
+    #[case] expected_error: &str,
+    #[case] expected_help: &str,
+) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hopwalk"));
-    let output = command.args(words.split(' ')).env_remove("RELAY_APPLIANCE").output().unwrap();
-    let (said, help) = told(output);
-    assert!(said.starts_with(says) && help.contains(helps), "{said} / {help}");
+    let output = command.args(args.split(' ')).env_remove("RELAY_APPLIANCE").output().unwrap();
+    let (error, help) = error_and_help(output);
+    assert!(error.starts_with(expected_error) && help.contains(expected_help), "{error} / {help}");
 }
 
 #[rstest]
 #[case::link(r#"{"faults":[{"kind":"cut","at_s":1,"link":"m9-vault"}]}"#, "faults[0].link: ", "m1-vault")]
 #[case::json("{\"seed\":\n oops}", "the scenario: Parse error at line:2, ", "lab scenario")]
-fn a_scenario_that_cannot_be_played(#[case] text: &str, #[case] says: &str, #[case] helps: &str) {
-    let path = write_temp_file(&helps.replace(' ', "-"), text);
+fn an_invalid_scenario_prints_an_error_and_help(
+    #[case] text: &str,
+    #[case] expected_error: &str,
+    #[case] expected_help: &str,
+) {
+    let path = write_temp_file(&expected_help.replace(' ', "-"), text);
     let mut command = Command::new(env!("CARGO_BIN_EXE_hopwalk"));
     let output = command.args(["lab", "run"]).arg(&path).output().unwrap();
     std::fs::remove_file(path).unwrap();
-    let (said, help) = told(output);
-    assert!(said.starts_with(says) && help.contains(helps), "{said} / {help}");
+    let (error, help) = error_and_help(output);
+    assert!(error.starts_with(expected_error) && help.contains(expected_help), "{error} / {help}");
 }
 
 #[test]
-fn a_start_whose_address_is_taken() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = taken.local_addr().unwrap();
+fn a_start_on_an_address_in_use_prints_an_error_and_help() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
     let site = include_str!("../../src/lab/site.json");
-    let config = format!(r#"{{"name":"n","listen":"{at}","agent":"127.0.0.1:1","settings":{site}}}"#);
+    let config = format!(r#"{{"name":"n","listen":"{address}","agent":"127.0.0.1:1","settings":{site}}}"#);
     let (child, _dir) = spawn_program(&config, "{}");
     let output = child.wait_with_output().unwrap();
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{message}");
     let expected =
-        format!("hopwalk: listen: {at}: Address already in use (os error 98)\n  help: look who has");
+        format!("hopwalk: listen: {address}: Address already in use (os error 98)\n  help: look who has");
     assert!(message.contains(&expected), "{message}");
 }
--- a/tests/program/settings_variants.rs
+++ b/tests/program/settings_variants.rs
@@ -1,10 +1,11 @@
-//! Settings of other customers: each starts, serves reads and keyed requests, answers all of them, and leaves.
+//! Variants of the site's settings: with each of them the program starts, answers reads and keyed requests, and
+//! exits.
 
 use super::*;
 
 const KEYED: &str = r#""repeat": "deduplicated""#;
 
-type Change = (&'static str, &'static str);
+type Replacement = (&'static str, &'static str);
 
 #[rstest]
 #[case::keyed_class_renamed(&[(r#""lobby-confirm""#, r#""pay.now-2""#)], "pay.now-2")]
@@ -20,25 +21,25 @@
     &[(r#""give_up_us": 4500000"#, r#""give_up_us": 400000"#), (r#""promise_us": 1800000"#, r#""promise_us": 350000"#)],
     "lobby-confirm"
 )]
-#[case::nothing_below(&[(r#""below": "next_hop""#, r#""below": "off""#)], "lobby-confirm")]
+#[case::no_dependency_calls(&[(r#""below": "next_hop""#, r#""below": "off""#)], "lobby-confirm")]
 #[case::a_small_share_of_calls(
     &[(r#""below": "next_hop""#, r#""below": "common", "calls_out": 0.4"#)], "lobby-confirm"
 )]
-#[case::whole_calls(&[(r#""below": "next_hop""#, r#""below": "common", "calls_out": 1"#)], "lobby-confirm")]
+#[case::a_full_share_of_calls(&[(r#""below": "next_hop""#, r#""below": "common", "calls_out": 1"#)], "lobby-confirm")]
 #[case::runs_cannot_be_stopped(&[(r#""preemption": "pause""#, r#""preemption": "off""#)], "lobby-confirm")]
 #[case::stopped_runs_are_lost(&[(r#""preemption": "pause""#, r#""preemption": "drop""#)], "lobby-confirm")]
-#[case::says_nothing(&[(r#""say": "bias""#, r#""say": "off""#)], "lobby-confirm")]
-#[case::says_a_rank(&[(r#""say": "bias""#, r#""say": "min_rank""#)], "lobby-confirm")]
-#[case::says_tokens(&[(r#""say": "bias""#, r#""say": "tokens""#)], "lobby-confirm")]
+#[case::no_load_signal(&[(r#""say": "bias""#, r#""say": "off""#)], "lobby-confirm")]
+#[case::load_signal_is_a_rank(&[(r#""say": "bias""#, r#""say": "min_rank""#)], "lobby-confirm")]
+#[case::load_signal_is_tokens(&[(r#""say": "bias""#, r#""say": "tokens""#)], "lobby-confirm")]
 #[case::one_core(&[(r#""cores": 6"#, r#""cores": 1"#)], "lobby-confirm")]
 #[case::many_cores(&[(r#""cores": 6"#, r#""cores": 64"#)], "lobby-confirm")]
 #[case::little_memory(&[(r#""memory_kb": 34680.0"#, r#""memory_kb": 1000"#)], "lobby-confirm")]
 #[case::no_gauges(&[(r#""meters": ["core_use", "on_cores", "heap_share", "links"]"#, r#""meters": []"#)], "lobby-confirm")]
-#[case::other_gauges(&[(r#""meters": ["core_use","#, r#""meters": ["moons", "core_use","#)], "lobby-confirm")]
-#[case::no_advice(&[(r#""retry_after": true"#, r#""retry_after": false"#)], "lobby-confirm")]
+#[case::unknown_gauge(&[(r#""meters": ["core_use","#, r#""meters": ["moons", "core_use","#)], "lobby-confirm")]
+#[case::no_retry_after(&[(r#""retry_after": true"#, r#""retry_after": false"#)], "lobby-confirm")]
 #[case::reads_may_be_shared(&[(r#""idle_us": 30000000"#, r#""idle_us": 30000000, "fresh_us": 900000"#)], "lobby-confirm")]
-#[case::connections_idle_for_a_moment(&[(r#""idle_us": 30000000"#, r#""idle_us": 10000"#)], "lobby-confirm")]
-#[case::optional_figures_are_zero(
+#[case::short_idle_timeout(&[(r#""idle_us": 30000000"#, r#""idle_us": 10000"#)], "lobby-confirm")]
+#[case::optional_values_are_zero(
     &[
         (r#""heeded_us": 1000000, "lingers_us": 200000"#, r#""heeded_us": 0, "lingers_us": 0"#),
         (r#""kb_per_key": 117.75"#, r#""kb_per_key": 0"#),
@@ -50,7 +51,7 @@
     ],
     "lobby-confirm"
 )]
-#[case::optional_figures_are_absent(
+#[case::optional_values_are_absent(
     &[
         (r#""heeded_us": 1000000, "lingers_us": 200000, "#, ""),
         (r#""kb_per_key": 117.75, "#, ""),
@@ -65,13 +66,16 @@
     &[(r#""servers": 12"#, r#""servers": 12, "over_share_worth": 0, "tenants": [{"name": "a"}, {"name": "b", "quota_per_s": 1e9}]"#)],
     "lobby-confirm"
 )]
-fn settings_of_another_customer_are_served(#[case] site: &'static [Change], #[case] keyed: &'static str) {
+fn requests_are_served_under_other_settings(
+    #[case] site: &'static [Replacement],
+    #[case] keyed: &'static str,
+) {
     let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = Program::start(Setup { site: site.to_vec(), ..with_agent(&agent) });
-    let of_class = |class, key: &str, body: &[u8]| Request { class, ..Request::keyed(key, body) };
-    assert_eq!(exchange(program.http, &of_class("queue-status", "r", b"r").http()).body, b"made:rreply:r");
+    let request_of = |class, key: &str, body: &[u8]| Request { class, ..Request::keyed(key, body) };
+    assert_eq!(exchange(program.http, &request_of("queue-status", "r", b"r").http()).body, b"made:rreply:r");
     for _ in 0..2 {
-        assert_eq!(exchange(program.http, &of_class(keyed, "k", b"k").http()).body, b"made:kreply:k");
+        assert_eq!(exchange(program.http, &request_of(keyed, "k", b"k").http()).body, b"made:kreply:k");
     }
     assert_eq!(exchange(program.http, &Request::new("no-such-class", b"").http()).status, 404);
     program.signal("TERM");
@@ -79,7 +83,7 @@
     assert!(program.log().contains("served=3"), "{}", program.log());
 }
 
-/// An agent that greets, reads all it is told, and never says anything else.
+/// Starts an agent that sends its greeting, reads all commands, and never sends anything else.
 fn unresponsive_agent() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -95,13 +99,13 @@
     address
 }
 
-/// What a test machine with much else to do may add to the rule's time.
-const BUSY_MACHINE: Duration = Duration::from_millis(500);
+/// Time by which a busy test machine may exceed the time limit of the rule.
+const BUSY_MACHINE_SLACK: Duration = Duration::from_millis(500);
 
 #[rstest]
-#[case::link_taken_but_silent(true)]
-#[case::no_link_at_all(false)]
-fn every_request_is_answered_when_due_whatever_the_agent_does(#[case] linked: bool) {
+#[case::linked_but_silent_agent(true)]
+#[case::no_link(false)]
+fn every_request_is_answered_by_its_deadline_whatever_the_agent_does(#[case] linked: bool) {
     let address = if linked { unresponsive_agent() } else { gone() };
     let program = Program::start(Setup { unawaited_agent: Some(address), ..Setup::default() });
     for timeout_ms in [1, 120, 400, 1_000] {
@@ -112,20 +116,21 @@
             let since = Instant::now();
             let answer = exchange(program.http, &Request { timeout_ms, ..request }.http());
             assert!([500, 503].contains(&answer.status), "{answer:?}");
-            let most = Duration::from_millis(timeout_ms + 150) + BUSY_MACHINE;
-            assert!(since.elapsed() < most, "{:?} of {most:?}", since.elapsed());
+            let max = Duration::from_millis(timeout_ms + 150) + BUSY_MACHINE_SLACK;
+            assert!(since.elapsed() < max, "{:?} of {max:?}", since.elapsed());
         }
     }
 }
 
 #[rstest]
-#[case::link_taken_but_silent(true)]
-#[case::no_link_at_all(false)]
+#[case::linked_but_silent_agent(true)]
+#[case::no_link(false)]
 fn all_that_was_read_is_answered_before_the_stop_whatever_the_agent_does(#[case] linked: bool) {
     let address = if linked { unresponsive_agent() } else { gone() };
     let mut program = Program::start(Setup { unawaited_agent: Some(address), ..Setup::default() });
-    // Runs or holds, a repeat that joined, and one that is read within the grace. None falls due before the stop, and
-    // the agent ends none: that they are answered, and the program ends by itself, is the stop's doing.
+    // Requests that run or are held, a repeat that joined one, and one that is read within the grace period. None
+    // falls due before the stop, and the agent completes none: only the stop procedure answers them and ends the
+    // program.
     let requests = [Request::new("queue-status", b"r"), Request::keyed("k", b"k"), Request::keyed("k", b"k")];
     let mut open: Vec<_> = requests
         .into_iter()
@@ -159,10 +164,10 @@
     "settings.specifics.share_span_us: is missing or 0, and calls_out is under 1\n  help: give the time over which \
      the calls are averaged, in microseconds, or set class_calls to false"
 )]
-fn settings_under_which_a_promise_cannot_be_kept_are_named(
+fn settings_under_which_a_promise_cannot_be_kept_are_rejected_by_key(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let site = include_str!("../../src/lab/site.json");
     assert!(site.contains(from));
@@ -171,9 +176,9 @@
     let (mut child, _dir) = spawn_program(&config, "{}");
     let ended = wait_until(PATIENCE, || child.try_wait().unwrap().is_some());
     let _ = child.kill();
-    assert!(ended, "it runs with these settings");
+    assert!(ended, "the program runs with these settings");
     let output = child.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(message.trim_end(), format!("hopwalk: {says}"));
+    assert_eq!(message.trim_end(), format!("hopwalk: {expected}"));
 }
--- a/tests/program/system_calls.rs
+++ b/tests/program/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment under the program: all that was read is answered, and the end is in good order.
+//! System calls that fail temporarily: the program answers all that it has read, and exits in good order.
 
 use std::collections::HashSet;
 use std::io::Write;
@@ -12,13 +12,13 @@
 use crate::harness::*;
 
 const SHORT_RUN: Duration = Duration::from_millis(5);
-/// Callers that ask at the same time, and how often each does.
+/// The number of callers that send requests at the same time, and of rounds that each makes.
 const CALLERS: usize = 4;
 const ROUNDS: usize = 12;
-/// The rate of a fault that never fails to come.
+/// The rate, in thousandths, of a fault that occurs at every call.
 const ALWAYS: i64 = 1000;
-/// Connections in a backlog.
-const WAITING: usize = 24;
+/// The number of connections in the backlog.
+const BACKLOG: usize = 24;
 
 fn start(agent: &Agent) -> Program {
     Program::start(Setup {
@@ -29,20 +29,20 @@
     })
 }
 
-fn turn(program: &Program, dials: &[(Dial, i64)]) {
-    dials.iter().for_each(|(dial, rate)| program.faults().set(*dial, *rate).unwrap());
+fn set_faults(program: &Program, rates: &[(Dial, i64)]) {
+    rates.iter().for_each(|(dial, rate)| program.faults().set(*dial, *rate).unwrap());
 }
 
-/// Asks again and again, on new connections and on kept ones; the statuses of the answers.
-fn ask_around(program: &Program) -> Vec<u16> {
+/// Sends requests from all callers, on new connections and on kept ones; returns the statuses of the answers.
+fn send_from_all_callers(program: &Program) -> Vec<u16> {
     std::thread::scope(|threads| {
         let callers: Vec<_> =
-            (0..CALLERS).map(|caller| threads.spawn(move || ask_as(program, caller))).collect();
+            (0..CALLERS).map(|caller| threads.spawn(move || send_as_caller(program, caller))).collect();
         callers.into_iter().flat_map(|caller| caller.join().unwrap()).collect()
     })
 }
 
-fn ask_as(program: &Program, caller: usize) -> Vec<u16> {
+fn send_as_caller(program: &Program, caller: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for round in 0..ROUNDS {
         let key = format!("{caller}-{round}");
@@ -65,18 +65,18 @@
 #[case::interrupted(&[(Dial::Interrupt, 200)])]
 #[case::in_parts(&[(Dial::Short, 600)])]
 #[case::all(&[(Dial::Accept, 200), (Dial::Connect, 80), (Dial::Interrupt, 100), (Dial::Short, 400)])]
-fn all_that_was_read_is_answered_while_system_calls_fail(#[case] dials: &[(Dial, i64)]) {
+fn all_that_was_read_is_answered_while_system_calls_fail(#[case] rates: &[(Dial, i64)]) {
     let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
-    turn(&program, dials);
-    let statuses = ask_around(&program);
+    set_faults(&program, rates);
+    let statuses = send_from_all_callers(&program);
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!(served * 2 > statuses.len(), "{statuses:?}");
     assert!(statuses.iter().all(|status| [200, 500, 503].contains(status)), "{statuses:?}");
     let launched: Vec<_> = agent.launches().into_iter().map(|(handle, ..)| handle).collect();
     assert_eq!(launched.iter().collect::<HashSet<_>>().len(), launched.len(), "none is run twice");
     assert_eq!(program.counter("violations"), 0);
-    // And the end: what is in the backlog as the listener closes is answered, and the process leaves by itself.
+    // Then the stop: what is in the backlog as the listener closes is answered, and the process exits by itself.
     program.signal("TERM");
     let mut late = 0;
     while let Ok(mut stream) = TcpStream::connect(program.http) {
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn a_backlog_is_taken_in_as_the_listener_closes_though_looks_at_it_are_interrupted() {
-    // Guards against an interrupted look that passes for an empty backlog, which the close then resets.
+fn a_backlog_is_accepted_as_the_listener_closes_though_polls_of_it_are_interrupted() {
+    // Guards against an interrupted poll that is taken for an empty backlog, which the close then resets.
     let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
-    // Nobody is taken in until the listeners close, and then each second look is interrupted.
-    turn(&program, &[(Dial::Accept, ALWAYS)]);
-    let mut waiting: Vec<_> = (0..WAITING).map(|_| connect(program.http)).collect();
+    // No connection is accepted until the listeners close, and then every second poll is interrupted.
+    set_faults(&program, &[(Dial::Accept, ALWAYS)]);
+    let mut waiting: Vec<_> = (0..BACKLOG).map(|_| connect(program.http)).collect();
     for stream in &mut waiting {
         stream
             .write_all(&Request { timeout_ms: 3000, ..Request::new("queue-status", b"waits") }.http())
@@ -106,45 +106,48 @@
     }
     program.signal("TERM");
     program.wait_for_log("takes no new connections");
-    turn(&program, &[(Dial::Interrupt, ALWAYS / 2), (Dial::Accept, 0)]);
+    set_faults(&program, &[(Dial::Interrupt, ALWAYS / 2), (Dial::Accept, 0)]);
     let statuses: Vec<_> = waiting.iter_mut().map(|stream| read_answer(stream).status).collect();
     assert!(statuses.iter().all(|status| [200, 500, 503].contains(status)), "{statuses:?}");
     assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn a_listener_closes_though_all_in_its_backlog_are_gone_before_they_are_accepted() {
-    // Guards against an accept that waits for another connection while the listener is to close.
+fn a_listener_closes_though_all_connections_in_its_backlog_abort_before_they_are_accepted() {
+    // Guards against an accept that waits for another connection while the listener should close.
     let agent = Agent::start(2, SHORT_RUN, true);
     let mut program = start(&agent);
-    turn(&program, &[(Dial::Abort, ALWAYS)]);
-    // The only ones that connect are those by which the program wakes its own listeners.
+    set_faults(&program, &[(Dial::Abort, ALWAYS)]);
+    // The only connections are those by which the program wakes its own listeners.
     program.signal("TERM");
     program.wait_for_log("takes no new connections");
     assert!(program.wait_for_exit().success());
 }
 
 #[test]
-fn a_new_version_takes_over_while_system_calls_fail() {
-    // Guards against a new process that does not find the one that runs, and ends as its address is in use.
+fn a_successor_takes_over_while_system_calls_fail() {
+    // Guards against a successor that does not find the running process and exits because its address is in use.
     let agent = Agent::start(2, SHORT_RUN, false);
     let old = start(&agent);
     assert_eq!(exchange(old.http, &Request::keyed("k", b"x").http()).body, b"made:x");
-    turn(&old, &[(Dial::Connect, 500), (Dial::Interrupt, 200), (Dial::Short, 300), (Dial::Accept, 200)]);
+    set_faults(
+        &old,
+        &[(Dial::Connect, 500), (Dial::Interrupt, 200), (Dial::Short, 300), (Dial::Accept, 200)],
+    );
     let new = old.successor(&agent, &agent.moved());
     assert!(new.log().contains("takes over from the process that runs"), "{}", new.log());
     assert_eq!(exchange(new.http, &Request::keyed("k", b"x").http()).body, b"made:x");
-    assert_eq!(agent.launches().len(), 1, "the key came along");
+    assert_eq!(agent.launches().len(), 1, "the key was handed over");
     assert_eq!((old.counter("violations"), new.counter("violations")), (0, 0));
 }
 
 #[test]
-fn connections_that_break_at_any_call_leave_nothing_behind() {
-    // Guards against a broken connection that shows as a time that ran out, and is read again without end.
-    // Without calls: a run of this stand-in waits ten seconds for a reply that got lost, and holds a core meanwhile.
+fn connections_that_break_at_any_system_call_have_no_lasting_effect() {
+    // Guards against a broken connection that is taken for a timeout and read again without end. The runs make no
+    // calls: a run of the simulated agent waits ten seconds for a lost reply, and occupies a core meanwhile.
     let agent = Agent::start(2, SHORT_RUN, false);
     let mut program = start(&agent);
-    turn(&program, &[(Dial::Break, 60)]);
+    set_faults(&program, &[(Dial::Break, 60)]);
     let mut answered = 0;
     for round in 0..80 {
         let mut stream = connect(program.http);
@@ -155,7 +158,7 @@
         }
     }
     assert_eq!(answered, 80, "callers' own connections do not break");
-    turn(&program, &[(Dial::Break, 0)]);
+    set_faults(&program, &[(Dial::Break, 0)]);
     wait_for("a link that lasts", || {
         exchange(program.http, &Request::new("queue-status", b"a").http()).status == 200
     });
