--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -31,7 +31,9 @@
     pub(super) fn read_notices(&self, reads: &mut LinkReader, move_acknowledged: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
-                Ok(Some(Notice::MoveAcknowledged { requested_on })) if requested_on == self.link => move_acknowledged(),
+                Ok(Some(Notice::MoveAcknowledged { requested_on })) if requested_on == self.link => {
+                    move_acknowledged()
+                }
                 Ok(Some(notice)) => self.hub.push(Input::Agent { link: self.link, notice }),
                 Ok(None) => {
                     if let Err(end) = reads.read_more() {
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -92,7 +92,8 @@
     let report_states = move |hub: &Hub, states: &Vec<(String, RouteState)>| {
         hub.push(Input::RouteStates(states.clone()));
         // The order matters: a request that is read after a readiness check succeeded is behind these states in the inbox.
-        hub.calls_blocked.store(states.iter().any(|(_, state)| *state != RouteState::Open), Ordering::Release);
+        hub.calls_blocked
+            .store(states.iter().any(|(_, state)| *state != RouteState::Open), Ordering::Release);
     };
     let report_limits = |hub: &Hub, router: &dyn Router, known: &mut Option<Fence>| {
         if let Some((fence, limits)) = router.call_limits(*known) {
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -76,8 +76,10 @@
     slot.hub.closes.count(reason);
     slot.begin_closing();
     let timeout = if slot.hub.has_stopped_accepting() {
-        lingering_close::FINAL_TIMEOUT } else {
-        lingering_close::TIMEOUT };
+        lingering_close::FINAL_TIMEOUT
+    } else {
+        lingering_close::TIMEOUT
+    };
     lingering_close::close(&mut stream, end, timeout);
 }
 
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -427,8 +427,9 @@
     let (epoch, taken) = {
         let mut pool = lock(pool);
         pool.idle.retain(|(_, _, since)| since.elapsed() < IDLE_LIFETIME);
-        let is_usable =
-            |index: usize, pool: &Pool| pool.idle[index].1 == address && pool.idle[index].0.is_open_and_idle();
+        let is_usable = |index: usize, pool: &Pool| {
+            pool.idle[index].1 == address && pool.idle[index].0.is_open_and_idle()
+        };
         let index = (0..pool.idle.len()).rev().find(|index| !fresh && is_usable(*index, &pool));
         (pool.epoch, index.map(|index| pool.idle.remove(index).0))
     };
--- a/tests/codecs.rs
+++ b/tests/codecs.rs
@@ -405,7 +405,8 @@
     );
     for result in [None, Some((*b"").into()), result] {
         let settled = Succession::KeyResolved { key: key.clone(), ran: true, result: result.clone() };
-        assert_eq!(decode(HandoverMessage::KeyResolved(key.clone(), true, result)),
+        assert_eq!(
+            decode(HandoverMessage::KeyResolved(key.clone(), true, result)),
             [ReceivedMessage::Succession(settled)]
         );
     }
@@ -425,7 +426,8 @@
         body: (*b"\r\n").into(),
     };
     let line = HandoverMessage::Request(Box::new(request.clone())).to_lines().concat();
-    assert_eq!(decode(HandoverMessage::Request(Box::new(request.clone()))),
+    assert_eq!(
+        decode(HandoverMessage::Request(Box::new(request.clone()))),
         [ReceivedMessage::Request(Box::new(request.clone()))]
     );
     // Guards against losing requests in an upgrade from a version that does not send the last word, or the last three.
@@ -443,7 +445,10 @@
     for verdict in [Verdict::Served((*b"r").into()), refused, Verdict::Failed, Verdict::NoSuchClass] {
         let answer = Answer { verdict, signal: Some(0.25), close: true };
         let forwarded = Succession::ForwardedAnswer { conn: 7, answer: answer.clone() };
-        assert_eq!(decode(HandoverMessage::Answer(7, Arc::new(answer))), [ReceivedMessage::Succession(forwarded)]);
+        assert_eq!(
+            decode(HandoverMessage::Answer(7, Arc::new(answer))),
+            [ReceivedMessage::Succession(forwarded)]
+        );
     }
     for bad in ["", "begin ", "key a b\n", "answer 7 - served\n", "request 1\n"] {
         assert_eq!(parse(bad), None, "{bad}");
--- a/tests/program/command_errors.rs
+++ b/tests/program/command_errors.rs
@@ -72,7 +72,8 @@
     let output = child.wait_with_output().unwrap();
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(2), "{message}");
-    let expected =
-        format!("hopwalk: listen: {address}: Address already in use (os error 98)\n  help: check which process");
+    let expected = format!(
+        "hopwalk: listen: {address}: Address already in use (os error 98)\n  help: check which process"
+    );
     assert!(message.contains(&expected), "{message}");
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -139,7 +139,7 @@
         result in prop::option::of(bytes(4096)),
     ) {
         let line = |word: HandoverMessage| word.to_lines()[0].trim_end_matches('\n').to_string();
-        let state = KeyState { key: key.clone(), digest: what, until: Duration::from_micros(until), open, result: result.clone() };
+        let state = KeyState { key: key.clone(), digest, until: Duration::from_micros(until), open, result: result.clone() };
         let decoded = parse(&line(HandoverMessage::Keys(vec![state.clone()], open)));
         prop_assert_eq!(decoded, Some(ReceivedMessage::Succession(Succession::Key(state))));
         let settled = Succession::KeyResolved { key: key.clone(), ran: open, result: result.clone() };
