--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -17,7 +17,7 @@
 
 /// Log line: why a successor does not get the keys at once.
 const LACKS_KEYS: &str =
-    "the successor has to wait for the keys: until their windows end, a previous successor may have run keys that are unknown here";
+    "a new process has to wait for the keys: until their windows end, an earlier successor may have run keys that are unknown here";
 
 /// What a reducer knows of its peer process.
 #[derive(Default)]
--- a/tests/program/stops.rs
+++ b/tests/program/stops.rs
@@ -55,14 +55,14 @@
     wait_for("the second try", || program.counter("repeats") == 1);
     if when == Break::BeforeTheNotice {
         link = break_link(&agent, link);
-        program.wait_for_log("are settled");
+        program.wait_for_log("commands in doubt are resolved");
     }
     let killed = Instant::now() + Duration::from_millis(STOP_MS);
     program.signal("TERM");
     if when == Break::AfterTheNotice {
         program.wait_for_log("leaving");
         link = break_link(&agent, link);
-        program.wait_for_log("are settled");
+        program.wait_for_log("commands in doubt are resolved");
     }
     let answered = [&mut first, &mut second].map(|stream| is_answered_by(stream, killed));
     drop(link);
