--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -263,7 +263,7 @@
             }
             Input::Rejected => self.counters.rejected += 1,
             Input::AnswerWriteFailed(end) => self.counters.unsent(end),
-            Input::ViolationBlocked => self.counters.violations += 1,
+            Input::ViolationDetected => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
             Input::Agent { link, notice } => self.handle_notice(now, link, notice),
             Input::CallEnded { handle, attempt, end, reply, fence } => {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -115,7 +115,7 @@
     AnswerWriteFailed(End),
     /// The network layer prevented a violation of a rule: it withheld an answer that no request was waiting for, or it
     /// closed a connection without the answer that was owed to it.
-    ViolationBlocked,
+    ViolationDetected,
     /// A reply from the dependency was ignored: it is a copy of an earlier reply, or it belongs to another request.
     StrayReply,
     /// The agent sent a notice, or a link to it reported one.
--- a/src/net/front.rs
+++ b/src/net/front.rs
@@ -102,7 +102,7 @@
         });
         let Ok(answer) = place.answers.recv() else {
             warn!("violation: a connection ends without the answer that it is owed: {conn}");
-            hub.push(Input::ViolationBlocked);
+            hub.push(Input::ViolationDetected);
             return (Ending::Finished, CloseReason::Unanswered);
         };
         let invalid = matches!(answer.verdict, Verdict::Invalid(_) | Verdict::NoSuchClass);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -338,7 +338,7 @@
                 Given::Owed => {}
                 Given::NotOwed => {
                     warn!("violation: an answer that nothing asked for was withheld: connection {conn}");
-                    self.hub.push_at_once(Input::ViolationBlocked);
+                    self.hub.push_at_once(Input::ViolationDetected);
                 }
                 Given::Gone => {
                     if let Some(predecessor) = &self.predecessor {
