--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -113,8 +113,8 @@
     Rejected,
     /// An answer could not be written completely.
     AnswerWriteFailed(End),
-    /// The network layer prevented a violation of a rule: it withheld an answer that no request was waiting for, or it
-    /// closed a connection without the answer that was owed to it.
+    /// The network layer detected a violation of a rule: it withheld an answer that no request was waiting for, or a
+    /// connection ended without the answer that was owed to it.
     ViolationDetected,
     /// A reply from the dependency was ignored: it is a copy of an earlier reply, or it belongs to another request.
     StrayReply,
