--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,6 +3,10 @@
 //! [`Core::step`] takes [`Input`]s and returns [`Effect`]s, which the network layer carries out. The reducer alone
 //! drives the decision module: inputs become the module's events, and the module's actions become effects. Times are
 //! [`Duration`]s since the Unix epoch on a monotonic clock; the caller of `step` passes the current time.
+//!
+//! `arrivals`, `answers` and `answer_deadlines` handle requests and their answers; `runs`, `delivery`, `calls` and
+//! `call_routes` the runs at the agent and their calls; [`keys`] the idempotency keys; `succession` the handover between two
+//! processes; `shutdown` the drain; and `reload` new settings.
 
 mod answer_deadlines;
 mod answers;
