--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -16,7 +16,7 @@
 /// What is done about a command in doubt, once all notices that the agent sent before the next link have been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recovery {
-    /// The command is sent again: it has no effect if the agent has read it already, or its effect may happen twice.
+    /// The command is sent again: it has no effect if the agent has read it already, or may take effect twice.
     Repeat,
     /// The run may have begun and must not begin twice: notices about it are awaited until its due time.
     AwaitRun,
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -209,8 +209,7 @@
     }
 
     /// Forgets keys whose runs can no longer be repeated by a new try. A try that arrived within a window may be read
-    /// up to
-    /// `lateness` later, and so after the end of the window.
+    /// up to `lateness` later, and so after the end of the window.
     pub fn sweep(&mut self, now: Duration, lateness: Duration) {
         let result_bytes = &mut self.result_bytes;
         self.entries.retain(|_, e| {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,8 +5,8 @@
 //! [`Duration`]s since the Unix epoch on a monotonic clock; the caller of `step` passes the current time.
 //!
 //! `arrivals`, `answers` and `answer_deadlines` handle requests and their answers; `runs`, `delivery`, `calls` and
-//! `call_routes` the runs at the agent and their calls; [`keys`] the idempotency keys; `succession` the handover between two
-//! processes; `shutdown` the drain; and `reload` new settings.
+//! `call_routes` the runs at the agent and their calls; [`keys`] the idempotency keys; `succession` the handover
+//! between two processes; `shutdown` the drain; and `reload` new settings.
 
 mod answer_deadlines;
 mod answers;
