--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,6 +3,10 @@
 //! [`Core::step`] takes [`Input`]s and returns [`Effect`]s, which the network layer carries out. The reducer alone
 //! drives the decision module: inputs become the module's events, and the module's actions become effects. Times are
 //! [`Duration`]s since the Unix epoch on a monotonic clock; the caller of `step` passes the current time.
+//!
+//! `arrivals`, `answers` and `answer_deadlines` handle requests and their answers; `runs`, `delivery`, `calls` and
+//! `call_routes` the runs at the agent and their calls; [`keys`] the idempotency keys; `succession` the handover
+//! between two processes; `shutdown` the drain; and `reload` new settings.
 
 mod answer_deadlines;
 mod answers;
@@ -263,7 +267,7 @@
             }
             Input::Rejected => self.counters.rejected += 1,
             Input::AnswerWriteFailed(end) => self.counters.unsent(end),
-            Input::ViolationBlocked => self.counters.violations += 1,
+            Input::ViolationDetected => self.counters.violations += 1,
             Input::StrayReply => self.counters.stray_replies += 1,
             Input::Agent { link, notice } => self.handle_notice(now, link, notice),
             Input::CallEnded { handle, attempt, end, reply, fence } => {
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -113,7 +113,7 @@
         });
         let Ok(answer) = slot.answers.recv() else {
             warn!("violation: connection {conn} closed without the answer to its request");
-            hub.push(Input::ViolationBlocked);
+            hub.push(Input::ViolationDetected);
             return (ConnectionEnd::Finished, CloseReason::Unanswered);
         };
         let invalid = matches!(answer.verdict, Verdict::Invalid(_) | Verdict::NoSuchClass);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -344,7 +344,7 @@
                 AnswerResult::Queued => {}
                 AnswerResult::NotOwed => {
                     warn!("violation: withheld an answer that connection {conn} is not owed");
-                    self.hub.push_nonblocking(Input::ViolationBlocked);
+                    self.hub.push_nonblocking(Input::ViolationDetected);
                 }
                 AnswerResult::NoConnection => {
                     if let Some(predecessor) = &self.predecessor {
--- a/tests/program/stops.rs
+++ b/tests/program/stops.rs
@@ -55,14 +55,14 @@
     wait_for("the second try", || program.counter("repeats") == 1);
     if when == LinkBreak::BeforeTheStopSignal {
         link = replace_link(&agent, link);
-        program.wait_for_log("are settled");
+        program.wait_for_log("commands in doubt are resolved");
     }
     let kill_time = Instant::now() + Duration::from_millis(STOP_MS);
     program.signal("TERM");
     if when == LinkBreak::AfterTheStopSignal {
         program.wait_for_log("leaving");
         link = replace_link(&agent, link);
-        program.wait_for_log("are settled");
+        program.wait_for_log("commands in doubt are resolved");
     }
     let answered = [&mut first, &mut second].map(|stream| is_answered_by(stream, kill_time));
     drop(link);
