--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -361,7 +361,7 @@
                         attempt,
                         fresh,
                         earlier,
-                        patience,
+                        timeout: patience,
                         body,
                         route,
                     }),
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -59,7 +59,7 @@
         /// The replies to earlier calls of the request: a copy of one of them is ignored.
         earlier: Arc<[ReplyDigest]>,
         /// How long the reply is awaited.
-        patience: Duration,
+        timeout: Duration,
         /// The body of the call.
         body: Bytes,
         /// The properties that the call's route depends on, if the fleet routes calls.
@@ -148,7 +148,7 @@
     /// Carries out an order without waiting.
     pub fn send(&self, order: Order) {
         match order {
-            Order::Ask { handle, attempt, fresh, earlier, patience, body, route } => {
+            Order::Ask { handle, attempt, fresh, earlier, timeout, body, route } => {
                 let mut pool = lock(&self.pool);
                 let has_room = pool.in_progress.len() < self.hub.max_calls();
                 if has_room {
@@ -158,7 +158,7 @@
                 }
                 drop(pool);
                 let started = Instant::now();
-                let ask = Ask { handle, attempt, fresh, earlier, patience, body, route, started };
+                let ask = Ask { handle, attempt, fresh, earlier, patience: timeout, body, route, started };
                 let (hub, pool) = (self.hub.clone(), self.pool.clone());
                 spawn(move || {
                     let (end, reply, fence) = match has_room {
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -71,7 +71,7 @@
         Self { link: Link::start(&hub), inbox, router }
     }
 
-    fn ask(&self, attempt: u32, fresh: bool, patience: Duration) {
+    fn ask(&self, attempt: u32, fresh: bool, timeout: Duration) {
         let handle = "00000000000000aa".parse().unwrap();
         let route = Some(Box::default());
         self.link.send(Order::Ask {
@@ -79,7 +79,7 @@
             attempt,
             fresh,
             earlier: Arc::from([]),
-            patience,
+            timeout,
             body: [b'x'].into(),
             route,
         });
@@ -258,8 +258,8 @@
     for attempt in [1, 2] {
         let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
         let earlier = last.iter().map(|reply: &Bytes| ReplyDigest::of(reply)).collect();
-        let (patience, body) = (TIMEOUT, [b'x'].into());
-        link.send(Order::Ask { handle, attempt, fresh: true, earlier, patience, body, route });
+        let (timeout, body) = (TIMEOUT, [b'x'].into());
+        link.send(Order::Ask { handle, attempt, fresh: true, earlier, timeout, body, route });
         last = loop {
             match inbox.recv_timeout(TIMEOUT) {
                 Ok(Input::CallEnded { reply, .. }) => break reply,
@@ -328,7 +328,7 @@
     let link = Link::start(&hub);
     let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
     let (earlier, body) = (Arc::from([]), [b'x'].into());
-    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier, patience: TIMEOUT, body, route });
+    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier, timeout: TIMEOUT, body, route });
     let mut strays = 0;
     loop {
         match inbox.recv_timeout(TIMEOUT) {
@@ -350,8 +350,8 @@
     let (hub, inbox) = test_hub(None, Some(scripted(vec![then])));
     let link = Link::start(&hub);
     let (handle, earlier) = (REQUEST.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
-    let (patience, body) = (Duration::from_millis(300), [b'x'].into());
-    link.send(Order::Ask { handle, attempt: 2, fresh: true, earlier, patience, body, route: None });
+    let (timeout, body) = (Duration::from_millis(300), [b'x'].into());
+    link.send(Order::Ask { handle, attempt: 2, fresh: true, earlier, timeout, body, route: None });
     assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::StrayReply)));
     assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::CallEnded { end: End::Overdue, .. })));
 }
