--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -329,7 +329,7 @@
             }
             Self::Request(r) => {
                 let micros = |t: Option<Duration>| t.map_or("-".to_string(), |t| t.as_micros().to_string());
-                let (patience, cost) = (micros(r.patience), micros(r.cost));
+                let (timeout, cost) = (micros(r.patience), micros(r.cost));
                 // The name of the object is appended only if there is one: a process of a version that does not know this
                 // field can then still read the other requests.
                 let object = r
@@ -337,7 +337,7 @@
                     .as_ref()
                     .map_or(String::new(), |o| " ".to_string() + &encode_base64(Some(o.as_bytes())));
                 vec![format!(
-                    "request {} {} {} {} {patience} {} {} {} {} {} {} {} {cost}{object}\n",
+                    "request {} {} {} {} {timeout} {} {} {} {} {} {} {} {cost}{object}\n",
                     r.conn,
                     r.handle,
                     encode_base64(Some(r.class.as_bytes())),
@@ -396,9 +396,9 @@
     let event = match fields[..] {
         ["begin"] => Succession::Begin,
         ["complete", standby] => Succession::Complete { standby: flag(standby)? },
-        ["key", key, what, until, open, result] => Succession::Key(KeyState {
+        ["key", key, digest, until, open, result] => Succession::Key(KeyState {
             key: text(key)?.into(),
-            what: u64::from_str_radix(what, 16).ok()?,
+            what: u64::from_str_radix(digest, 16).ok()?,
             until: time(until)?,
             open: flag(open)?,
             result: bytes(result)?,
@@ -422,7 +422,7 @@
         }
         // A process of a version without tenants and costs leaves out these fields. One of a version that does not pass on
         // the object's name only states whether there is one.
-        ["request", conn, handle, class, start, patience, caller, size_kb, rank, key, object, body, ref more @ ..] =>
+        ["request", conn, handle, class, start, timeout, caller, size_kb, rank, key, object, body, ref more @ ..] =>
         {
             let (tenant, cost, object_name) = match *more {
                 [] => ("-", "-", "-"),
@@ -441,7 +441,7 @@
                 handle: handle.parse().ok()?,
                 class: text(class)?,
                 start: time(start)?,
-                patience: if patience == "-" { None } else { Some(time(patience)?) },
+                patience: if timeout == "-" { None } else { Some(time(timeout)?) },
                 caller: caller.parse().ok()?,
                 tenant: if tenant == "-" { None } else { Some(text(tenant)?.into()) },
                 cost: if cost == "-" { None } else { Some(time(cost)?) },
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -158,7 +158,7 @@
                 }
                 drop(pool);
                 let started = Instant::now();
-                let ask = Ask { handle, attempt, fresh, earlier, patience: timeout, body, route, started };
+                let ask = Ask { handle, attempt, fresh, earlier, timeout, body, route, started };
                 let (hub, pool) = (self.hub.clone(), self.pool.clone());
                 spawn(move || {
                     let (end, reply, fence) = match has_room {
@@ -195,7 +195,7 @@
     fresh: bool,
     earlier: Arc<[ReplyDigest]>,
     /// How long the call may take, counted from `started`.
-    patience: Duration,
+    timeout: Duration,
     started: Instant,
     body: Bytes,
     route: Option<Box<Call>>,
@@ -203,7 +203,7 @@
 
 impl Ask {
     fn deadline(&self) -> Instant {
-        self.started + self.patience
+        self.started + self.timeout
     }
 
     fn time_left(&self) -> Duration {
@@ -268,8 +268,8 @@
         };
         let mut link = Buffer::new(conn.clone());
         // A routed call may have waited for a switch to pass: it is sent with the time that is left.
-        let patience = if fence.is_some() { ask.time_left() } else { ask.patience };
-        let result = match conn.write_all(&encode_ask(ask.handle, patience, &ask.body, fence)) {
+        let timeout = if fence.is_some() { ask.time_left() } else { ask.timeout };
+        let result = match conn.write_all(&encode_ask(ask.handle, timeout, &ask.body, fence)) {
             Ok(()) => match self.read_reply(&mut link, &ask) {
                 // Only a service whose calls are routed may reply `stale`.
                 Ok(Reply { end: End::Stale, .. }) if fence.is_none() => Err(End::Malformed),
@@ -396,11 +396,11 @@
         loop {
             match routing.route(call) {
                 Routed::Go { fence, address, timeout, allowed } => {
-                    ask.patience = timeout.map_or(ask.patience, |most| ask.patience.min(most));
+                    ask.timeout = timeout.map_or(ask.timeout, |limit| ask.timeout.min(limit));
                     return Ok(Target { fence: Some(fence), address, allowed });
                 }
                 Routed::Wait(until) => {
-                    let left = (ask.started + ask.patience)
+                    let left = (ask.started + ask.timeout)
                         .saturating_duration_since(Instant::now())
                         .min(*wait_budget);
                     if left.is_zero() {
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -50,8 +50,8 @@
 /// Encodes a call. If the fleet's routes have been activated, the call carries a fourth field, `TURN.VERSION`: a service
 /// that supports it refuses calls of a lower turn than it has seen, with `ID stale`. Without routes, and before the first
 /// activation, this field is left out.
-pub fn encode_ask(handle: Handle, patience: Duration, body: &[u8], fence: Option<Fence>) -> Vec<u8> {
-    let ms = patience.as_millis().max(1);
+pub fn encode_ask(handle: Handle, timeout: Duration, body: &[u8], fence: Option<Fence>) -> Vec<u8> {
+    let ms = timeout.as_millis().max(1);
     let fence = fence.filter(|f| f.turn > 0).map_or(String::new(), |f| format!(" {}.{}", f.turn, f.version));
     [format!("ask {handle} {ms} {}{fence}\r\n", body.len()).as_bytes(), body, b"\r\n"].concat()
 }
