--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -364,7 +364,7 @@
                         attempt,
                         fresh,
                         earlier,
-                        patience,
+                        timeout: patience,
                         body,
                         route,
                     }),
