--- a/tests/program/scgi.rs
+++ b/tests/program/scgi.rs
@@ -265,7 +265,7 @@
     // Requests are served near the capacity, some are refused, and every answer arrives by its deadline.
     assert!(share(http) > 0.4 && http.refused > 0 && scgi.refused > 0, "{answers:?}");
     assert!(
-        answers.iter().all(|answers| answers.slowest < Duration::from_millis(TIMEOUT_MS + 100)),
+        answers.iter().all(|frontend| frontend.slowest < Duration::from_millis(TIMEOUT_MS + 100)),
         "{answers:?}"
     );
     assert_eq!(program.counter("taken_in"), 2 * REQUESTS_PER_FRONTEND as u64);
