--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -92,13 +92,13 @@
 
 /// How the calls of one class stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum RouteState {
     /// They are made.
     Open,
     /// They are answered without, as long as there is no lease.
-    LeaveOut,
+    Skip,
     /// There is no lease, and the table allows no answer without the call: requests are turned away at once.
-    Shut,
+    Closed,
 }
 
 /// What an operator wants of the fleet.
@@ -232,13 +232,13 @@
     }
 
     /// How calls stand without a lease: left out only where each route of the class allows that.
-    fn without(table: Option<&Table>, class: &str) -> Way {
+    fn without(table: Option<&Table>, class: &str) -> RouteState {
         let mut routes = table.iter().flat_map(|t| &t.routes).filter(|r| r.class == class).peekable();
         let some = routes.peek().is_some();
         if some && routes.all(|r| r.without) {
-            Way::LeaveOut
+            RouteState::Skip
         } else {
-            Way::Shut
+            RouteState::Closed
         }
     }
 }
@@ -272,10 +272,10 @@
     }
 
     /// How the calls of each named class stand now, in the order given.
-    pub fn ways(&self, classes: &[String]) -> Vec<Way> {
+    pub fn ways(&self, classes: &[String]) -> Vec<RouteState> {
         let held = self.held();
         if held.member.ready(self.0.clock.now()) {
-            return vec![Way::Open; classes.len()];
+            return vec![RouteState::Open; classes.len()];
         }
         classes.iter().map(|class| Held::without(held.member.table(), class)).collect()
     }
@@ -394,7 +394,7 @@
     fn calls_follow_the_lease_the_table_and_the_weights() {
         let (routing, classes) = (routing(), ["seat".to_string(), "look".to_string()]);
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (false, Routed::Barred));
-        assert_eq!(routing.ways(&classes), [Way::Shut, Way::Shut]);
+        assert_eq!(routing.ways(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
         let own = Routed::Go { fence: Fence::default(), address: None, timeout: None, allowed: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, own));
@@ -402,7 +402,7 @@
         let fence = Fence { turn: 1, version: 1 };
         let active = Activation { fence, hash: Table::parse(TABLE).unwrap().hash() };
         grant(&routing, Duration::from_secs(60), Some(active));
-        assert_eq!(routing.ways(&classes), [Way::Open, Way::Open]);
+        assert_eq!(routing.ways(&classes), [RouteState::Open, RouteState::Open]);
         let ports: Vec<_> = (0..4000).filter_map(|_| to(routing.route(&call("seat", None, b"")))).collect();
         let first = ports.iter().filter(|port| **port == 1).count();
         assert!((2990..=3010).contains(&first) && ports.len() == 4000, "{first}");
@@ -423,7 +423,7 @@
             Activation { fence: Fence { turn: 1, version: 1 }, hash: Table::parse(TABLE).unwrap().hash() };
         grant(&routing, Duration::ZERO, Some(active));
         assert!(!routing.ready());
-        assert_eq!(routing.ways(&["seat".into(), "look".into()]), [Way::Shut, Way::LeaveOut]);
+        assert_eq!(routing.ways(&["seat".into(), "look".into()]), [RouteState::Closed, RouteState::Skip]);
         assert!(routing.metrics().contains("barred_calls_total 0"));
     }
 
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -24,7 +24,7 @@
     /// Routes a call at this moment.
     fn route(&self, call: &Call) -> Routed;
     /// The route state of each named class, in the given order.
-    fn route_states(&self, classes: &[String]) -> Vec<routing::Way>;
+    fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState>;
     /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no table.
     fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)>;
     /// Whether the active version is known, its table is present, and the lease holds.
@@ -44,7 +44,7 @@
         self.route(call)
     }
 
-    fn route_states(&self, classes: &[String]) -> Vec<routing::Way> {
+    fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState> {
         self.ways(classes)
     }
 
@@ -76,9 +76,9 @@
 /// The route states of these classes, with the names of the classes.
 pub(super) fn route_states(router: &dyn Router, classes: &[String]) -> Vec<(String, RouteState)> {
     let convert = |state| match state {
-        routing::Way::Open => RouteState::Open,
-        routing::Way::LeaveOut => RouteState::Skip,
-        routing::Way::Shut => RouteState::Closed,
+        routing::RouteState::Open => RouteState::Open,
+        routing::RouteState::Skip => RouteState::Skip,
+        routing::RouteState::Closed => RouteState::Closed,
     };
     let states = router.route_states(classes).into_iter().map(convert);
     classes.iter().cloned().zip(states).collect()
@@ -209,8 +209,8 @@
             results[0]
         }
 
-        fn route_states(&self, classes: &[String]) -> Vec<routing::Way> {
-            vec![routing::Way::Open; classes.len()]
+        fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState> {
+            vec![routing::RouteState::Open; classes.len()]
         }
 
         fn call_limits(&self, _known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
