--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -272,7 +272,7 @@
     }
 
     /// How the calls of each named class stand now, in the order given.
-    pub fn ways(&self, classes: &[String]) -> Vec<RouteState> {
+    pub fn route_states(&self, classes: &[String]) -> Vec<RouteState> {
         let held = self.held();
         if held.member.ready(self.0.clock.now()) {
             return vec![RouteState::Open; classes.len()];
@@ -281,7 +281,7 @@
     }
 
     /// What the routes in force allow, and under which fence; nothing if that is `known`, or without a table.
-    pub fn allowed(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+    pub fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
         let held = self.held();
         let fence = held.member.in_force(self.0.clock.now()).filter(|fence| known != Some(*fence))?;
         let routes = held.member.table_under(fence)?.routes.iter().map(|route| Allows {
@@ -311,7 +311,7 @@
     }
 
     /// A service refused a call of an older turn.
-    pub fn stale(&self) {
+    pub fn count_stale(&self) {
         self.0.metrics.stale.inc();
     }
 
@@ -394,7 +394,7 @@
     fn calls_follow_the_lease_the_table_and_the_weights() {
         let (routing, classes) = (routing(), ["seat".to_string(), "look".to_string()]);
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (false, Routed::Barred));
-        assert_eq!(routing.ways(&classes), [RouteState::Closed, RouteState::Closed]);
+        assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
         let own = Routed::Go { fence: Fence::default(), address: None, timeout: None, allowed: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, own));
@@ -402,7 +402,7 @@
         let fence = Fence { turn: 1, version: 1 };
         let active = Activation { fence, hash: Table::parse(TABLE).unwrap().hash() };
         grant(&routing, Duration::from_secs(60), Some(active));
-        assert_eq!(routing.ways(&classes), [RouteState::Open, RouteState::Open]);
+        assert_eq!(routing.route_states(&classes), [RouteState::Open, RouteState::Open]);
         let ports: Vec<_> = (0..4000).filter_map(|_| to(routing.route(&call("seat", None, b"")))).collect();
         let first = ports.iter().filter(|port| **port == 1).count();
         assert!((2990..=3010).contains(&first) && ports.len() == 4000, "{first}");
@@ -423,7 +423,10 @@
             Activation { fence: Fence { turn: 1, version: 1 }, hash: Table::parse(TABLE).unwrap().hash() };
         grant(&routing, Duration::ZERO, Some(active));
         assert!(!routing.ready());
-        assert_eq!(routing.ways(&["seat".into(), "look".into()]), [RouteState::Closed, RouteState::Skip]);
+        assert_eq!(
+            routing.route_states(&["seat".into(), "look".into()]),
+            [RouteState::Closed, RouteState::Skip]
+        );
         assert!(routing.metrics().contains("barred_calls_total 0"));
     }
 
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -45,11 +45,11 @@
     }
 
     fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState> {
-        self.ways(classes)
+        self.route_states(classes)
     }
 
     fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
-        self.allowed(known)
+        self.call_limits(known)
     }
 
     fn ready(&self) -> bool {
@@ -61,7 +61,7 @@
     }
 
     fn count_stale(&self) {
-        self.stale();
+        self.count_stale();
     }
 
     fn metrics(&self) -> String {
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -309,7 +309,7 @@
     fleet.drivers.drain(..).for_each(|d| d.leave());
     fleet.drivers = rest;
     fleet.wait("the end of the lease", |d| routed(d) == Routed::Barred && !d.routing().ready());
-    assert_eq!(fleet.drivers[0].routing().ways(&["seat".to_string()]), [RouteState::Closed]);
+    assert_eq!(fleet.drivers[0].routing().route_states(&["seat".to_string()]), [RouteState::Closed]);
     let told = fleet.order(0, Order::Activate { version: 1 });
     assert!(matches!(told, Err(OrderError::NoLeader { .. })), "{told:?}");
     let here = fleet.order(0, Order::Show).unwrap();
