--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -9,7 +9,7 @@
 use super::{ActiveRequest, Core, Phase};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{Allowed, Allows, Call};
+use crate::fleet::routing::{Allows, Call, CallLimits};
 use crate::interface::{self, Event, RequestId, RouteState};
 
 /// What the fleet reports about the calls of each class, by the name of the class.
@@ -23,14 +23,14 @@
 #[derive(Debug, Default)]
 struct LimitsOfClass {
     /// The limits of the class's own route.
-    default: Option<Allowed>,
+    default: Option<CallLimits>,
     /// The limits of routes for single tenants, by the name of the tenant.
-    tenants: HashMap<String, Allowed>,
+    tenants: HashMap<String, CallLimits>,
 }
 
 impl ClassRoutes {
     /// The call limits of the tenant's own route or, if it has none, of the class's route.
-    fn limits(&self, class: &str, tenant: Option<&str>) -> Option<Allowed> {
+    fn limits(&self, class: &str, tenant: Option<&str>) -> Option<CallLimits> {
         let limits = self.limits.get(class)?;
         tenant.and_then(|tenant| limits.tenants.get(tenant)).copied().or(limits.default)
     }
@@ -45,7 +45,7 @@
     /// The fence under which a call of the request was last sent.
     last_fence: Option<Fence>,
     /// The call limits of the route, as reported to the decision module.
-    limits: Option<Allowed>,
+    limits: Option<CallLimits>,
     /// The request must be served by then to count as served in time.
     target_time: Duration,
 }
@@ -53,7 +53,7 @@
 impl RouteKey {
     /// Whether the route allows the request to be answered without its call.
     pub(super) fn allows_skipping(&self) -> bool {
-        self.limits.is_none_or(|limits| limits.without)
+        self.limits.is_none_or(|limits| limits.may_skip)
     }
 
     /// Describes a call of the request, which is of this class, to the fleet's routing.
@@ -80,8 +80,8 @@
 }
 
 /// The event that reports the call limits of a request to the decision module.
-fn limits_event(id: RequestId, Allowed { tries, without }: Allowed) -> Event {
-    Event::CallLimits { id, limits: interface::CallLimits { max_tries: tries, may_skip: without } }
+fn limits_event(id: RequestId, CallLimits { max_tries, may_skip }: CallLimits) -> Event {
+    Event::CallLimits { id, limits: interface::CallLimits { max_tries, may_skip } }
 }
 
 impl Core {
@@ -157,7 +157,7 @@
 
     /// Handles a call that is sent under another version of the routes than was reported to the decision module: from
     /// here on, the limits of that version hold for its request.
-    pub(super) fn change_call_limits(&mut self, handle: Handle, attempt: u32, limits: Option<Allowed>) {
+    pub(super) fn change_call_limits(&mut self, handle: Handle, attempt: u32, limits: Option<CallLimits>) {
         let Some(&id) = self.handles.get(&handle) else { return };
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.call.attempt == attempt)
         else {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -149,7 +149,7 @@
         /// The number of the attempt.
         attempt: u32,
         /// The limits of that route; `None` for the decision module's own limits.
-        limits: Option<routing::Allowed>,
+        limits: Option<routing::CallLimits>,
     },
     /// The process was asked to stop.
     Drain {
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -38,22 +38,22 @@
     /// What an earlier call of the request went out under.
     pub tried: Option<Fence>,
     /// What whoever makes it goes by; nothing where no table is known there.
-    pub allowed: Option<Allowed>,
+    pub allowed: Option<CallLimits>,
 }
 
 /// What a route allows of the calls of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct CallLimits {
     /// How often each is tried at most, from 1 to [`table::MOST_TRIES`].
-    pub tries: u8,
+    pub max_tries: u8,
     /// The request may be answered without.
-    pub without: bool,
+    pub may_skip: bool,
 }
 
-impl Allowed {
+impl CallLimits {
     fn by(route: &table::Route) -> Self {
         // The table was checked: the bound keeps a number that never was in one from turning into another.
-        Self { tries: route.tries.min(table::MOST_TRIES) as u8, without: route.without }
+        Self { max_tries: route.tries.min(table::MOST_TRIES) as u8, may_skip: route.without }
     }
 }
 
@@ -65,7 +65,7 @@
     /// Of which tenant; every one that has no route of its own if there is none.
     pub tenant: Option<String>,
     /// What.
-    pub allowed: Allowed,
+    pub allowed: CallLimits,
 }
 
 /// What becomes of a call at this moment.
@@ -80,7 +80,7 @@
         /// It may take no longer, whatever the module allows; none for no bound.
         timeout: Option<Duration>,
         /// What its route allows; none for the module's own bounds.
-        allowed: Option<Allowed>,
+        allowed: Option<CallLimits>,
     },
     /// Inside the uncertainty of a switch: ask again then.
     Wait(Instant),
@@ -219,7 +219,7 @@
             });
             let pool = table.pools.get(arm.map_or(&route.pool, |a| &a.pool))?;
             let timeout = Duration::from_millis(route.timeout_ms.into());
-            Some((address(pool, *spread)?, timeout, Allowed::by(route)))
+            Some((address(pool, *spread)?, timeout, CallLimits::by(route)))
         });
         match found {
             Some((address, timeout, allowed)) => {
@@ -287,7 +287,7 @@
         let routes = held.member.table_under(fence)?.routes.iter().map(|route| Allows {
             class: route.class.clone(),
             tenant: route.tenant.clone(),
-            allowed: Allowed::by(route),
+            allowed: CallLimits::by(route),
         });
         Some((fence, routes.collect()))
     }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -24,7 +24,7 @@
 use super::{spawn, Hub};
 use crate::core::{Bytes, End, Handle, Input, ReplyDigest};
 use crate::fleet::routes::{Fence, MOST_BOUND};
-use crate::fleet::routing::{Allowed, Call, Routed};
+use crate::fleet::routing::{Call, CallLimits, Routed};
 
 pub use wire::{encode_ask, parse_reply, ReplyParser};
 
@@ -232,7 +232,7 @@
     /// `None` for the vault that the configuration names.
     address: Option<SocketAddr>,
     /// `None` for the decision module's own limits.
-    allowed: Option<Allowed>,
+    allowed: Option<CallLimits>,
 }
 
 /// A connected call that is ready to be written.
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -6,7 +6,7 @@
 use hopwalk::core::*;
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::routes::Fence;
-use hopwalk::fleet::routing::{Allowed, Allows, Call};
+use hopwalk::fleet::routing::{Allows, Call, CallLimits};
 use hopwalk::interface::RouteState;
 use hopwalk::settings::Site;
 use rstest::rstest;
@@ -291,10 +291,10 @@
     assert_eq!(bench.counted_kinds(), [Kind::Served, Kind::Late, Kind::Failed, Kind::TurnedAway]);
 }
 
-const ONCE: Allowed = Allowed { tries: 1, without: false };
-const TWICE: Allowed = Allowed { tries: 2, without: true };
+const ONCE: CallLimits = CallLimits { max_tries: 1, may_skip: false };
+const TWICE: CallLimits = CallLimits { max_tries: 2, may_skip: true };
 
-fn limits(class: &str, tenant: Option<&str>, allowed: Allowed) -> Allows {
+fn limits(class: &str, tenant: Option<&str>, allowed: CallLimits) -> Allows {
     Allows { class: class.into(), tenant: tenant.map(Into::into), allowed }
 }
 
