--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -9,7 +9,7 @@
 use super::{ActiveRequest, Core, Phase};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{Allows, Call, CallLimits};
+use crate::fleet::routing::{Call, CallLimits, RouteLimits};
 use crate::interface::{self, Event, RequestId, RouteState};
 
 /// What the fleet reports about the calls of each class, by the name of the class.
@@ -126,14 +126,14 @@
 
     /// Takes over the call limits of new routes. They hold also for requests whose call waits in this process and
     /// that have not sent a call yet.
-    pub(super) fn set_call_limits(&mut self, routes: Vec<Allows>) {
+    pub(super) fn set_call_limits(&mut self, routes: Vec<RouteLimits>) {
         let by_class = &mut self.routes.get_or_insert_default().limits;
         by_class.clear();
-        for Allows { class, tenant, allowed } in routes {
+        for RouteLimits { class, tenant, limits: call_limits } in routes {
             let limits = by_class.entry(class).or_default();
             match tenant {
-                Some(tenant) => drop(limits.tenants.insert(tenant, allowed)),
-                None => limits.default = Some(allowed),
+                Some(tenant) => drop(limits.tenants.insert(tenant, call_limits)),
+                None => limits.default = Some(call_limits),
             }
         }
         let is_waiting =
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -141,7 +141,7 @@
     /// The route state of each named class, where the fleet routes calls. Classes that are not named are open.
     RouteStates(Vec<(String, RouteState)>),
     /// The call limits of all routes that are in force from now on; at most one entry for each route of the table.
-    CallLimits(Vec<routing::Allows>),
+    CallLimits(Vec<routing::RouteLimits>),
     /// A call is being sent under a route whose limits differ from those that were known when the call was ordered.
     CallRouteChanged {
         /// The request that the call is for.
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -59,13 +59,13 @@
 
 /// What the route of a class, and where set of one tenant of it, allows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Allows {
+pub struct RouteLimits {
     /// Of which class.
     pub class: String,
     /// Of which tenant; every one that has no route of its own if there is none.
     pub tenant: Option<String>,
     /// What.
-    pub allowed: CallLimits,
+    pub limits: CallLimits,
 }
 
 /// What becomes of a call at this moment.
@@ -281,13 +281,13 @@
     }
 
     /// What the routes in force allow, and under which fence; nothing if that is `known`, or without a table.
-    pub fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+    pub fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)> {
         let held = self.held();
         let fence = held.member.in_force(self.0.clock.now()).filter(|fence| known != Some(*fence))?;
-        let routes = held.member.table_under(fence)?.routes.iter().map(|route| Allows {
+        let routes = held.member.table_under(fence)?.routes.iter().map(|route| RouteLimits {
             class: route.class.clone(),
             tenant: route.tenant.clone(),
-            allowed: CallLimits::by(route),
+            limits: CallLimits::by(route),
         });
         Some((fence, routes.collect()))
     }
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -10,7 +10,7 @@
 use crate::core::Input;
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{self, Allows, Call, Order, OrderError, Routed, Routing};
+use crate::fleet::routing::{self, Call, Order, OrderError, RouteLimits, Routed, Routing};
 use crate::interface::RouteState;
 
 /// Interval at which the route states and call limits are checked for changes.
@@ -26,7 +26,7 @@
     /// The route state of each named class, in the given order.
     fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState>;
     /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no table.
-    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)>;
+    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)>;
     /// Whether the active version is known, its table is present, and the lease holds.
     fn ready(&self) -> bool;
     /// Counts how a request of an experiment was answered.
@@ -48,7 +48,7 @@
         self.route_states(classes)
     }
 
-    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+    fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)> {
         self.call_limits(known)
     }
 
@@ -213,7 +213,7 @@
             vec![routing::RouteState::Open; classes.len()]
         }
 
-        fn call_limits(&self, _known: Option<Fence>) -> Option<(Fence, Vec<Allows>)> {
+        fn call_limits(&self, _known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)> {
             None
         }
 
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -6,7 +6,7 @@
 use hopwalk::core::*;
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::routes::Fence;
-use hopwalk::fleet::routing::{Allows, Call, CallLimits};
+use hopwalk::fleet::routing::{Call, CallLimits, RouteLimits};
 use hopwalk::interface::RouteState;
 use hopwalk::settings::Site;
 use rstest::rstest;
@@ -294,8 +294,8 @@
 const ONCE: CallLimits = CallLimits { max_tries: 1, may_skip: false };
 const TWICE: CallLimits = CallLimits { max_tries: 2, may_skip: true };
 
-fn limits(class: &str, tenant: Option<&str>, allowed: CallLimits) -> Allows {
-    Allows { class: class.into(), tenant: tenant.map(Into::into), allowed }
+fn limits(class: &str, tenant: Option<&str>, limits: CallLimits) -> RouteLimits {
+    RouteLimits { class: class.into(), tenant: tenant.map(Into::into), limits }
 }
 
 #[rstest]
