--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -62,8 +62,8 @@
             class: class.to_string(),
             tenant: self.tenant.as_deref().map(str::to_string),
             subject: self.subject.clone(),
-            tried: self.last_fence,
-            allowed: self.limits,
+            last_fence: self.last_fence,
+            limits: self.limits,
         }
     }
 
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -36,9 +36,9 @@
     /// What the request is about: draws its arm.
     pub subject: Vec<u8>,
     /// What an earlier call of the request went out under.
-    pub tried: Option<Fence>,
+    pub last_fence: Option<Fence>,
     /// What whoever makes it goes by; nothing where no table is known there.
-    pub allowed: Option<CallLimits>,
+    pub limits: Option<CallLimits>,
 }
 
 /// What a route allows of the calls of a request.
@@ -80,7 +80,7 @@
         /// It may take no longer, whatever the module allows; none for no bound.
         timeout: Option<Duration>,
         /// What its route allows; none for the module's own bounds.
-        allowed: Option<CallLimits>,
+        limits: Option<CallLimits>,
     },
     /// Inside the uncertainty of a switch: ask again then.
     Wait(Instant),
@@ -202,7 +202,7 @@
 impl Held {
     fn go(&mut self, fence: Fence, call: &Call, clock: &Clock) -> Routed {
         if fence.turn == 0 {
-            return Routed::Go { fence, address: None, timeout: None, allowed: None };
+            return Routed::Go { fence, address: None, timeout: None, limits: None };
         }
         self.spread = self.spread.wrapping_add(1);
         let Self { member, counter, spread, .. } = self;
@@ -222,9 +222,9 @@
             Some((address(pool, *spread)?, timeout, CallLimits::by(route)))
         });
         match found {
-            Some((address, timeout, allowed)) => {
-                let (address, timeout, allowed) = (Some(address), Some(timeout), Some(allowed));
-                Routed::Go { fence, address, timeout, allowed }
+            Some((address, timeout, limits)) => {
+                let (address, timeout, limits) = (Some(address), Some(timeout), Some(limits));
+                Routed::Go { fence, address, timeout, limits }
             }
             // A class that came into the settings after the table was checked.
             None => Routed::Barred,
@@ -259,7 +259,7 @@
     pub fn route(&self, call: &Call) -> Routed {
         let mut held = self.held();
         let now = self.0.clock.now();
-        let routed = match held.member.route(now, Request { read: now, tried: call.tried, ran: None }) {
+        let routed = match held.member.route(now, Request { read: now, tried: call.last_fence, ran: None }) {
             Route::Go(fence) => held.go(fence, call, &self.0.clock),
             Route::Wait(at) => Routed::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
             Route::Ended(fence) => Routed::Ended(fence),
@@ -396,7 +396,7 @@
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (false, Routed::Barred));
         assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
-        let own = Routed::Go { fence: Fence::default(), address: None, timeout: None, allowed: None };
+        let own = Routed::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, own));
 
         let fence = Fence { turn: 1, version: 1 };
@@ -408,9 +408,9 @@
         assert!((2990..=3010).contains(&first) && ports.len() == 4000, "{first}");
         assert_eq!(to(routing.route(&call("look", Some("t"), b""))), Some(3));
         assert_eq!(to(routing.route(&call("look", Some("u"), b""))).unwrap() / 3, 0);
-        let tried = Some(Fence::default());
+        let last_fence = Some(Fence::default());
         assert_eq!(
-            routing.route(&Call { tried, ..call("seat", None, b"") }),
+            routing.route(&Call { last_fence, ..call("seat", None, b"") }),
             Routed::Ended(Fence::default())
         );
         assert_eq!(routing.route(&call("new-class", None, b"")), Routed::Barred);
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -270,12 +270,12 @@
     fn serve(&mut self, setup: &Setup, random: &mut Random, now: u64) -> Seen {
         let _entered = self.runtime.enter();
         let (routing, mut seen) = (self.inside.routing(), Seen::default());
-        let call = |subject: u64, tried| Call {
+        let call = |subject: u64, last_fence| Call {
             class: "seat".into(),
             tenant: None,
             subject: subject.to_le_bytes().into(),
-            tried,
-            allowed: None,
+            last_fence,
+            limits: None,
         };
         if let Routed::Go { fence, .. } = routing.route(&call(0, None)) {
             seen.acts = Some(fence);
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -232,7 +232,7 @@
     /// `None` for the vault that the configuration names.
     address: Option<SocketAddr>,
     /// `None` for the decision module's own limits.
-    allowed: Option<CallLimits>,
+    limits: Option<CallLimits>,
 }
 
 /// A connected call that is ready to be written.
@@ -344,9 +344,9 @@
                 drop(pool);
                 // The reducer receives the limits of this version before the end of the call, because they decide what
                 // happens after that.
-                if ask.route.as_ref().is_some_and(|call| call.allowed != now.allowed) {
-                    let (handle, attempt, allowed) = (ask.handle, ask.attempt, now.allowed);
-                    self.hub.push(Input::CallRouteChanged { handle, attempt, limits: allowed });
+                if ask.route.as_ref().is_some_and(|call| call.limits != now.limits) {
+                    let (handle, attempt, limits) = (ask.handle, ask.attempt, now.limits);
+                    self.hub.push(Input::CallRouteChanged { handle, attempt, limits });
                 }
                 return Ok(Ready { conn, address, epoch, fence: target.fence, previous });
             }
@@ -392,12 +392,13 @@
         let Some(routing) = &self.hub.routing else { return Ok(Target::default()) };
         // Without these properties nothing is known about earlier calls of the request.
         let Some(call) = &mut ask.route else { return Err(End::Barred) };
-        call.tried = lock(self.pool).sent_fences.get(&ask.handle).map(|sent| sent.fence).or(call.tried);
+        call.last_fence =
+            lock(self.pool).sent_fences.get(&ask.handle).map(|sent| sent.fence).or(call.last_fence);
         loop {
             match routing.route(call) {
-                Routed::Go { fence, address, timeout, allowed } => {
+                Routed::Go { fence, address, timeout, limits } => {
                     ask.patience = timeout.map_or(ask.patience, |most| ask.patience.min(most));
-                    return Ok(Target { fence: Some(fence), address, allowed });
+                    return Ok(Target { fence: Some(fence), address, limits });
                 }
                 Routed::Wait(until) => {
                     let left = (ask.started + ask.patience)
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -55,7 +55,7 @@
 
 /// A routing result that sends the call to `service`, under this turn.
 fn route_to(turn: u64, service: Option<&Service>) -> Routed {
-    Routed::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, allowed: None }
+    Routed::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, limits: None }
 }
 
 struct Bench {
@@ -155,7 +155,7 @@
     for _ in 0..2 {
         assert_eq!(bench.next_end().1, Some(fence(1)));
     }
-    let tried: Vec<_> = bench.router.routed_calls().iter().map(|call| call.tried).collect();
+    let tried: Vec<_> = bench.router.routed_calls().iter().map(|call| call.last_fence).collect();
     assert_eq!((tried.first(), tried.last()), (Some(&None), Some(&Some(fence(1)))));
 }
 
@@ -173,7 +173,7 @@
     }
     let timeout = Some(Duration::from_millis(30));
     let bench = Bench::new(
-        [Routed::Go { fence: fence(1), address: Some(silent.address), timeout, allowed: None }],
+        [Routed::Go { fence: fence(1), address: Some(silent.address), timeout, limits: None }],
         None,
     );
     let since = Instant::now();
@@ -200,7 +200,7 @@
         bench.ask(attempt, true, TIMEOUT);
         assert_eq!(bench.next_end(), (End::NotNow, None));
     }
-    assert!(bench.router.routed_calls().iter().all(|call| call.tried.is_none()));
+    assert!(bench.router.routed_calls().iter().all(|call| call.last_fence.is_none()));
 }
 
 /// Starts a service that follows one script per connection, in the order of the connections. Returns its address.
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -168,12 +168,12 @@
     bench.request_call(20, first);
     bench.call_ended(30, first, End::Failed, Some(FENCE));
     bench.advance_to(400);
-    let tried: Vec<_> = bench.calls().into_iter().map(|call| call.unwrap().tried).collect();
+    let tried: Vec<_> = bench.calls().into_iter().map(|call| call.unwrap().last_fence).collect();
     assert_eq!(tried, [None, Some(FENCE)]);
     // An attempt that was never sent does not change the fence.
     bench.call_ended(410, first, End::Barred, None);
     bench.advance_to(900);
-    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().tried, Some(FENCE));
+    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().last_fence, Some(FENCE));
 }
 
 #[test]
@@ -189,7 +189,7 @@
         Input::CallEnded { handle: first, attempt, end: End::Overdue, reply: None, fence: Some(FENCE) },
     );
     bench.advance_to(400);
-    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().tried, Some(FENCE));
+    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().last_fence, Some(FENCE));
 }
 
 #[rstest]
@@ -333,7 +333,7 @@
     bench.advance_to(400);
     assert_eq!(bench.calls().len(), 2, "the old version allows two tries");
     bench.request_call(410, later);
-    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().allowed, Some(ONCE));
+    assert_eq!(bench.calls().last().unwrap().as_ref().unwrap().limits, Some(ONCE));
     bench.step(
         420,
         Input::CallEnded { handle: later, attempt: 3, end: End::Failed, reply: None, fence: Some(FENCE) },
