--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -70,7 +70,7 @@
 
 /// What becomes of a call at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Routed {
+pub enum RouteDecision {
     /// Made now.
     Go {
         /// Carried by the call; turn 0 is the configuration's own vault, before any activation.
@@ -200,9 +200,9 @@
 }
 
 impl Held {
-    fn go(&mut self, fence: Fence, call: &Call, clock: &Clock) -> Routed {
+    fn go(&mut self, fence: Fence, call: &Call, clock: &Clock) -> RouteDecision {
         if fence.turn == 0 {
-            return Routed::Go { fence, address: None, timeout: None, limits: None };
+            return RouteDecision::Go { fence, address: None, timeout: None, limits: None };
         }
         self.spread = self.spread.wrapping_add(1);
         let Self { member, counter, spread, .. } = self;
@@ -224,10 +224,10 @@
         match found {
             Some((address, timeout, limits)) => {
                 let (address, timeout, limits) = (Some(address), Some(timeout), Some(limits));
-                Routed::Go { fence, address, timeout, limits }
+                RouteDecision::Go { fence, address, timeout, limits }
             }
             // A class that came into the settings after the table was checked.
-            None => Routed::Barred,
+            None => RouteDecision::Barred,
         }
     }
 
@@ -256,16 +256,16 @@
     }
 
     /// What becomes of a call now.
-    pub fn route(&self, call: &Call) -> Routed {
+    pub fn route(&self, call: &Call) -> RouteDecision {
         let mut held = self.held();
         let now = self.0.clock.now();
         let routed = match held.member.route(now, Request { read: now, tried: call.last_fence, ran: None }) {
             Route::Go(fence) => held.go(fence, call, &self.0.clock),
-            Route::Wait(at) => Routed::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
-            Route::Ended(fence) => Routed::Ended(fence),
-            Route::FromKey(_) | Route::Barred => Routed::Barred,
+            Route::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
+            Route::Ended(fence) => RouteDecision::Ended(fence),
+            Route::FromKey(_) | Route::Barred => RouteDecision::Barred,
         };
-        if routed == Routed::Barred {
+        if routed == RouteDecision::Barred {
             self.0.metrics.barred.inc();
         }
         routed
@@ -383,9 +383,9 @@
         }
     }
 
-    fn to(routed: Routed) -> Option<u16> {
+    fn to(routed: RouteDecision) -> Option<u16> {
         match routed {
-            Routed::Go { address, .. } => address.map(|a| a.port()),
+            RouteDecision::Go { address, .. } => address.map(|a| a.port()),
             _ => None,
         }
     }
@@ -393,10 +393,13 @@
     #[test]
     fn calls_follow_the_lease_the_table_and_the_weights() {
         let (routing, classes) = (routing(), ["seat".to_string(), "look".to_string()]);
-        assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (false, Routed::Barred));
+        assert_eq!(
+            (routing.ready(), routing.route(&call("seat", None, b""))),
+            (false, RouteDecision::Barred)
+        );
         assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
-        let own = Routed::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
+        let own = RouteDecision::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, own));
 
         let fence = Fence { turn: 1, version: 1 };
@@ -411,9 +414,9 @@
         let last_fence = Some(Fence::default());
         assert_eq!(
             routing.route(&Call { last_fence, ..call("seat", None, b"") }),
-            Routed::Ended(Fence::default())
+            RouteDecision::Ended(Fence::default())
         );
-        assert_eq!(routing.route(&call("new-class", None, b"")), Routed::Barred);
+        assert_eq!(routing.route(&call("new-class", None, b"")), RouteDecision::Barred);
     }
 
     #[test]
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -21,7 +21,7 @@
 use crate::fleet::record::disk;
 use crate::fleet::routes::table::Known;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{Call, Routed};
+use crate::fleet::routing::{Call, RouteDecision};
 use crate::lab::random::Random;
 
 /// One tick.
@@ -277,7 +277,7 @@
             last_fence,
             limits: None,
         };
-        if let Routed::Go { fence, .. } = routing.route(&call(0, None)) {
+        if let RouteDecision::Go { fence, .. } = routing.route(&call(0, None)) {
             seen.acts = Some(fence);
         }
         seen.changed = seen.acts != self.acts;
@@ -295,7 +295,7 @@
             let Some(key) = self.keys.get_mut(&id) else { continue };
             let asked = call(id, key.tried);
             let (over, kind) = match routing.route(&asked) {
-                Routed::Go { fence, address, .. } => {
+                RouteDecision::Go { fence, address, .. } => {
                     if let Some(under) = key.under.filter(|under| *under != fence) {
                         seen.two = Some((id, under, fence));
                     }
@@ -306,9 +306,9 @@
                     let late = address == Some(service(1)) && id.is_multiple_of(5);
                     (key.left == 0, if late { Kind::Late } else { Kind::Served })
                 }
-                Routed::Wait(_) => (false, Kind::Served),
-                Routed::Ended(_) => (true, Kind::Failed),
-                Routed::Barred => {
+                RouteDecision::Wait(_) => (false, Kind::Served),
+                RouteDecision::Ended(_) => (true, Kind::Failed),
+                RouteDecision::Barred => {
                     key.next_ms = now_ms + 100;
                     key.left -= 1;
                     (key.left == 0, Kind::Failed)
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -358,7 +358,7 @@
     use super::*;
     use crate::fleet::door::{ask, send, DoorError};
     use crate::fleet::routes::record::RecordError;
-    use crate::fleet::routing::Routed;
+    use crate::fleet::routing::RouteDecision;
 
     const TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -377,7 +377,7 @@
 
     #[test]
     fn each_request_becomes_its_order_and_returns_the_document() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
@@ -402,7 +402,7 @@
 
     #[test]
     fn a_refusal_gives_the_reason_and_what_to_do() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
         double.set_answer(Err(OrderError::Refused(error.clone().into())));
@@ -425,7 +425,7 @@
     fn an_unanswered_order_does_not_block_other_requests() {
         // Guards against orders that block a worker thread: as many orders as there are worker threads would stop the
         // whole endpoint.
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         double.leave_unanswered();
         let (at, _hub) = start_admin(Some(double.clone()));
         let since = Instant::now();
@@ -444,7 +444,7 @@
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
         assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
         double.set_ready(false);
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -10,7 +10,7 @@
 use crate::core::Input;
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{self, Call, Order, OrderError, RouteLimits, Routed, Routing};
+use crate::fleet::routing::{self, Call, Order, OrderError, RouteDecision, RouteLimits, Routing};
 use crate::interface::RouteState;
 
 /// Interval at which the route states and call limits are checked for changes.
@@ -22,7 +22,7 @@
 /// The interface to the fleet's routes; the program's implementation is [`Routing`]. No method waits for a peer.
 pub trait Router: Send + Sync {
     /// Routes a call at this moment.
-    fn route(&self, call: &Call) -> Routed;
+    fn route(&self, call: &Call) -> RouteDecision;
     /// The route state of each named class, in the given order.
     fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState>;
     /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no table.
@@ -40,7 +40,7 @@
 }
 
 impl Router for Routing {
-    fn route(&self, call: &Call) -> Routed {
+    fn route(&self, call: &Call) -> RouteDecision {
         self.route(call)
     }
 
@@ -151,7 +151,7 @@
 
     pub struct FakeRouter {
         /// The results of routing a call, one after the other; the last one is repeated.
-        results: Mutex<VecDeque<Routed>>,
+        results: Mutex<VecDeque<RouteDecision>>,
         routed_calls: Mutex<Vec<Call>>,
         orders: Mutex<Vec<(Order, String)>>,
         order_result: Mutex<OrderResult>,
@@ -162,7 +162,7 @@
     }
 
     impl FakeRouter {
-        pub fn with_answers(results: impl IntoIterator<Item = Routed>) -> Self {
+        pub fn with_answers(results: impl IntoIterator<Item = RouteDecision>) -> Self {
             Self {
                 results: Mutex::new(results.into_iter().collect()),
                 routed_calls: Mutex::default(),
@@ -200,7 +200,7 @@
     }
 
     impl Router for FakeRouter {
-        fn route(&self, call: &Call) -> Routed {
+        fn route(&self, call: &Call) -> RouteDecision {
             self.routed_calls.lock().unwrap().push(call.clone());
             let mut results = self.results.lock().unwrap();
             if results.len() > 1 {
@@ -266,7 +266,7 @@
     #[test]
     fn a_successor_waits_for_its_lease() {
         // Guards against an upgrade during which requests are refused until the new process has its first lease.
-        let router = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let router = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         router.set_ready(false);
         let (hub, _inbox) = test_hub(Some(router.clone()), None);
         let (sender, called) = channel();
@@ -279,7 +279,7 @@
 
     #[test]
     fn the_reducer_receives_the_route_states_before_anything_else() {
-        let (hub, inbox) = test_hub(Some(Arc::new(FakeRouter::with_answers([Routed::Barred]))), None);
+        let (hub, inbox) = test_hub(Some(Arc::new(FakeRouter::with_answers([RouteDecision::Barred]))), None);
         *hub.classes.lock().unwrap() = vec!["a".into(), "b".into()];
         start(&hub);
         let expected = [("a".to_string(), RouteState::Open), ("b".to_string(), RouteState::Open)];
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -24,7 +24,7 @@
 use super::{spawn, Hub};
 use crate::core::{Bytes, End, Handle, Input, ReplyDigest};
 use crate::fleet::routes::{Fence, MOST_BOUND};
-use crate::fleet::routing::{Call, CallLimits, Routed};
+use crate::fleet::routing::{Call, CallLimits, RouteDecision};
 
 pub use wire::{encode_ask, parse_reply, ReplyParser};
 
@@ -396,11 +396,11 @@
             lock(self.pool).sent_fences.get(&ask.handle).map(|sent| sent.fence).or(call.last_fence);
         loop {
             match routing.route(call) {
-                Routed::Go { fence, address, timeout, limits } => {
+                RouteDecision::Go { fence, address, timeout, limits } => {
                     ask.patience = timeout.map_or(ask.patience, |most| ask.patience.min(most));
                     return Ok(Target { fence: Some(fence), address, limits });
                 }
-                Routed::Wait(until) => {
+                RouteDecision::Wait(until) => {
                     let left = (ask.started + ask.patience)
                         .saturating_duration_since(Instant::now())
                         .min(*wait_budget);
@@ -411,8 +411,8 @@
                     crate::net::spawn::sleep(wait);
                     *wait_budget = wait_budget.saturating_sub(wait);
                 }
-                Routed::Ended(_) => return Err(End::Stale),
-                Routed::Barred => return Err(End::Barred),
+                RouteDecision::Ended(_) => return Err(End::Stale),
+                RouteDecision::Barred => return Err(End::Barred),
             }
         }
     }
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -54,8 +54,8 @@
 }
 
 /// A routing result that sends the call to `service`, under this turn.
-fn route_to(turn: u64, service: Option<&Service>) -> Routed {
-    Routed::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, limits: None }
+fn route_to(turn: u64, service: Option<&Service>) -> RouteDecision {
+    RouteDecision::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, limits: None }
 }
 
 struct Bench {
@@ -65,7 +65,7 @@
 }
 
 impl Bench {
-    fn new(results: impl IntoIterator<Item = Routed>, vault: Option<&Service>) -> Self {
+    fn new(results: impl IntoIterator<Item = RouteDecision>, vault: Option<&Service>) -> Self {
         let router = Arc::new(FakeRouter::with_answers(results));
         let (hub, inbox) = test_hub(Some(router.clone()), vault.map(|v| v.address));
         Self { link: Link::start(&hub), inbox, router }
@@ -115,7 +115,8 @@
     bench.ask(1, true, TIMEOUT);
     assert_eq!(bench.next_end(), (End::Complete, Some(fence(2))));
     assert_eq!((old.asks(), new.asks()), (vec![], vec![(0, "2.20".to_string())]));
-    for (second, end) in [(Routed::Barred, End::Barred), (Routed::Ended(fence(1)), End::Stale)] {
+    for (second, end) in [(RouteDecision::Barred, End::Barred), (RouteDecision::Ended(fence(1)), End::Stale)]
+    {
         let bench = Bench::new([route_to(1, Some(&old)), second], None);
         bench.ask(1, true, TIMEOUT);
         assert_eq!(bench.next_end(), (end, None));
@@ -127,12 +128,12 @@
 fn a_call_waits_for_a_switch_for_a_bounded_time() {
     let service = Service::start(YES_REPLY);
     let switch_end = Instant::now() + Duration::from_millis(8);
-    let bench = Bench::new([Routed::Wait(switch_end), route_to(2, Some(&service))], None);
+    let bench = Bench::new([RouteDecision::Wait(switch_end), route_to(2, Some(&service))], None);
     bench.ask(1, true, TIMEOUT);
     assert_eq!(bench.next_end(), (End::Complete, Some(fence(2))));
     assert!(Instant::now() >= switch_end);
     // A switch that never ends, as for a member whose clock is wrong.
-    let bench = Bench::new([Routed::Wait(Instant::now() + TIMEOUT)], None);
+    let bench = Bench::new([RouteDecision::Wait(Instant::now() + TIMEOUT)], None);
     let since = Instant::now();
     bench.ask(1, true, TIMEOUT);
     assert_eq!(bench.next_end(), (End::Barred, None));
@@ -173,7 +174,7 @@
     }
     let timeout = Some(Duration::from_millis(30));
     let bench = Bench::new(
-        [Routed::Go { fence: fence(1), address: Some(silent.address), timeout, limits: None }],
+        [RouteDecision::Go { fence: fence(1), address: Some(silent.address), timeout, limits: None }],
         None,
     );
     let since = Instant::now();
@@ -245,7 +246,7 @@
 
 /// Makes two calls of a request and returns the reply to the second one. The first call is answered on a connection of its
 /// own; `later_scripts` are those of the later connections.
-fn reply_to_second_call(later_scripts: &[fn(&mut Scripted)], results: Vec<Routed>) -> Option<Bytes> {
+fn reply_to_second_call(later_scripts: &[fn(&mut Scripted)], results: Vec<RouteDecision>) -> Option<Bytes> {
     fn first(side: &mut Scripted) {
         side.read_ask().unwrap();
         side.reply(REQUEST, "one");
@@ -284,7 +285,7 @@
         side.reply(REQUEST, "two");
     }
     // The call is connected and waits for a switch before it is written.
-    let wait = Routed::Wait(Instant::now() + Duration::from_millis(100));
+    let wait = RouteDecision::Wait(Instant::now() + Duration::from_millis(100));
     let reply = reply_to_second_call(
         &[early, then],
         vec![route_to(1, None), route_to(1, None), route_to(1, None), wait, route_to(1, None)],
@@ -320,7 +321,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().flatten().for_each(drop));
-    let wait = |ms| Routed::Wait(Instant::now() + Duration::from_millis(ms));
+    let wait = |ms| RouteDecision::Wait(Instant::now() + Duration::from_millis(ms));
     let (hub, inbox) = test_hub(
         Some(Arc::new(FakeRouter::with_answers([route_to(1, None), wait(100), route_to(1, None)]))),
         Some(address),
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -13,7 +13,7 @@
 use hopwalk::fleet::routes::record::{Applied, Entry, RecordError};
 use hopwalk::fleet::routes::table::Known;
 use hopwalk::fleet::routes::{Ask, Reply};
-use hopwalk::fleet::routing::{Call, Order, OrderError, RouteState, Routed};
+use hopwalk::fleet::routing::{Call, Order, OrderError, RouteDecision, RouteState};
 use hopwalk::fleet::wire::message::Running;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
 use hopwalk::lab::ports::ReservedPort;
@@ -106,13 +106,13 @@
     }
 }
 
-fn routed(driver: &Driver) -> Routed {
+fn routed(driver: &Driver) -> RouteDecision {
     driver.routing().route(&Call { class: "seat".into(), ..Call::default() })
 }
 
 fn turn(driver: &Driver) -> Option<u64> {
     match routed(driver) {
-        Routed::Go { fence, .. } => Some(fence.turn),
+        RouteDecision::Go { fence, .. } => Some(fence.turn),
         _ => None,
     }
 }
@@ -148,7 +148,7 @@
     }
     println!("all switched {} us after the first", first.unwrap().elapsed().as_micros());
     let to = |driver: &Driver| match routed(driver) {
-        Routed::Go { address, .. } => address,
+        RouteDecision::Go { address, .. } => address,
         _ => None,
     };
     assert!(fleet.drivers.iter().all(|d| to(d) == fleet.services[0].local_addr().ok()));
@@ -308,7 +308,7 @@
     let rest = fleet.drivers.split_off(2);
     fleet.drivers.drain(..).for_each(|d| d.leave());
     fleet.drivers = rest;
-    fleet.wait("the end of the lease", |d| routed(d) == Routed::Barred && !d.routing().ready());
+    fleet.wait("the end of the lease", |d| routed(d) == RouteDecision::Barred && !d.routing().ready());
     assert_eq!(fleet.drivers[0].routing().route_states(&["seat".to_string()]), [RouteState::Closed]);
     let told = fleet.order(0, Order::Activate { version: 1 });
     assert!(matches!(told, Err(OrderError::NoLeader { .. })), "{told:?}");
@@ -348,7 +348,7 @@
             subject += 1;
             let call =
                 Call { class: "seat".into(), subject: subject.to_le_bytes().into(), ..Call::default() };
-            let Routed::Go { address, .. } = driver.routing().route(&call) else { continue };
+            let RouteDecision::Go { address, .. } = driver.routing().route(&call) else { continue };
             let late = address == Some(at[0]) && subject.is_multiple_of(5);
             driver.routing().count(&call, if late { Kind::Late } else { Kind::Served });
         }
@@ -362,7 +362,7 @@
     assert!(why.is_some_and(|why| why.starts_with("new won: it served ")), "{told:#?}");
     println!("a winner after {} blocks, {} subjects", end["closed"], subject);
     for driver in &fleet.drivers {
-        assert!(matches!(routed(driver), Routed::Go { address, .. } if address == Some(at[1])));
+        assert!(matches!(routed(driver), RouteDecision::Go { address, .. } if address == Some(at[1])));
     }
     let history = fleet.order(2, Order::History).unwrap();
     assert_eq!(history["activations"].as_array().unwrap().len(), 2, "{history:#?}");
