--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -66,7 +66,7 @@
         Order::History => look(part, Look::History, PATIENCE).await?,
         Order::Start { document } => {
             let start: Start = serde_json::from_str(&document)
-                .map_err(|e| OrderError::Document { line: e.line(), column: e.column() })?;
+                .map_err(|e| OrderError::InvalidDocument { line: e.line(), column: e.column() })?;
             let (experiment, activate) = (start.experiment.starting(part.clock.unix()), start.activate);
             let name = experiment.name.clone();
             let entry = Experiments::Start { experiment, activate, by };
@@ -111,8 +111,8 @@
 /// Why an answer of another kind than the order's is none to it.
 fn unlike(answer: &Response, patience: Duration) -> OrderError {
     match answer {
-        Response::Unknown => OrderError::Unknown,
-        _ => OrderError::NoLeader { patience },
+        Response::Unknown => OrderError::UnknownOrder,
+        _ => OrderError::NoLeader { timeout: patience },
     }
 }
 
@@ -126,5 +126,5 @@
             }
         }
     };
-    timeout(patience, again).await.map_err(|_| OrderError::NoLeader { patience })
+    timeout(patience, again).await.map_err(|_| OrderError::NoLeader { timeout: patience })
 }
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -123,27 +123,27 @@
 pub enum OrderError {
     #[error("this matcher has no routes")]
     #[diagnostic(help("set `fleet.routes` in the appliance's file and restart it, or ask another matcher"))]
-    Off,
-    #[error("no answer from a leader in {} ms", patience.as_millis())]
+    NoRoutes,
+    #[error("no answer from a leader in {} ms", timeout.as_millis())]
     #[diagnostic(help(
         "`hopwalk fleet status` shows the voters that are heard: a majority of them is needed"
     ))]
-    NoLeader { patience: Duration },
+    NoLeader { timeout: Duration },
     #[error("the leader runs a version that does not know this order")]
     #[diagnostic(help("nothing was done: bring all voters to one version of hopwalk, then order again"))]
-    Unknown,
+    UnknownOrder,
     #[error("no document, line {line}, column {column}")]
     #[diagnostic(help("docs/experiments.md shows what starts an experiment"))]
-    Document { line: usize, column: usize },
+    InvalidDocument { line: usize, column: usize },
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admit(#[from] super::wire::message::AdmitError),
     #[error("{MOST_ORDERS} orders wait already")]
     #[diagnostic(help("wait for their answers, and order again"))]
-    Full,
+    QueueFull,
     #[error("the fleet's thread has ended")]
     #[diagnostic(help("look at this matcher's log, and restart it"))]
-    Gone,
+    ThreadEnded,
     #[error(transparent)]
     #[diagnostic(transparent)]
     Refused(#[from] super::decided::Refused),
@@ -321,8 +321,8 @@
         let asked = Asked { order, by: by.into(), answer: answer.clone() };
         let error = match self.0.orders.try_send(asked) {
             Ok(()) => return receiver,
-            Err(mpsc::error::TrySendError::Full(_)) => OrderError::Full,
-            Err(mpsc::error::TrySendError::Closed(_)) => OrderError::Gone,
+            Err(mpsc::error::TrySendError::Full(_)) => OrderError::QueueFull,
+            Err(mpsc::error::TrySendError::Closed(_)) => OrderError::ThreadEnded,
         };
         let _ = answer.send(Err(error));
         receiver
@@ -481,8 +481,8 @@
         let (routing, asked) = Routing::new(member, Clock::start(None), Metrics::new());
         let waiting: Vec<_> = (0..MOST_ORDERS).map(|_| routing.order(Order::Show, "anna")).collect();
         assert!(waiting.iter().all(|w| w.try_recv().is_err()));
-        assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::Full));
+        assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::QueueFull));
         drop(asked);
-        assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::Gone));
+        assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::ThreadEnded));
     }
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -318,15 +318,15 @@
 /// Executes an order; returns the status and body of the answer. It waits in a coroutine, for a limited time.
 fn execute_order(hub: &Hub, order: Order, operator: &str) -> (u16, String) {
     let result = match &hub.routing {
-        None => Err(OrderError::Off),
+        None => Err(OrderError::NoRoutes),
         Some(routing) => {
             let (answer, since) = (routing.order(order, operator), Instant::now());
             loop {
                 match answer.try_recv() {
                     Ok(result) => break result,
-                    Err(TryRecvError::Disconnected) => break Err(OrderError::Gone),
+                    Err(TryRecvError::Disconnected) => break Err(OrderError::ThreadEnded),
                     Err(TryRecvError::Empty) if since.elapsed() >= ORDER_TIMEOUT => {
-                        break Err(OrderError::NoLeader { patience: ORDER_TIMEOUT });
+                        break Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT });
                     }
                     Err(TryRecvError::Empty) => crate::net::spawn::sleep(ORDER_POLL_INTERVAL),
                 }
@@ -337,10 +337,10 @@
         Ok(document) => (200, document + "\n"),
         Err(e) => {
             let status = match e {
-                OrderError::Off => 404,
-                OrderError::NoLeader { .. } | OrderError::Gone | OrderError::Full => 503,
-                OrderError::Document { .. } => 400,
-                OrderError::Refused(_) | OrderError::Admit(_) | OrderError::Unknown => 409,
+                OrderError::NoRoutes => 404,
+                OrderError::NoLeader { .. } | OrderError::ThreadEnded | OrderError::QueueFull => 503,
+                OrderError::InvalidDocument { .. } => 400,
+                OrderError::Refused(_) | OrderError::Admit(_) | OrderError::UnknownOrder => 409,
             };
             (status, error_document(&e.to_string(), e.help().map(|help| help.to_string()).as_deref()))
         }
@@ -408,7 +408,7 @@
         double.set_answer(Err(OrderError::Refused(error.clone().into())));
         let (status, reason, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
         assert_eq!((status, reason, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.set_answer(Err(OrderError::NoLeader { patience: ORDER_TIMEOUT }));
+        double.set_answer(Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT }));
         let (status, reason, help) = refused(ask(at, "GET", "/fleet/routes", TIMEOUT));
         assert!(status == 503 && reason.contains("leader") && !help.is_empty(), "{reason}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -337,7 +337,7 @@
         "least_blocks":10}}"#;
     assert!(matches!(
         fleet.order(0, Order::Start { document: "{}".into() }),
-        Err(OrderError::Document { line: 1, .. })
+        Err(OrderError::InvalidDocument { line: 1, .. })
     ));
     assert_eq!(fleet.order(3, Order::Start { document: document.into() }).unwrap()["started"], "e");
     // The old way is late one time in five: known from the subject, so the same at each play.
