--- a/src/fleet/door.rs
+++ b/src/fleet/admin_client.rs
@@ -13,37 +13,37 @@
 
 /// Why a question has no good answer.
 #[derive(Debug, Error, Diagnostic)]
-pub enum DoorError {
+pub enum AdminClientError {
     /// The door cannot be reached, or breaks off.
-    #[error("{door}: {said}")]
+    #[error("{address}: {reason}")]
     #[diagnostic(help("check that the matcher runs, and that --admin names its `admin` address"))]
     Io {
         /// Which door.
-        door: SocketAddr,
+        address: SocketAddr,
         /// What the system says.
-        said: io::Error,
+        reason: io::Error,
     },
     /// What came is no whole answer.
-    #[error("{door}: the answer is cut short or no HTTP")]
+    #[error("{address}: the answer is cut short or no HTTP")]
     #[diagnostic(help("check that --admin names the operators' door, and ask again"))]
-    Cut {
+    InvalidResponse {
         /// Which door.
-        door: SocketAddr,
+        address: SocketAddr,
     },
     /// The matcher says no, without a reason.
-    #[error("{door}: {path}: status {status}: {said}")]
+    #[error("{address}: {path}: status {status}: {body}")]
     #[diagnostic(help(
         "status 404: this matcher is in no fleet, or knows no such call; 503: it cannot answer now"
     ))]
     Status {
         /// Which door.
-        door: SocketAddr,
+        address: SocketAddr,
         /// What it was asked.
         path: String,
         /// The status.
         status: u16,
         /// What came with it.
-        said: String,
+        body: String,
     },
     /// The matcher or the fleet refuses, and says why.
     #[error("{error}")]
@@ -61,28 +61,34 @@
 /// Asks `path` at a matcher's door; the body of its answer.
 ///
 /// # Errors
-/// [`DoorError`] for each way in which there is none, or a bad one.
-pub fn ask(door: SocketAddr, method: &str, path: &str, patience: Duration) -> Result<String, DoorError> {
-    send(door, method, path, "", patience)
+/// [`AdminClientError`] for each way in which there is none, or a bad one.
+pub fn request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    patience: Duration,
+) -> Result<String, AdminClientError> {
+    request_with_body(address, method, path, "", patience)
 }
 
 /// The same with a body.
 ///
 /// # Errors
-/// As [`ask`].
-pub fn send(
-    door: SocketAddr,
+/// As [`request`].
+pub fn request_with_body(
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
     patience: Duration,
-) -> Result<String, DoorError> {
+) -> Result<String, AdminClientError> {
     let since = Instant::now();
-    let wrong = |said: io::Error| DoorError::Io { door, said };
-    let mut stream = TcpStream::connect_timeout(&door, patience).map_err(wrong)?;
+    let wrong = |reason: io::Error| AdminClientError::Io { address, reason };
+    let mut stream = TcpStream::connect_timeout(&address, patience).map_err(wrong)?;
     let left = patience.saturating_sub(since.elapsed()).max(Duration::from_millis(1));
     stream.set_read_timeout(Some(left)).and_then(|()| stream.set_write_timeout(Some(left))).map_err(wrong)?;
-    let head = format!("{method} {path} HTTP/1.1\r\nHost: {door}\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head =
+        format!("{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {}\r\n\r\n", body.len());
     stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes())).map_err(wrong)?;
     let mut bytes = Vec::new();
     stream.take(MOST_ANSWER).read_to_end(&mut bytes).map_err(wrong)?;
@@ -90,26 +96,26 @@
     let mut head = httparse::Response::new(&mut fields);
     let end = match head.parse(&bytes) {
         Ok(httparse::Status::Complete(end)) => end,
-        _ => return Err(DoorError::Cut { door }),
+        _ => return Err(AdminClientError::InvalidResponse { address }),
     };
     let body = String::from_utf8_lossy(&bytes[end..]).into_owned();
     match head.code.unwrap_or(0) {
         200 => Ok(body),
-        status => Err(refused(status, &body).unwrap_or_else(|| DoorError::Status {
-            door,
+        status => Err(refused(status, &body).unwrap_or_else(|| AdminClientError::Status {
+            address,
             path: path.to_string(),
             status,
-            said: body.trim().to_string(),
+            body: body.trim().to_string(),
         })),
     }
 }
 
 /// A refusal with its reason, if the body holds one.
-fn refused(status: u16, body: &str) -> Option<DoorError> {
+fn refused(status: u16, body: &str) -> Option<AdminClientError> {
     let json = crate::json::parse(body).ok()?;
     let top: &std::collections::HashMap<String, JsonValue> = json.get()?;
     let text = |key: &str| top.get(key).and_then(|v| v.get::<String>()).cloned();
-    Some(DoorError::Refused { status, error: text("error")?, help: text("help")? })
+    Some(AdminClientError::Refused { status, error: text("error")?, help: text("help")? })
 }
 
 #[cfg(test)]
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,10 +2,10 @@
 //! them out on a socket and a thread of its own. All of it is off unless the operator's file switches it on, and off in
 //! `run`: the platform allows no talk between instances.
 
+pub mod admin_client;
 pub mod chance;
 pub mod clock;
 pub mod decided;
-pub mod door;
 pub mod driver;
 pub mod experiment;
 pub mod link;
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::Subcommand;
-use hopwalk::fleet::door::{self, DoorError};
+use hopwalk::fleet::admin_client::{self, AdminClientError};
 use hopwalk::fleet::routes::table::MOST_BYTES;
 use hopwalk::fleet::status::{self, StatusError};
 use hopwalk::fleet::views;
@@ -116,7 +116,7 @@
 pub enum CommandError {
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Door(#[from] DoorError),
+    Door(#[from] AdminClientError),
     #[error(transparent)]
     #[diagnostic(transparent)]
     Status(#[from] StatusError),
@@ -131,7 +131,7 @@
 impl CommandError {
     /// The matcher answered, and said no.
     pub fn is_refusal(&self) -> bool {
-        matches!(self, Self::Door(DoorError::Refused { .. } | DoorError::Status { .. }))
+        matches!(self, Self::Door(AdminClientError::Refused { .. } | AdminClientError::Status { .. }))
     }
 }
 
@@ -147,7 +147,7 @@
 pub fn run(word: FleetWord) -> Result<(), CommandError> {
     let told = match word {
         FleetWord::Status { admin, json } => {
-            let told = door::ask(admin, "GET", "/fleet", PATIENCE)?;
+            let told = admin_client::request(admin, "GET", "/fleet", PATIENCE)?;
             if json {
                 told
             } else {
@@ -181,12 +181,12 @@
     Ok(())
 }
 
-fn get(admin: SocketAddr, path: &str) -> Result<String, DoorError> {
-    door::ask(admin, "GET", path, ORDER_PATIENCE)
+fn get(admin: SocketAddr, path: &str) -> Result<String, AdminClientError> {
+    admin_client::request(admin, "GET", path, ORDER_PATIENCE)
 }
 
-fn post(admin: SocketAddr, path: &str, body: &str) -> Result<String, DoorError> {
-    door::send(admin, "POST", path, body, ORDER_PATIENCE)
+fn post(admin: SocketAddr, path: &str, body: &str) -> Result<String, AdminClientError> {
+    admin_client::request_with_body(admin, "POST", path, body, ORDER_PATIENCE)
 }
 
 #[cfg(test)]
@@ -199,7 +199,7 @@
     fn every_variant_has_a_help_of_its_own() {
         let at = ([127, 0, 0, 1], 4000).into();
         let samples = samples!(CommandError {
-            Door(DoorError::Cut { door: at }),
+            Door(AdminClientError::InvalidResponse { address: at }),
             Status(StatusError::Shape { place: "x".into(), kind: "list" }),
             File { path: "x".into(), said: std::io::ErrorKind::NotFound.into() },
             Long { path: "x".into(), bytes: 70_000 },
--- a/src/lab/run.rs
+++ b/src/lab/run.rs
@@ -11,7 +11,7 @@
 
 use nix::sys::signal::Signal;
 
-use crate::fleet::{door, status};
+use crate::fleet::{admin_client, status};
 
 use super::busy::Busy;
 use super::check::{check, Verdict};
@@ -96,7 +96,9 @@
         thread::sleep(WATCH_EVERY);
         let Some(at) = *door.lock().unwrap() else { continue };
         // A matcher that is dead or stopped says nothing, which is no view.
-        let Ok(told) = door::ask(at, "GET", "/fleet", Duration::from_millis(500)) else { continue };
+        let Ok(told) = admin_client::request(at, "GET", "/fleet", Duration::from_millis(500)) else {
+            continue;
+        };
         let Ok(rows) = status::rows(&told) else { continue };
         let draining = |r: &status::Row| if r.draining { "+draining" } else { "" };
         let seen: Vec<_> =
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -356,7 +356,7 @@
 mod tests {
     use super::super::call_routing::fake::{test_hub, FakeRouter};
     use super::*;
-    use crate::fleet::door::{ask, send, DoorError};
+    use crate::fleet::admin_client::{request, request_with_body, AdminClientError};
     use crate::fleet::routes::record::RecordError;
     use crate::fleet::routing::RouteDecision;
 
@@ -368,9 +368,9 @@
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
 
-    fn refused(result: Result<String, DoorError>) -> (u16, String, String) {
+    fn refused(result: Result<String, AdminClientError>) -> (u16, String, String) {
         match result {
-            Err(DoorError::Refused { status, error, help }) => (status, error, help),
+            Err(AdminClientError::Refused { status, error, help }) => (status, error, help),
             other => panic!("{other:?}"),
         }
     }
@@ -393,7 +393,7 @@
             ("POST", "/fleet/record/admit", "m2", Order::Admit { name: "m2".into() }),
         ];
         for (method, path, body, order) in calls {
-            assert_eq!(send(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
+            assert_eq!(request_with_body(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
             let (received, operator) = double.orders().pop().unwrap();
             assert_eq!(received, order);
             assert!(operator.starts_with("127.0.0.1:"), "{operator}");
@@ -406,19 +406,20 @@
         let (at, _hub) = start_admin(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
         double.set_answer(Err(OrderError::Refused(error.clone().into())));
-        let (status, reason, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
+        let (status, reason, help) =
+            refused(request_with_body(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
         assert_eq!((status, reason, help), (409, error.to_string(), error.help().unwrap().to_string()));
         double.set_answer(Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT }));
-        let (status, reason, help) = refused(ask(at, "GET", "/fleet/routes", TIMEOUT));
+        let (status, reason, help) = refused(request(at, "GET", "/fleet/routes", TIMEOUT));
         assert!(status == 503 && reason.contains("leader") && !help.is_empty(), "{reason}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
-            assert_eq!(refused(send(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
+            assert_eq!(refused(request_with_body(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
         }
         let long = "x".repeat(MOST_BYTES + 1);
-        let result = send(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
-        assert!(matches!(result, Err(DoorError::Status { status: 413, .. })), "{result:?}");
+        let result = request_with_body(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
+        assert!(matches!(result, Err(AdminClientError::Status { status: 413, .. })), "{result:?}");
         let (off, _hub) = start_admin(None);
-        assert_eq!(refused(ask(off, "GET", "/fleet/routes", TIMEOUT)).0, 404);
+        assert_eq!(refused(request(off, "GET", "/fleet/routes", TIMEOUT)).0, 404);
     }
 
     #[test]
@@ -430,13 +431,13 @@
         let (at, _hub) = start_admin(Some(double.clone()));
         let since = Instant::now();
         let pending: Vec<_> = (0..10)
-            .map(|_| std::thread::spawn(move || refused(ask(at, "GET", "/fleet/routes", TIMEOUT)).0))
+            .map(|_| std::thread::spawn(move || refused(request(at, "GET", "/fleet/routes", TIMEOUT)).0))
             .collect();
         while double.orders().len() < 10 {
             assert!(since.elapsed() < TIMEOUT, "{} orders", double.orders().len());
             std::thread::sleep(Duration::from_millis(1));
         }
-        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
+        assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
         assert!(since.elapsed() < ORDER_TIMEOUT, "{:?}", since.elapsed());
         double.drop_unanswered();
         assert!(pending.into_iter().all(|order| order.join().unwrap() == 503));
@@ -446,9 +447,9 @@
     fn a_matcher_without_its_lease_is_not_ready() {
         let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
-        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
+        assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
         double.set_ready(false);
-        let result = ask(at, "GET", "/ready", TIMEOUT);
-        assert!(matches!(result, Err(DoorError::Status { status: 503, .. })), "{result:?}");
+        let result = request(at, "GET", "/ready", TIMEOUT);
+        assert!(matches!(result, Err(AdminClientError::Status { status: 503, .. })), "{result:?}");
     }
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -6,8 +6,8 @@
 use hopwalk::acme::AcmeError;
 use hopwalk::console::ConsoleError;
 use hopwalk::core::CoreError;
+use hopwalk::fleet::admin_client::AdminClientError;
 use hopwalk::fleet::decided::Refused;
-use hopwalk::fleet::door::DoorError;
 use hopwalk::fleet::experiment::counts::CountsError;
 use hopwalk::fleet::experiment::{self, DocumentError};
 use hopwalk::fleet::record::{self, ConfirmError, SubmitError};
@@ -232,12 +232,12 @@
             samples!(StatusError { Json { said: JsonError::Deep }, Shape { place: x(), kind: "list" } }),
         ),
         (
-            "src/fleet/door.rs",
-            "DoorError",
-            samples!(DoorError {
-                Io { door: at, said: io() },
-                Cut { door: at },
-                Status { door: at, path: x(), status: 404, said: x() },
+            "src/fleet/admin_client.rs",
+            "AdminClientError",
+            samples!(AdminClientError {
+                Io { address: at, reason: io() },
+                InvalidResponse { address: at },
+                Status { address: at, path: x(), status: 404, body: x() },
                 Refused { status: 409, error: x(), help: "what the matcher says can be done".into() },
             }),
         ),
