--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -2,20 +2,20 @@
 //! member, and where this matcher votes, the record and the leader's part. The serving path waits for none of it: it
 //! looks at [`Routing`].
 //!
-//! - [`lead`]: what follows from the record's standing, an ask, an entry or the time, where this member leads. Pure.
+//! - [`leader_role`]: what follows from the record's standing, an ask, an entry or the time, where this member leads. Pure.
 //! - [`documents`]: what operators are told, in JSON. Pure.
-//! - [`part`]: the member's side on the wire: asks, tables, connections, the clock's loop.
+//! - [`tasks`]: the member's side on the wire: asks, tables, connections, the clock's loop.
 //! - [`voter`]: the record and the socket, their opening and giving up, and what is answered there.
 //! - [`orders`]: what operators want, carried to the leader.
 
 mod documents;
-pub mod inside;
-mod lead;
+mod leader_role;
 mod orders;
-mod part;
+pub mod simulated;
+mod tasks;
 mod voter;
 
-pub use part::PERIOD;
+pub use tasks::PERIOD;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use part::Part;
+use tasks::Part;
 
 use super::clock::{Clock, Fault};
 use super::link::Answers;
@@ -148,7 +148,7 @@
         let work = move || {
             runtime.block_on(async {
                 let (part, pushed) = Part::new(options, world, metrics, held);
-                part::run(part, pushed, asked, told).await;
+                tasks::run(part, pushed, asked, told).await;
             });
             drop(runtime);
             let _ = end.send(());
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::documents;
-use super::part::Part;
+use super::tasks::Part;
 use crate::fleet::decided::{Entry, Refused};
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/simulated.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-use super::part::{self, lock, Part};
+use super::tasks::{self, lock, Part};
 use super::{routing, Options, Word, World, MOST_WORDS};
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
@@ -15,12 +15,12 @@
 use crate::fleet::routing::Routing;
 
 /// One process's part, seen from inside.
-pub struct Inside {
+pub struct SimulatedDriver {
     part: Arc<Part>,
     words: mpsc::Sender<Word>,
 }
 
-impl Drop for Inside {
+impl Drop for SimulatedDriver {
     /// The voter's socket knows the part, and the part the voter.
     fn drop(&mut self) {
         lock(&self.part.voter).take();
@@ -28,15 +28,19 @@
 }
 
 /// A member's part in a world, with what it does until it is told to leave. Call it within the runtime that runs it.
-pub fn begin(options: Options, world: World, incarnation: u64) -> (Inside, impl Future<Output = ()> + Send) {
+pub fn create(
+    options: Options,
+    world: World,
+    incarnation: u64,
+) -> (SimulatedDriver, impl Future<Output = ()> + Send) {
     let life = Life { name: options.name.clone(), incarnation };
     let (routing, asked, metrics) = routing(&options, world.clock, life);
     let (words, told) = mpsc::channel(MOST_WORDS);
     let (part, pushed) = Part::new(options, world, metrics, routing);
-    (Inside { part: part.clone(), words }, part::run(part, pushed, asked, told))
+    (SimulatedDriver { part: part.clone(), words }, tasks::run(part, pushed, asked, told))
 }
 
-impl Inside {
+impl SimulatedDriver {
     /// The serving path's hold.
     pub fn routing(&self) -> Routing {
         self.part.routing.clone()
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/tasks.rs
@@ -13,7 +13,7 @@
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 use tracing::{info, warn};
 
-use super::lead::{gated, Lead, Now};
+use super::leader_role::{gated, Lead, Now};
 use super::voter::{self, Voter};
 use super::{documents, orders, Options, Word, World};
 use crate::fleet::clock::Clock;
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -13,8 +13,8 @@
 use tracing::{debug, info, warn};
 
 use super::documents;
-use super::lead::{allowed, earlier, ordered};
-use super::part::{lock, Part};
+use super::leader_role::{allowed, earlier, ordered};
+use super::tasks::{lock, Part};
 use super::Options;
 use crate::fleet::decided::{Applied, Entry};
 use crate::fleet::experiment::record as experiments;
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -13,7 +13,7 @@
 use super::net::{address, mix, service, Host, Network};
 use crate::fleet::chance;
 use crate::fleet::clock::{Clock, Fault};
-use crate::fleet::driver::inside::{begin, Inside};
+use crate::fleet::driver::simulated::{create, SimulatedDriver};
 use crate::fleet::driver::{Options, World};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::membership::view::{Id, Note, State, View};
@@ -64,7 +64,7 @@
     missed: u32,
     /// Of all lives of this member.
     pub incarnation: u64,
-    pub inside: Inside,
+    pub inside: SimulatedDriver,
     pub member: Membership,
     row: u64,
     clock: Clock,
@@ -160,7 +160,7 @@
         };
         let inside = {
             let _entered = runtime.enter();
-            let (inside, work) = begin(options, world, incarnation);
+            let (inside, work) = create(options, world, incarnation);
             runtime.spawn(work);
             inside
         };
@@ -261,7 +261,7 @@
     }
 
     /// Within its runtime, such as for an order or what is planted.
-    pub fn within<T>(&self, act: impl FnOnce(&Inside) -> T) -> T {
+    pub fn within<T>(&self, act: impl FnOnce(&SimulatedDriver) -> T) -> T {
         let _entered = self.runtime.enter();
         act(&self.inside)
     }
