--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -84,7 +84,7 @@
 
 /// What the thread finds around it.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct Environment {
     /// The process's clock.
     pub clock: Clock,
     /// The network.
@@ -95,7 +95,7 @@
     pub answers: Answers,
 }
 
-impl World {
+impl Environment {
     fn of_this_machine(fault: Option<Fault>) -> Self {
         Self {
             clock: Clock::start(fault),
@@ -137,17 +137,18 @@
     /// [`DriverError`].
     pub fn start_beside(options: Options, answers: Answers) -> Result<Self, DriverError> {
         let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
-        let world = World { answers, ..World::of_this_machine(options.fault) };
+        let environment = Environment { answers, ..Environment::of_this_machine(options.fault) };
         // As the membership does it: grows across restarts while the system's clock does not go back.
-        let life = Life { name: options.name.clone(), incarnation: world.clock.unix().as_millis() as u64 };
-        let (routing, asked, metrics) = routing(&options, world.clock, life);
+        let life =
+            Life { name: options.name.clone(), incarnation: environment.clock.unix().as_millis() as u64 };
+        let (routing, asked, metrics) = routing(&options, environment.clock, life);
         let (words, told) = mpsc::channel(MOST_WORDS);
         let (end, ended) = sync_channel(1);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
         let held = routing.clone();
         let work = move || {
             runtime.block_on(async {
-                let (part, pushed) = Part::new(options, world, metrics, held);
+                let (part, pushed) = Part::new(options, environment, metrics, held);
                 tasks::run(part, pushed, asked, told).await;
             });
             drop(runtime);
--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use super::tasks::{self, lock, Part};
-use super::{routing, Options, Word, World, MOST_WORDS};
+use super::{routing, Environment, Options, Word, MOST_WORDS};
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::Held;
@@ -27,16 +27,16 @@
     }
 }
 
-/// A member's part in a world, with what it does until it is told to leave. Call it within the runtime that runs it.
+/// A member's part in a environment, with what it does until it is told to leave. Call it within the runtime that runs it.
 pub fn create(
     options: Options,
-    world: World,
+    environment: Environment,
     incarnation: u64,
 ) -> (SimulatedDriver, impl Future<Output = ()> + Send) {
     let life = Life { name: options.name.clone(), incarnation };
-    let (routing, asked, metrics) = routing(&options, world.clock, life);
+    let (routing, asked, metrics) = routing(&options, environment.clock, life);
     let (words, told) = mpsc::channel(MOST_WORDS);
-    let (part, pushed) = Part::new(options, world, metrics, routing);
+    let (part, pushed) = Part::new(options, environment, metrics, routing);
     (SimulatedDriver { part: part.clone(), words }, tasks::run(part, pushed, asked, told))
 }
 
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -15,7 +15,7 @@
 
 use super::leader_role::{gated, Lead, Now};
 use super::voter::{self, Voter};
-use super::{documents, orders, Options, Word, World};
+use super::{documents, orders, Environment, Options, Word};
 use crate::fleet::clock::Clock;
 use crate::fleet::experiment::counter::Counter;
 use crate::fleet::link::Answers;
@@ -91,11 +91,11 @@
     /// With the links to the voters; nudges come out at the other end. Call it within a tokio runtime.
     pub fn new(
         options: Options,
-        world: World,
+        environment: Environment,
         metrics: Metrics,
         routing: Routing,
     ) -> (Arc<Self>, mpsc::Receiver<Pushed>) {
-        let World { clock, net, disk, answers } = world;
+        let Environment { clock, net, disk, answers } = environment;
         let counters = metrics.links.clone();
         let local = Local { net, counters, ..Local::new(&*options.fleet, &*options.name) };
         let (pushes, pushed) = mpsc::channel(MOST_PUSHES);
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -14,7 +14,7 @@
 use crate::fleet::chance;
 use crate::fleet::clock::{Clock, Fault};
 use crate::fleet::driver::simulated::{create, SimulatedDriver};
-use crate::fleet::driver::{Options, World};
+use crate::fleet::driver::{Environment, Options};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::membership::view::{Id, Note, State, View};
 use crate::fleet::membership::{self, Input, Membership};
@@ -152,7 +152,7 @@
             known: Known { classes: ["seat".to_string()].into(), tenants: [].into() },
             fault: Some(fault),
         };
-        let world = World {
+        let environment = Environment {
             clock,
             net: Arc::new(network.of(self.host)),
             disk: disk::Disk::Simulated(Arc::new(self.disk.clone())),
@@ -160,7 +160,7 @@
         };
         let inside = {
             let _entered = runtime.enter();
-            let (inside, work) = create(options, world, incarnation);
+            let (inside, work) = create(options, environment, incarnation);
             runtime.spawn(work);
             inside
         };
