--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -54,11 +54,11 @@
     /// Who votes, and where each is reached.
     pub voters: Vec<(String, SocketAddr)>,
     /// Where the record is kept, and the address of the own socket; nothing for a matcher that does not vote.
-    pub keeps: Option<(PathBuf, SocketAddr)>,
+    pub record: Option<(PathBuf, SocketAddr)>,
     /// The classes and tenants of this matcher's settings.
     pub known: Known,
     /// A clock that runs wrong, for the lab.
-    pub fault: Option<Fault>,
+    pub clock_fault: Option<Fault>,
 }
 
 /// Why the driver did not start.
@@ -137,7 +137,7 @@
     /// [`DriverError`].
     pub fn start_beside(options: Options, answers: Answers) -> Result<Self, DriverError> {
         let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
-        let environment = Environment { answers, ..Environment::of_this_machine(options.fault) };
+        let environment = Environment { answers, ..Environment::of_this_machine(options.clock_fault) };
         // As the membership does it: grows across restarts while the system's clock does not go back.
         let life =
             Life { name: options.name.clone(), incarnation: environment.clock.unix().as_millis() as u64 };
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -135,7 +135,7 @@
     mut asked: mpsc::Receiver<Asked>,
     mut words: mpsc::Receiver<Word>,
 ) {
-    let (votes, vote) = watch::channel(part.options.keeps.is_some());
+    let (votes, vote) = watch::channel(part.options.record.is_some());
     let mut tasks = JoinSet::new();
     tasks.spawn(tick(part.clone()));
     tasks.spawn(hear(part.clone()));
@@ -174,7 +174,7 @@
                 Some(Word::Release) => {
                     info!("routes: another process of this matcher takes the record over");
                     let _ = votes.send(false);
-                    back = part.options.keeps.is_some().then(|| tokio::time::Instant::now() + RELEASED);
+                    back = part.options.record.is_some().then(|| tokio::time::Instant::now() + RELEASED);
                 }
                 // A voter closes its record in good order.
                 Some(Word::Leave) | None => break,
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -56,7 +56,7 @@
 
 /// Votes while `vote` says so; ends when nobody is left to say so.
 pub async fn keep(part: Arc<Part>, mut vote: watch::Receiver<bool>) {
-    let Some((folder, listen)) = part.options.keeps.clone() else { return };
+    let Some((folder, listen)) = part.options.record.clone() else { return };
     loop {
         while !*vote.borrow_and_update() {
             if vote.changed().await.is_err() {
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -148,9 +148,9 @@
             name: name(self.host),
             fleet: "sim".into(),
             voters: (0..setup.voters).map(|host| (name(host), address(host))).collect(),
-            keeps: votes.then(|| ("record".into(), address(self.host))),
+            record: votes.then(|| ("record".into(), address(self.host))),
             known: Known { classes: ["seat".to_string()].into(), tenants: [].into() },
-            fault: Some(fault),
+            clock_fault: Some(fault),
         };
         let environment = Environment {
             clock,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -447,9 +447,9 @@
             name: self.name.clone(),
             fleet: fleet.name.clone(),
             voters: routes.voters.iter().map(|v| (v.name.clone(), v.address)).collect(),
-            keeps: routes.record.clone(),
+            record: routes.record.clone(),
             known,
-            fault: routes.clock_fault,
+            clock_fault: routes.clock_fault,
         })
     }
 
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -63,10 +63,10 @@
 
     fn driver(&self, at: usize) -> Driver {
         let name = format!("m{}", at + 1);
-        let keeps = self.voters.get(at).map(|(_, listen)| (self.folder.join(&name), *listen));
+        let record = self.voters.get(at).map(|(_, listen)| (self.folder.join(&name), *listen));
         let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
         let (voters, fleet) = (self.voters.clone(), "test".into());
-        Driver::start(Options { name, fleet, voters, keeps, known, fault: None }).unwrap()
+        Driver::start(Options { name, fleet, voters, record, known, clock_fault: None }).unwrap()
     }
 
     fn wait(&self, what: &str, mut there: impl FnMut(&Driver) -> bool) {
@@ -231,10 +231,10 @@
 fn what_a_leader_said_of_experiments_before_its_newest_word_is_not_taken() {
     // Guards against counts of an experiment that are begun anew, or dropped, by an answer that came late.
     let port = ReservedPort::any().unwrap();
-    let (voters, keeps, fault) = (vec![("m1".to_string(), port.address())], None, None);
+    let (voters, record, clock_fault) = (vec![("m1".to_string(), port.address())], None, None);
     let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
     let (name, fleet) = ("m2".into(), "test".to_string());
-    let options = Options { name, fleet: fleet.clone(), voters, keeps, known, fault };
+    let options = Options { name, fleet: fleet.clone(), voters, record, known, clock_fault };
     let document = r#"{"name":"e","salt":[1,2],"arms":[{"name":"old","share":0.5},{"name":"new","share":0.5}],
         "alpha":0.05,"harm_alpha":0.01,"split_alpha":0.001,"harm_margin":0.5,"start_ms":1,"block_ms":200,
         "longest_ms":20000,"grace_ms":1000,"least_blocks":10}"#;
