--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -128,14 +128,14 @@
     /// # Errors
     /// [`DriverError`].
     pub fn start(options: Options) -> Result<Self, DriverError> {
-        Self::start_beside(options, Answers::default())
+        Self::start_with_membership(options, Answers::default())
     }
 
     /// As [`Driver::start`], beside a membership whose answers count for the posture as well.
     ///
     /// # Errors
     /// [`DriverError`].
-    pub fn start_beside(options: Options, answers: Answers) -> Result<Self, DriverError> {
+    pub fn start_with_membership(options: Options, answers: Answers) -> Result<Self, DriverError> {
         let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
         let environment = Environment { answers, ..Environment::of_this_machine(options.clock_fault) };
         // As the membership does it: grows across restarts while the system's clock does not go back.
@@ -165,12 +165,12 @@
 
     /// Gives record and address up to another process of this matcher. This one keeps a lease of its own, as a member that
     /// does not vote, for the requests that it still has; if the other ends first, it votes again.
-    pub fn release(&self) {
+    pub fn release_record(&self) {
         let _ = self.words.try_send(Word::Release);
     }
 
     /// Ends the thread, and waits a moment for the record to be closed.
-    pub fn leave(&self) {
+    pub fn stop(&self) {
         let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let (Ok(()), Some(ended)) = (self.words.try_send(Word::Leave), ended) {
             let _ = ended.recv_timeout(LEAVE_PATIENCE);
--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -52,7 +52,7 @@
     }
 
     /// Has it end in good order.
-    pub fn leave(&self) {
+    pub fn stop(&self) {
         let _ = self.words.try_send(Word::Leave);
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -146,8 +146,10 @@
         let (sender, inbox) = std::sync::mpsc::channel();
         let fleet = config.fleet().map(fleet::Link::start).transpose()?;
         let answers = fleet.as_ref().map(fleet::Link::answers).unwrap_or_default();
-        let driver =
-            config.routes().map(|options| fleet::Driver::start_beside(options, answers)).transpose()?;
+        let driver = config
+            .routes()
+            .map(|options| fleet::Driver::start_with_membership(options, answers))
+            .transpose()?;
         let routing = driver.as_ref().map(|driver| Arc::new(driver.routing()) as Arc<dyn Router>);
         let classes = config.site.class_names.clone();
         let hub = Arc::new(Hub::new(sender, config.sockets, config.links(), classes, fleet, routing));
@@ -312,7 +314,7 @@
             fleet.leave();
         }
         if let Some(driver) = &self.driver {
-            driver.leave();
+            driver.stop();
         }
         // Answers that the predecessor is to send may still be queued.
         if let Some(predecessor) = &self.predecessor {
@@ -423,7 +425,7 @@
                     fleet.release();
                 }
                 if let Some(driver) = &self.driver {
-                    driver.release();
+                    driver.release_record();
                 }
             }
             Effect::Forward(mut request) => {
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -34,7 +34,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.drivers.iter().for_each(Driver::leave);
+        self.drivers.iter().for_each(Driver::stop);
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -170,7 +170,7 @@
     }
     let leader = fleet.leader();
     let old = fleet.drivers.remove(leader);
-    old.leave();
+    old.stop();
     let at = fleet.drivers.len() - 1;
     // Whoever leads next takes the order; the one that left does not stop it for longer than its lease.
     assert_eq!(fleet.order(at, Order::Rollback).unwrap()["turn"], 3);
@@ -278,7 +278,7 @@
     assert!(wait_until(PATIENCE, || heard.2.load(Ordering::SeqCst) == 1), "the first ask is answered");
     let before = reports();
     assert!(wait_until(PATIENCE, || reports() >= before + 3), "it counts on");
-    driver.leave();
+    driver.stop();
     drop(server);
 }
 
@@ -289,7 +289,7 @@
     let new = fleet.driver(0);
     assert!(wait_until(PATIENCE, || turn(&new) == Some(0)), "a lease of its own while the old one votes");
     fleet.order(0, Order::Propose { table: fleet.table(0) }).unwrap();
-    fleet.drivers[0].release();
+    fleet.drivers[0].release_record();
     let votes = || new.routing().metrics().contains("hopwalk_fleet_leads 1");
     assert!(wait_until(PATIENCE, || {
         assert_eq!(turn(&fleet.drivers[0]), Some(0), "the old one serves what it has");
@@ -306,7 +306,7 @@
     let mut fleet = Fleet::start(3);
     fleet.wait("a lease", |d| turn(d) == Some(0));
     let rest = fleet.drivers.split_off(2);
-    fleet.drivers.drain(..).for_each(|d| d.leave());
+    fleet.drivers.drain(..).for_each(|d| d.stop());
     fleet.drivers = rest;
     fleet.wait("the end of the lease", |d| routed(d) == RouteDecision::Barred && !d.routing().ready());
     assert_eq!(fleet.drivers[0].routing().route_states(&["seat".to_string()]), [RouteState::Closed]);
