--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -67,7 +67,7 @@
 
     /// How its record stands, how many entries are applied and what they come to; nothing while it has none open. The
     /// standing may be of a moment before.
-    pub fn decided(&self) -> Option<(Standing, u64, Arc<State>)> {
+    pub fn record_state(&self) -> Option<(Standing, u64, Arc<State>)> {
         let record = self.record()?;
         let standing = record.watch().borrow().clone();
         let (applied, state) = record.states().borrow().clone();
@@ -75,7 +75,7 @@
     }
 
     /// The term in which the leader's part is on.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         lock(&self.part.lead).term()
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Puts an entry into the log past all that decides which may go there: a fault that is planted.
-    pub fn plant(&self, entry: Entry) {
+    pub fn submit_unchecked(&self, entry: Entry) {
         if let Some(record) = self.record() {
             tokio::spawn(async move { record.submit(entry).await });
         }
--- a/src/lab/sim/fleet.rs
+++ b/src/lab/sim/fleet.rs
@@ -307,7 +307,7 @@
     }
 
     fn led(&self, host: Host) -> Option<u64> {
-        self.machines[host].life.as_ref()?.inside.leads()
+        self.machines[host].life.as_ref()?.inside.leading_term()
     }
 
     fn power_fails(&mut self, host: Host) {
@@ -323,15 +323,18 @@
     /// Commits what is being prepared at once, at a moment that is near.
     fn rash(&mut self) {
         let Some(life) =
-            self.machines.iter().filter_map(|m| m.life.as_ref()).find(|l| l.inside.leads().is_some())
+            self.machines.iter().filter_map(|m| m.life.as_ref()).find(|l| l.inside.leading_term().is_some())
+        else {
+            return;
+        };
+        let (Some(term), Some((_, _, state))) = (life.inside.leading_term(), life.inside.record_state())
         else {
             return;
         };
-        let (Some(term), Some((_, _, state))) = (life.inside.leads(), life.inside.decided()) else { return };
         let preparing = state.routes.run().filter(|run| run.stage == Stage::Preparing);
         if let Some(turn) = preparing.map(|run| run.activation.fence.turn) {
             let at = Stamp { term, at: life.now() + std::time::Duration::from_millis(100) };
-            life.within(|inside| inside.plant(Entry::Routes(Routes::Commit { turn, at })));
+            life.within(|inside| inside.submit_unchecked(Entry::Routes(Routes::Commit { turn, at })));
         }
     }
 
@@ -378,7 +381,7 @@
     }
 
     fn end(mut self, broken: Option<Break>) -> Outcome {
-        let records = self.machines.iter().filter_map(|m| m.life.as_ref()?.inside.decided());
+        let records = self.machines.iter().filter_map(|m| m.life.as_ref()?.inside.record_state());
         let verdicts = records.map(|(_, _, state)| {
             let ended = state.experiments.history();
             ended.filter(|p| matches!(p.end, crate::fleet::experiment::record::End::Verdict { .. })).count()
--- a/src/lab/sim/judge.rs
+++ b/src/lab/sim/judge.rs
@@ -144,10 +144,10 @@
         }
         for machine in machines {
             let Some(life) = &machine.life else { continue };
-            if let Some(term) = life.inside.leads() {
+            if let Some(term) = life.inside.leading_term() {
                 self.leaders.insert(term, (machine.host, life.incarnation));
             }
-            let Some((standing, applied, state)) = life.inside.decided() else { continue };
+            let Some((standing, applied, state)) = life.inside.record_state() else { continue };
             if let Some(what) = self.record(machine.host, applied, &state) {
                 return broken(what.0, what.1);
             }
@@ -193,11 +193,13 @@
 
     /// No lease past the moment of a commit at a member that does not know it, where the leader of its term still runs.
     fn leases(&self, machines: &[Machine]) -> Option<String> {
-        let leads = |m: &&Machine| m.life.as_ref().is_some_and(|life| life.inside.leads().is_some());
-        let leader =
-            machines.iter().filter(leads).max_by_key(|m| m.life.as_ref().and_then(|l| l.inside.leads()))?;
+        let leads = |m: &&Machine| m.life.as_ref().is_some_and(|life| life.inside.leading_term().is_some());
+        let leader = machines
+            .iter()
+            .filter(leads)
+            .max_by_key(|m| m.life.as_ref().and_then(|l| l.inside.leading_term()))?;
         let life = leader.life.as_ref().filter(|life| !life.stopped())?;
-        let (_, _, state) = life.inside.decided()?;
+        let (_, _, state) = life.inside.record_state()?;
         let run = state.routes.run()?;
         let Stage::Committed(stamp) = run.stage else { return None };
         if self.leaders.get(&stamp.term) != Some(&(leader.host, life.incarnation)) {
@@ -253,7 +255,7 @@
                     format!("{own} acts on turn {}, not {}", fence.turn, self.newest.0),
                 ));
             }
-            if let Some((standing, _, state)) = life.inside.decided() {
+            if let Some((standing, _, state)) = life.inside.record_state() {
                 if state.routes.run().is_some() {
                     return Err((Rule::Heals, format!("an activation is open at {own}, {standing:?}")));
                 }
