--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -15,7 +15,7 @@
 mod tasks;
 mod voter;
 
-pub use tasks::PERIOD;
+pub use tasks::HELLO_INTERVAL;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -32,7 +32,7 @@
 /// Orders that are carried out at once.
 const MOST_ORDERS: usize = 16;
 /// Between two words to each voter; what the posture counts in.
-pub const PERIOD: Duration = Duration::from_millis(200);
+pub const HELLO_INTERVAL: Duration = Duration::from_millis(200);
 /// How long an answer of a voter is waited for.
 const PATIENCE: Duration = Duration::from_secs(1);
 /// A connection to a pool must be there by then.
@@ -106,7 +106,7 @@
         let names: Vec<String> = options.voters.iter().map(|(name, _)| name.clone()).collect();
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let part = Self {
-            ears: Mutex::new(Ears::new(&options.name, &names, PERIOD).beside(answers.period())),
+            ears: Mutex::new(Ears::new(&options.name, &names, HELLO_INTERVAL).beside(answers.period())),
             lead: Mutex::new(Lead::new(voters, Pace::default())),
             voter: Mutex::default(),
             leader: Mutex::default(),
@@ -218,7 +218,7 @@
 /// Asks each voter for a word, so that it is known who is in reach both ways, and looks who answered the
 /// membership.
 async fn hear(part: Arc<Part>) {
-    let mut ticks = interval(PERIOD);
+    let mut ticks = interval(HELLO_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -247,7 +247,7 @@
             let held = part.routing.held();
             held.counter.as_ref().map(|c| Duration::from_millis(c.experiment().block_ms))
         };
-        let pause = block.unwrap_or(PERIOD).clamp(PERIOD / 2, PERIOD * 5);
+        let pause = block.unwrap_or(HELLO_INTERVAL).clamp(HELLO_INTERVAL / 2, HELLO_INTERVAL * 5);
         sleep(pause).await;
         let report =
             part.routing.held().counter.as_mut().and_then(|counter| counter.report(part.clock.unix()).ok());
--- a/src/lab/routes/heals.rs
+++ b/src/lab/routes/heals.rs
@@ -55,7 +55,7 @@
 /// What bounds [`Heals::whole`]: a link that is being opened into the cut is given up after [`OPENING`]; then come
 /// the next word to each voter, and its answer.
 pub fn whole_bound() -> Duration {
-    OPENING + 2 * crate::fleet::driver::PERIOD + Duration::from_millis(100)
+    OPENING + 2 * crate::fleet::driver::HELLO_INTERVAL + Duration::from_millis(100)
 }
 
 /// By name: which life, and what is thought of it.
