--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -280,7 +280,7 @@
 
     fn count_unheard(&self) {
         let unheard = lock(&self.ears).unheard(self.clock.now()).len();
-        self.metrics.unheard.set(unheard as i64);
+        self.metrics.unreachable_voters.set(unheard as i64);
     }
 
     /// What this member knows itself, for operators.
@@ -332,7 +332,7 @@
             }
         }
         if self.leased.swap(leased, Ordering::Relaxed) != leased {
-            self.metrics.lease.set(i64::from(leased));
+            self.metrics.lease_held.set(i64::from(leased));
             if leased {
                 info!(unix_us = self.unix_us(), "routes: lease held");
             } else {
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -76,7 +76,7 @@
         *lock(&part.voter) = None;
         let none = Standing { leads: false, ..voter.record.watch().borrow().clone() };
         part.deciding(&voter, |at, lead| lead.follow(at, &none, None));
-        part.metrics.leads.set(0);
+        part.metrics.is_leader.set(0);
         voter.server.close();
         voter.record.close().await;
         info!("routes: votes no more");
@@ -186,7 +186,7 @@
             (before, lead.term(), effects, lead.experiments(at))
         });
         if before != after {
-            part.metrics.leads.set(i64::from(after.is_some()));
+            part.metrics.is_leader.set(i64::from(after.is_some()));
             match after {
                 Some(term) => {
                     part.metrics.elections.inc();
@@ -261,7 +261,7 @@
             warn!(turn, ?why, "routes: aborted");
         }
         Entry::Experiment(experiments::Entry::Block { name, block, tallies, .. }) => {
-            part.metrics.blocks.inc();
+            part.metrics.closed_blocks.inc();
             debug!(name, block, ?tallies, "routes: a block is closed");
         }
         _ => {}
--- a/src/fleet/metrics.rs
+++ b/src/fleet/metrics.rs
@@ -26,18 +26,18 @@
     pub leases_lost: Counter,
     pub switches: Counter,
     pub elections: Counter,
-    pub stale: Counter,
-    pub barred: Counter,
-    pub blocks: Counter,
+    pub stale_calls: Counter,
+    pub barred_calls: Counter,
+    pub closed_blocks: Counter,
     pub turn: Gauge<u64, AtomicU64>,
     pub version: Gauge<u64, AtomicU64>,
-    pub leads: Gauge,
-    pub lease: Gauge,
+    pub is_leader: Gauge,
+    pub lease_held: Gauge,
     aborts: Labelled,
     /// What the links count; a text takes it over.
     pub links: Arc<Counters>,
     /// Voters that are not heard both ways.
-    pub unheard: Gauge,
+    pub unreachable_voters: Gauge,
     frames: Labelled,
     link_frames: Labelled,
     link_bytes: Labelled,
@@ -60,17 +60,17 @@
         let leases_lost = counter("leases_lost", "Times that this member's lease ended");
         let switches = counter("switches", "Route versions that came into force here");
         let elections = counter("elections", "Times that this member became the leader");
-        let stale = counter("stale_calls", "Calls that a service refused as of an older turn");
-        let barred = counter("barred_calls", "Looks at a call that had no lease to go out under");
-        let blocks = counter("experiment_blocks", "Blocks of experiments that this member closed");
+        let stale_calls = counter("stale_calls", "Calls that a service refused as of an older turn");
+        let barred_calls = counter("barred_calls", "Looks at a call that had no lease to go out under");
+        let closed_blocks = counter("experiment_blocks", "Blocks of experiments that this member closed");
         let mut gauge = |name: &str, help: &str| {
             let gauge = Gauge::<i64, std::sync::atomic::AtomicI64>::default();
             registry.register(name, help, gauge.clone());
             gauge
         };
-        let leads = gauge("leads", "1 while this member leads");
-        let lease = gauge("lease_held", "1 while this member has a lease");
-        let unheard = gauge("voters_unheard", "Voters out of reach; 0 is the posture whole");
+        let is_leader = gauge("leads", "1 while this member leads");
+        let lease_held = gauge("lease_held", "1 while this member has a lease");
+        let unreachable_voters = gauge("voters_unheard", "Voters out of reach; 0 is the posture whole");
         let mut number = |name: &str, help: &str| {
             let gauge = Gauge::<u64, AtomicU64>::default();
             registry.register(name, help, gauge.clone());
@@ -96,16 +96,16 @@
             leases_lost,
             switches,
             elections,
-            stale,
-            barred,
-            blocks,
+            stale_calls,
+            barred_calls,
+            closed_blocks,
             turn,
             version,
-            leads,
-            lease,
+            is_leader,
+            lease_held,
             aborts,
             links: Arc::default(),
-            unheard,
+            unreachable_voters,
             frames,
             link_frames,
             link_bytes,
@@ -149,7 +149,7 @@
     }
 
     /// All of them as text.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         // Under the lock: two texts at once must not take the same over twice.
@@ -177,10 +177,10 @@
         metrics.turn.set(7);
         metrics.aborted(&Why::Operator("anna".into()));
         metrics.links.bytes_in.store(9, Ordering::Relaxed);
-        let first = metrics.text();
+        let first = metrics.render();
         assert!(first.contains("link_bytes_total{way=\"in\"} 9\n"), "{first}");
         metrics.links.bytes_in.store(11, Ordering::Relaxed);
-        let text = metrics.text();
+        let text = metrics.render();
         for line in [
             "hopwalk_fleet_asks_total 3\n",
             "hopwalk_fleet_turn 7\n",
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -266,7 +266,7 @@
             Route::FromKey(_) | Route::Barred => RouteDecision::Barred,
         };
         if routed == RouteDecision::Barred {
-            self.0.metrics.barred.inc();
+            self.0.metrics.barred_calls.inc();
         }
         routed
     }
@@ -312,7 +312,7 @@
 
     /// A service refused a call of an older turn.
     pub fn count_stale(&self) {
-        self.0.metrics.stale.inc();
+        self.0.metrics.stale_calls.inc();
     }
 
     /// Has an order carried out; the answer is a JSON document for the operator.
@@ -330,7 +330,7 @@
 
     /// What was counted, as text for Prometheus.
     pub fn metrics(&self) -> String {
-        self.0.metrics.text()
+        self.0.metrics.render()
     }
 }
 
