--- a/src/fleet/admin_client.rs
+++ b/src/fleet/admin_client.rs
@@ -1,4 +1,4 @@
-//! A client of the operators' door: one question, one answer, within a time.
+//! Client of a matcher's admin endpoint: sends one HTTP request and returns the body of the answer, with a timeout.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,70 +8,71 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-/// The largest answer.
-const MOST_ANSWER: u64 = 4 << 20;
+/// Upper bound of the length of an answer in bytes.
+const MAX_ANSWER: u64 = 4 << 20;
 
-/// Why a question has no good answer.
+/// Why a request has no usable answer.
 #[derive(Debug, Error, Diagnostic)]
 pub enum AdminClientError {
-    /// The door cannot be reached, or breaks off.
+    /// The endpoint cannot be reached, or the connection broke.
     #[error("{address}: {reason}")]
     #[diagnostic(help("check that the matcher runs, and that --admin names its `admin` address"))]
     Io {
         /// Which door.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         reason: io::Error,
     },
-    /// What came is no whole answer.
-    #[error("{address}: the answer is cut short or no HTTP")]
-    #[diagnostic(help("check that --admin names the operators' door, and ask again"))]
+    /// The answer is truncated or not HTTP.
+    #[error("{address}: the answer is truncated or not HTTP")]
+    #[diagnostic(help("check that --admin names the admin endpoint of a matcher, and try again"))]
     InvalidResponse {
         /// Which door.
         address: SocketAddr,
     },
-    /// The matcher says no, without a reason.
+    /// The answer has an error status and no reason.
     #[error("{address}: {path}: status {status}: {body}")]
     #[diagnostic(help(
-        "status 404: this matcher is in no fleet, or knows no such call; 503: it cannot answer now"
+        "status 404: this matcher is in no fleet, or does not know this path; 503: it cannot answer now"
     ))]
     Status {
         /// Which door.
         address: SocketAddr,
-        /// What it was asked.
+        /// The path of the request.
         path: String,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// What came with it.
+        /// The body of the answer.
         body: String,
     },
-    /// The matcher or the fleet refuses, and says why.
+    /// The matcher or the fleet rejects the request with a reason.
     #[error("{error}")]
     Refused {
-        /// The status: 409 for what was decided, 503 where no leader answers, 404 where routes are off.
+        /// The HTTP status: 409 if the fleet rejected an order, 503 if no leader answers, 404 if the matcher has no
+        /// routes.
         status: u16,
         /// What is wrong.
         error: String,
-        /// What can be done.
+        /// What can be done about it.
         #[help]
         help: String,
     },
 }
 
-/// Asks `path` at a matcher's door; the body of its answer.
+/// Sends a request without a body to the admin endpoint at `address`. Returns the body of the answer.
 ///
 /// # Errors
-/// [`AdminClientError`] for each way in which there is none, or a bad one.
+/// [`AdminClientError`] if there is no answer, or one that is invalid or an error.
 pub fn request(
     address: SocketAddr,
     method: &str,
     path: &str,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<String, AdminClientError> {
-    request_with_body(address, method, path, "", patience)
+    request_with_body(address, method, path, "", timeout)
 }
 
-/// The same with a body.
+/// As [`request`], with a body.
 ///
 /// # Errors
 /// As [`request`].
@@ -80,18 +81,21 @@
     method: &str,
     path: &str,
     body: &str,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<String, AdminClientError> {
-    let since = Instant::now();
-    let wrong = |reason: io::Error| AdminClientError::Io { address, reason };
-    let mut stream = TcpStream::connect_timeout(&address, patience).map_err(wrong)?;
-    let left = patience.saturating_sub(since.elapsed()).max(Duration::from_millis(1));
-    stream.set_read_timeout(Some(left)).and_then(|()| stream.set_write_timeout(Some(left))).map_err(wrong)?;
+    let began = Instant::now();
+    let io_error = |reason: io::Error| AdminClientError::Io { address, reason };
+    let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(io_error)?;
+    let remaining = timeout.saturating_sub(began.elapsed()).max(Duration::from_millis(1));
+    stream
+        .set_read_timeout(Some(remaining))
+        .and_then(|()| stream.set_write_timeout(Some(remaining)))
+        .map_err(io_error)?;
     let head =
         format!("{method} {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: {}\r\n\r\n", body.len());
-    stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes())).map_err(wrong)?;
+    stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes())).map_err(io_error)?;
     let mut bytes = Vec::new();
-    stream.take(MOST_ANSWER).read_to_end(&mut bytes).map_err(wrong)?;
+    stream.take(MAX_ANSWER).read_to_end(&mut bytes).map_err(io_error)?;
     let mut fields = [httparse::EMPTY_HEADER; 16];
     let mut head = httparse::Response::new(&mut fields);
     let end = match head.parse(&bytes) {
@@ -101,7 +105,7 @@
     let body = String::from_utf8_lossy(&bytes[end..]).into_owned();
     match head.code.unwrap_or(0) {
         200 => Ok(body),
-        status => Err(refused(status, &body).unwrap_or_else(|| AdminClientError::Status {
+        status => Err(parse_refusal(status, &body).unwrap_or_else(|| AdminClientError::Status {
             address,
             path: path.to_string(),
             status,
@@ -110,11 +114,11 @@
     }
 }
 
-/// A refusal with its reason, if the body holds one.
-fn refused(status: u16, body: &str) -> Option<AdminClientError> {
+/// The error with the reason that the body holds, if it holds one.
+fn parse_refusal(status: u16, body: &str) -> Option<AdminClientError> {
     let json = crate::json::parse(body).ok()?;
-    let top: &std::collections::HashMap<String, JsonValue> = json.get()?;
-    let text = |key: &str| top.get(key).and_then(|v| v.get::<String>()).cloned();
+    let object: &std::collections::HashMap<String, JsonValue> = json.get()?;
+    let text = |key: &str| object.get(key).and_then(|v| v.get::<String>()).cloned();
     Some(AdminClientError::Refused { status, error: text("error")?, help: text("help")? })
 }
 
@@ -123,13 +127,13 @@
     use super::*;
 
     #[test]
-    fn a_refusal_tells_what_is_wrong_and_what_can_be_done() {
+    fn a_refusal_has_the_error_and_the_help_of_the_body() {
         let body = r#"{"error":"no version 7","help":"`show` lists them"}"#;
-        let e = refused(409, body).unwrap();
+        let e = parse_refusal(409, body).unwrap();
         let help = e.help().map(|help| help.to_string());
         assert_eq!((e.to_string(), help.as_deref()), ("no version 7".into(), Some("`show` lists them")));
         for plain in ["no\n", "{}", r#"{"error":1,"help":""}"#] {
-            assert!(refused(503, plain).is_none(), "{plain}");
+            assert!(parse_refusal(503, plain).is_none(), "{plain}");
         }
     }
 }
