--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of the fleet's routes: several of them in one process, over loopback, with records on disk. Orders go in
-//! where the operators' door puts them, and calls are looked at as the serving path does.
+//! The driver of the fleet's routes: several drivers in one process, connected over loopback, with records on disk.
+//! Orders are submitted as the admin endpoint submits them, and calls are routed as the serving path routes them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -20,12 +20,12 @@
 use hopwalk::lab::stand_in::wait_until;
 use serde_json::Value;
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
-const PATIENCE: Duration = Duration::from_secs(20);
+static NEXT_FLEET: AtomicU64 = AtomicU64::new(1);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Fleet {
     folder: PathBuf,
-    /// Held while members come and go on them.
+    /// Reserved while members start and stop on them.
     _ports: Vec<ReservedPort>,
     voters: Vec<(String, SocketAddr)>,
     services: Vec<TcpListener>,
@@ -44,9 +44,9 @@
 }
 
 impl Fleet {
-    /// So many voters, and one member that does not vote.
+    /// Starts this many voters, and one member that does not vote.
     fn start(voters: usize) -> Self {
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
+        let n = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("hopwalk-driver-test-{}-{n}", std::process::id()));
         let ports: Vec<_> = (0..voters).map(|_| ReservedPort::any().unwrap()).collect();
         let voter = |(at, port): (usize, &ReservedPort)| (format!("m{}", at + 1), port.address());
@@ -69,16 +69,17 @@
         Driver::start(Options { name, fleet, voters, record, known, clock_fault: None }).unwrap()
     }
 
-    fn wait(&self, what: &str, mut there: impl FnMut(&Driver) -> bool) {
-        let all = || self.drivers.iter().all(&mut there);
-        if !wait_until(PATIENCE, all) {
+    /// Waits until the condition holds at all drivers.
+    fn wait(&self, what: &str, mut condition: impl FnMut(&Driver) -> bool) {
+        let all = || self.drivers.iter().all(&mut condition);
+        if !wait_until(TIMEOUT, all) {
             let shown: Vec<_> = (0..self.drivers.len()).map(|at| self.order(at, Order::Show)).collect();
-            panic!("{what} did not come: {shown:#?}");
+            panic!("{what} did not happen: {shown:#?}");
         }
     }
 
     fn order(&self, at: usize, order: Order) -> Result<Value, OrderError> {
-        let answer = self.drivers[at].routing().order(order, "anna").recv_timeout(PATIENCE).unwrap();
+        let answer = self.drivers[at].routing().order(order, "anna").recv_timeout(TIMEOUT).unwrap();
         answer.map(|text| serde_json::from_str(&text).unwrap())
     }
 
@@ -90,28 +91,28 @@
         )
     }
 
-    /// Waits until the record says that a switch is past: a moment later than the members know.
-    fn settle(&self, at: usize) {
+    /// Waits until the record has completed a switch, which is slightly later than at the members.
+    fn wait_for_completion(&self, at: usize) {
         let done = || {
             let shown = self.order(at, Order::Show).unwrap();
             shown["fleet"].is_object() && shown["fleet"]["pending"].is_null()
         };
-        assert!(wait_until(PATIENCE, done), "the activation does not end");
+        assert!(wait_until(TIMEOUT, done), "the activation does not complete");
     }
 
     fn leader(&self) -> usize {
-        let known = self.order(0, Order::Show).unwrap();
-        let name = known["fleet"]["leader"].as_str().unwrap().to_string();
+        let shown = self.order(0, Order::Show).unwrap();
+        let name = shown["fleet"]["leader"].as_str().unwrap().to_string();
         self.voters.iter().position(|(n, _)| *n == name).unwrap()
     }
 }
 
-fn routed(driver: &Driver) -> RouteDecision {
+fn route(driver: &Driver) -> RouteDecision {
     driver.routing().route(&Call { class: "seat".into(), ..Call::default() })
 }
 
 fn turn(driver: &Driver) -> Option<u64> {
-    match routed(driver) {
+    match route(driver) {
         RouteDecision::Go { fence, .. } => Some(fence.turn),
         _ => None,
     }
@@ -123,8 +124,11 @@
     fleet.wait("a lease under turn 0", |d| turn(d) == Some(0));
     assert_eq!(fleet.order(3, Order::Propose { table: fleet.table(0) }).unwrap()["version"], 1);
     let bad = fleet.table(0).replace("seat", "boat");
-    let told = fleet.order(3, Order::Propose { table: bad });
-    assert!(matches!(told, Err(OrderError::Refused(Refused::Routes(RecordError::Table { .. })))), "{told:?}");
+    let refused = fleet.order(3, Order::Propose { table: bad });
+    assert!(
+        matches!(refused, Err(OrderError::Refused(Refused::Routes(RecordError::Table { .. })))),
+        "{refused:?}"
+    );
     assert_eq!(fleet.order(1, Order::Activate { version: 1 }).unwrap()["turn"], 1);
     let busy = fleet.order(2, Order::Activate { version: 1 });
     assert!(
@@ -132,14 +136,14 @@
             if by.starts_with("anna at m2")),
         "{busy:?}"
     );
-    // All are looked at in one thread: once one acts under turn 1 nobody may act under turn 0.
+    // One thread routes calls at all drivers in turn: once a driver routes under turn 1, none may route under turn 0.
     let (began, mut newest, mut first) = (Instant::now(), 0, None);
     let mut switched = [false; 4];
     while switched.contains(&false) {
-        assert!(began.elapsed() < PATIENCE, "no switch: {:#?}", fleet.order(0, Order::Show));
+        assert!(began.elapsed() < TIMEOUT, "no switch: {:#?}", fleet.order(0, Order::Show));
         for (at, driver) in fleet.drivers.iter().enumerate() {
             let Some(turn) = turn(driver) else { continue };
-            assert!(turn >= newest, "m{} acts under {turn} after {newest}", at + 1);
+            assert!(turn >= newest, "m{} routes under {turn} after {newest}", at + 1);
             if turn > newest {
                 (newest, first) = (turn, Some(Instant::now()));
             }
@@ -147,17 +151,17 @@
         }
     }
     println!("all switched {} us after the first", first.unwrap().elapsed().as_micros());
-    let to = |driver: &Driver| match routed(driver) {
+    let address = |driver: &Driver| match route(driver) {
         RouteDecision::Go { address, .. } => address,
         _ => None,
     };
-    assert!(fleet.drivers.iter().all(|d| to(d) == fleet.services[0].local_addr().ok()));
-    // Calls go by the clock; the thread that counts may be a moment late.
-    fleet.wait("the count", |d| d.routing().metrics().contains("hopwalk_fleet_turn 1"));
+    assert!(fleet.drivers.iter().all(|d| address(d) == fleet.services[0].local_addr().ok()));
+    // Calls are routed by the clock; the thread that updates the metrics may be slightly late.
+    fleet.wait("the metric", |d| d.routing().metrics().contains("hopwalk_fleet_turn 1"));
 }
 
 #[test]
-fn the_fleet_goes_on_without_its_leader_and_goes_back() {
+fn a_rollback_succeeds_after_the_leader_has_left() {
     let mut fleet = Fleet::start(3);
     fleet.wait("a lease", |d| turn(d) == Some(0));
     for service in 0..2 {
@@ -166,31 +170,31 @@
         let version = version.unwrap();
         fleet.order(3, Order::Activate { version }).unwrap();
         fleet.wait("the switch", |d| turn(d) == Some(version));
-        fleet.settle(3);
+        fleet.wait_for_completion(3);
     }
     let leader = fleet.leader();
-    let old = fleet.drivers.remove(leader);
-    old.stop();
+    let stopped = fleet.drivers.remove(leader);
+    stopped.stop();
     let at = fleet.drivers.len() - 1;
-    // Whoever leads next takes the order; the one that left does not stop it for longer than its lease.
+    // The next leader executes the order; the stopped member delays it for no longer than its lease.
     assert_eq!(fleet.order(at, Order::Rollback).unwrap()["turn"], 3);
     fleet.wait("the rollback", |d| turn(d) == Some(3));
-    fleet.settle(at);
+    fleet.wait_for_completion(at);
     assert_eq!(fleet.order(at, Order::Show).unwrap()["fleet"]["active"]["version"], 1);
-    // It comes back as a new life with its record, and is told.
-    let back = fleet.driver(leader);
-    fleet.drivers.push(back);
-    fleet.wait("the lease of the one that came back", |d| turn(d) == Some(3));
+    // The member is started again as a new incarnation with its record, and gets the active turn.
+    let restarted = fleet.driver(leader);
+    fleet.drivers.push(restarted);
+    fleet.wait("the lease of the restarted member", |d| turn(d) == Some(3));
     let history = fleet.order(0, Order::History).unwrap();
     assert_eq!(history["activations"].as_array().unwrap().len(), 3);
 }
 
 #[test]
-fn a_prepare_is_aborted_by_an_operator_and_by_a_service_that_is_not_there() {
+fn an_unreachable_service_aborts_a_prepare_and_a_later_abort_is_refused() {
     let fleet = Fleet::start(1);
     fleet.wait("a lease", |d| turn(d) == Some(0));
-    let gone = fleet.services[1].local_addr().unwrap().to_string();
-    let table = fleet.table(1).replace(&gone, "127.0.0.1:1");
+    let service = fleet.services[1].local_addr().unwrap().to_string();
+    let table = fleet.table(1).replace(&service, "127.0.0.1:1");
     fleet.order(0, Order::Propose { table }).unwrap();
     fleet.order(0, Order::Activate { version: 1 }).unwrap();
     let aborted = || {
@@ -198,16 +202,16 @@
         let last = history["activations"].as_array().unwrap().last()?.clone();
         Some(last["aborted"]["because"].as_str()?.to_string())
     };
-    assert!(wait_until(PATIENCE, || aborted().is_some()), "no abort");
+    assert!(wait_until(TIMEOUT, || aborted().is_some()), "no abort");
     assert_eq!(aborted().unwrap(), "no connection to 127.0.0.1:1");
-    let nothing = fleet.order(0, Order::Abort);
-    assert!(matches!(nothing, Err(OrderError::Refused(Refused::Routes(RecordError::NotPending { .. })))));
+    let refused = fleet.order(0, Order::Abort);
+    assert!(matches!(refused, Err(OrderError::Refused(Refused::Routes(RecordError::NotPending { .. })))));
     assert!(fleet.drivers.iter().all(|d| turn(d) == Some(0)));
 }
 
 #[test]
-fn an_order_that_comes_again_before_it_is_applied_is_told_what_it_came_to() {
-    // Guards against an operator who is told that the own order, sent again by the member, stands in its way.
+fn an_order_repeated_before_it_is_applied_gets_the_same_result() {
+    // Guards against refusing an order as busy because of its own first submission, which the member has repeated.
     let fleet = Fleet::start(1);
     fleet.wait("a lease", |d| turn(d) == Some(0));
     fleet.order(0, Order::Propose { table: fleet.table(0) }).unwrap();
@@ -217,8 +221,8 @@
     let answers = runtime.block_on(async {
         let client = Client::start(Local::new("test", "m2"), &name, address, None);
         let request = Request::Submit(decided::Entry::Routes(prepare));
-        let submit = || client.request(&request, PATIENCE);
-        // The disk is slower than the link: the second one comes while the first one is written.
+        let submit = || client.request(&request, TIMEOUT);
+        // The disk is slower than the link: the second request arrives while the entry of the first is being written.
         tokio::join!(submit(), submit())
     });
     for answer in [answers.0, answers.1] {
@@ -228,8 +232,8 @@
 }
 
 #[test]
-fn what_a_leader_said_of_experiments_before_its_newest_word_is_not_taken() {
-    // Guards against counts of an experiment that are begun anew, or dropped, by an answer that came late.
+fn an_outdated_report_of_the_running_experiment_is_ignored() {
+    // Guards against a late answer that restarts or drops the counts of an experiment.
     let port = ReservedPort::any().unwrap();
     let (voters, record, clock_fault) = (vec![("m1".to_string(), port.address())], None, None);
     let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
@@ -240,22 +244,23 @@
         "longest_ms":20000,"grace_ms":1000,"least_blocks":10}"#;
     let experiment: Experiment = serde_json::from_str(document).unwrap();
     let running = Running { experiment, closed: 0, members: ["m2".to_string()].into() };
-    // Which ask came first, how many reports came, and whether the first ask was answered.
+    // Whether the first ask has arrived, the number of reports, and whether the first ask was answered.
     let (first, reports, late) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let said = std::sync::Arc::new((first, reports, late));
-    let heard = said.clone();
+    let progress = std::sync::Arc::new((first, reports, late));
+    let observed = progress.clone();
     let answer = move |ask: Ask, running| {
         let (time, lease) = (Duration::from_secs(1), Duration::ZERO);
         let reply = Reply { number: ask.number, term: 1, time, lease, active: None, pending: None };
         Response::Reply { reply: Box::new(reply), running }
     };
     let handler = move |_: std::sync::Arc<Caller>, request: Request| -> Answering {
-        let (said, running) = (said.clone(), running.clone());
+        let (progress, running) = (progress.clone(), running.clone());
         Box::pin(async move {
-            let (first, reports, late) = &*said;
+            let (first, reports, late) = &*progress;
             match request {
                 Request::Ask(ask) if first.swap(1, Ordering::SeqCst) == 0 => {
-                    // Nothing ran yet as it was asked; it waits until the experiment is known by a later answer.
+                    // No experiment ran when this ask was sent. Its answer is held back until a later answer has
+                    // reported the experiment.
                     while reports.load(Ordering::SeqCst) == 0 {
                         tokio::time::sleep(Duration::from_millis(5)).await;
                     }
@@ -274,63 +279,66 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let server = runtime.block_on(Server::start(port.address(), Local::new(&*fleet, "m1"), handler)).unwrap();
     let driver = Driver::start(options).unwrap();
-    let reports = || heard.1.load(Ordering::SeqCst);
-    assert!(wait_until(PATIENCE, || heard.2.load(Ordering::SeqCst) == 1), "the first ask is answered");
+    let reports = || observed.1.load(Ordering::SeqCst);
+    assert!(wait_until(TIMEOUT, || observed.2.load(Ordering::SeqCst) == 1), "the first ask is answered");
     let before = reports();
-    assert!(wait_until(PATIENCE, || reports() >= before + 3), "it counts on");
+    assert!(wait_until(TIMEOUT, || reports() >= before + 3), "it continues to report counts");
     driver.stop();
     drop(server);
 }
 
 #[test]
-fn another_process_of_a_matcher_takes_the_record_over_and_no_lease_is_lost() {
+fn another_process_of_a_matcher_takes_over_the_record_without_losing_a_lease() {
     let mut fleet = Fleet::start(1);
     fleet.wait("a lease", |d| turn(d) == Some(0));
-    let new = fleet.driver(0);
-    assert!(wait_until(PATIENCE, || turn(&new) == Some(0)), "a lease of its own while the old one votes");
+    let successor = fleet.driver(0);
+    assert!(
+        wait_until(TIMEOUT, || turn(&successor) == Some(0)),
+        "the successor has a lease while the predecessor votes"
+    );
     fleet.order(0, Order::Propose { table: fleet.table(0) }).unwrap();
     fleet.drivers[0].release_record();
-    let votes = || new.routing().metrics().contains("hopwalk_fleet_leads 1");
-    assert!(wait_until(PATIENCE, || {
-        assert_eq!(turn(&fleet.drivers[0]), Some(0), "the old one serves what it has");
-        votes()
+    let leads = || successor.routing().metrics().contains("hopwalk_fleet_leads 1");
+    assert!(wait_until(TIMEOUT, || {
+        assert_eq!(turn(&fleet.drivers[0]), Some(0), "the predecessor keeps its lease");
+        leads()
     }));
-    fleet.drivers.push(new);
+    fleet.drivers.push(successor);
     let at = fleet.drivers.len() - 1;
     fleet.order(at, Order::Activate { version: 1 }).unwrap();
     fleet.wait("the switch at both processes and the member", |d| turn(d) == Some(1));
 }
 
 #[test]
-fn without_a_majority_nothing_is_called_and_operators_are_told() {
+fn without_a_majority_no_call_is_made_and_orders_fail() {
     let mut fleet = Fleet::start(3);
     fleet.wait("a lease", |d| turn(d) == Some(0));
-    let rest = fleet.drivers.split_off(2);
+    let remaining = fleet.drivers.split_off(2);
     fleet.drivers.drain(..).for_each(|d| d.stop());
-    fleet.drivers = rest;
-    fleet.wait("the end of the lease", |d| routed(d) == RouteDecision::Barred && !d.routing().ready());
+    fleet.drivers = remaining;
+    fleet.wait("the end of the lease", |d| route(d) == RouteDecision::Barred && !d.routing().ready());
     assert_eq!(fleet.drivers[0].routing().route_states(&["seat".to_string()]), [RouteState::Closed]);
-    let told = fleet.order(0, Order::Activate { version: 1 });
-    assert!(matches!(told, Err(OrderError::NoLeader { .. })), "{told:?}");
-    let here = fleet.order(0, Order::Show).unwrap();
-    assert_eq!(here["here"]["posture"], "alone", "{here:#?}");
+    let refused = fleet.order(0, Order::Activate { version: 1 });
+    assert!(matches!(refused, Err(OrderError::NoLeader { .. })), "{refused:?}");
+    let shown = fleet.order(0, Order::Show).unwrap();
+    assert_eq!(shown["here"]["posture"], "alone", "{shown:#?}");
 }
 
 #[test]
-fn an_experiment_runs_over_all_members_and_its_winner_is_switched_to_once() {
+fn an_experiment_runs_over_all_members_and_its_winner_is_activated_once() {
     let fleet = Fleet::start(3);
     fleet.wait("a lease", |d| turn(d) == Some(0));
-    let at: Vec<_> = fleet.services.iter().map(|s| s.local_addr().unwrap()).collect();
+    let addresses: Vec<_> = fleet.services.iter().map(|s| s.local_addr().unwrap()).collect();
     let table = format!(
         r#"{{"pools":{{"a":[{{"address":"{}","weight":1}}],"b":[{{"address":"{}","weight":1}}]}},
             "routes":[{{"class":"seat","pool":"a","timeout_ms":100,"tries":2,"arms":[
                 {{"name":"old","pool":"a","share":500}},{{"name":"new","pool":"b","share":500}}]}}]}}"#,
-        at[0], at[1]
+        addresses[0], addresses[1]
     );
     fleet.order(0, Order::Propose { table }).unwrap();
     fleet.order(0, Order::Activate { version: 1 }).unwrap();
     fleet.wait("the switch", |d| turn(d) == Some(1));
-    fleet.settle(0);
+    fleet.wait_for_completion(0);
     let document = r#"{"activate":true,"experiment":{"name":"e","salt":[1,2],
         "arms":[{"name":"old","share":0.5},{"name":"new","share":0.5}],"alpha":0.05,"harm_alpha":0.01,
         "split_alpha":0.001,"harm_margin":0.5,"start_ms":0,"block_ms":200,"longest_ms":20000,"grace_ms":1000,
@@ -340,29 +348,30 @@
         Err(OrderError::InvalidDocument { line: 1, .. })
     ));
     assert_eq!(fleet.order(3, Order::Start { document: document.into() }).unwrap()["started"], "e");
-    // The old way is late one time in five: known from the subject, so the same at each play.
+    // The old arm is late for every fifth subject. The subject decides that, so it is the same in each run of the
+    // test.
     let (began, mut subject) = (Instant::now(), 0u64);
     while !fleet.drivers.iter().all(|d| turn(d) == Some(2)) {
-        assert!(began.elapsed() < PATIENCE, "no winner: {:#?}", fleet.order(0, Order::ShowExperiment));
+        assert!(began.elapsed() < TIMEOUT, "no winner: {:#?}", fleet.order(0, Order::ShowExperiment));
         for driver in &fleet.drivers {
             subject += 1;
             let call =
                 Call { class: "seat".into(), subject: subject.to_le_bytes().into(), ..Call::default() };
             let RouteDecision::Go { address, .. } = driver.routing().route(&call) else { continue };
-            let late = address == Some(at[0]) && subject.is_multiple_of(5);
+            let late = address == Some(addresses[0]) && subject.is_multiple_of(5);
             driver.routing().count(&call, if late { Kind::Late } else { Kind::Served });
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    fleet.settle(0);
-    let told = fleet.order(1, Order::ShowExperiment).unwrap();
-    let end = &told["history"][0];
-    assert_eq!((&end["end"]["verdict"]["Winner"]["arm"], &end["made"]), (&1.into(), &2.into()), "{told:#?}");
+    fleet.wait_for_completion(0);
+    let shown = fleet.order(1, Order::ShowExperiment).unwrap();
+    let end = &shown["history"][0];
+    assert_eq!((&end["end"]["verdict"]["Winner"]["arm"], &end["made"]), (&1.into(), &2.into()), "{shown:#?}");
     let why = end["evidence"][0].as_str();
-    assert!(why.is_some_and(|why| why.starts_with("new won: it served ")), "{told:#?}");
-    println!("a winner after {} blocks, {} subjects", end["closed"], subject);
+    assert!(why.is_some_and(|why| why.starts_with("new won: it served ")), "{shown:#?}");
+    println!("winner after {} blocks, {} subjects", end["closed"], subject);
     for driver in &fleet.drivers {
-        assert!(matches!(routed(driver), RouteDecision::Go { address, .. } if address == Some(at[1])));
+        assert!(matches!(route(driver), RouteDecision::Go { address, .. } if address == Some(addresses[1])));
     }
     let history = fleet.order(2, Order::History).unwrap();
     assert_eq!(history["activations"].as_array().unwrap().len(), 2, "{history:#?}");
