--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -1,4 +1,5 @@
-//! What operators are told, in JSON. No I/O.
+//! The JSON documents that answer operators' orders: the state of the routes and experiments as the leader knows it,
+//! what a single member knows itself, and the results of orders. No I/O.
 
 use std::time::Duration;
 
@@ -28,7 +29,7 @@
     json!({ "turn": a.fence.turn, "version": a.fence.version, "hash": a.hash.to_string() })
 }
 
-fn why(why: &Why) -> Value {
+fn abort_reason(why: &Why) -> Value {
     match why {
         Why::Refused(life, refusal) => json!({ "refused_by": life.name, "because": refusal.to_string() }),
         Why::Silent(life) => json!({ "silent": life.name }),
@@ -36,48 +37,51 @@
     }
 }
 
-/// What became of the table that was made of a winner. Nobody but an operator begins its activation a second time.
-fn winners(made: Version, on: Fence, routes: &routes::State) -> Value {
-    let its = |f: Fence| f.version == made && f.turn > on.turn;
-    let told = |stage: &str, help: String| json!({ "stage": stage, "help": help });
-    let again = match routes.table(made) {
+/// The state of the activation of a winner's table, which is version `made`; the experiment ran under the fence `on`.
+/// The leader begins this activation only once: a second one needs an operator's order.
+fn winner_activation(made: Version, on: Fence, routes: &routes::State) -> Value {
+    let is_of_winner = |f: Fence| f.version == made && f.turn > on.turn;
+    let document_of = |stage: &str, help: String| json!({ "stage": stage, "help": help });
+    let next_step = match routes.table(made) {
         Some(_) => format!("`hopwalk fleet routes activate {made}`"),
         None => format!("propose the table anew, as version {made} is not kept any more, and activate that"),
     };
-    if let Some(run) = routes.run().filter(|run| its(run.activation.fence)) {
-        let mut document = told("on its way", "`hopwalk fleet routes show` says how far it is".into());
+    if let Some(run) = routes.run().filter(|run| is_of_winner(run.activation.fence)) {
+        let mut document = document_of("on its way", "`hopwalk fleet routes show` says how far it is".into());
         document["turn"] = json!(run.activation.fence.turn);
         return document;
     }
-    if let Some(active) = routes.active().filter(|active| its(active.fence)) {
-        let mut document = told("active", "there is nothing to do".into());
+    if let Some(active) = routes.active().filter(|active| is_of_winner(active.fence)) {
+        let mut document = document_of("active", "there is nothing to do".into());
         document["turn"] = json!(active.fence.turn);
         return document;
     }
     if routes.made() == Some(made) {
-        return told("waits", "it begins once the activation that is on its way has ended".into());
+        return document_of("waits", "it begins once the activation that is on its way has ended".into());
     }
-    let begun = routes.history().filter(|past| its(past.fence)).skip_while(|past| past.by != WINNER);
+    let begun = routes.history().filter(|past| is_of_winner(past.fence)).skip_while(|past| past.by != WINNER);
     let Some(last) = begun.last() else {
         let help =
-            format!("another table was activated before it, or too long ago; if it is wanted: {again}");
-        return told("not begun", help);
+            format!("another table was activated before it, or too long ago; if it is wanted: {next_step}");
+        return document_of("not begun", help);
     };
     let mut document = match &last.aborted {
-        Some(_) => told(
+        Some(_) => document_of(
             "aborted",
-            format!("it is not tried again by itself: mend what `because` names, then {again}"),
+            format!("it is not tried again by itself: mend what `because` names, then {next_step}"),
+        ),
+        None => document_of(
+            "switched away from",
+            format!("another table became active since; if it is wanted: {next_step}"),
         ),
-        None => {
-            told("switched away from", format!("another table became active since; if it is wanted: {again}"))
-        }
     };
-    (document["turn"], document["because"]) = (json!(last.fence.turn), json!(last.aborted.as_ref().map(why)));
+    (document["turn"], document["because"]) =
+        (json!(last.fence.turn), json!(last.aborted.as_ref().map(abort_reason)));
     document
 }
 
-/// What the leader tells at `now`.
-pub fn leaders<'a>(
+/// The document that the leader returns at `now`. `given` are the leases that it knows of.
+pub fn leader_document<'a>(
     look: Look,
     state: &State,
     standing: &Standing,
@@ -96,13 +100,13 @@
                 })
             };
             let run = state.routes.run().map(|run| {
-                let mut on_its_way = activation(run.activation);
-                on_its_way["by"] = json!(run.by);
-                on_its_way["stage"] = match run.stage {
+                let mut pending = activation(run.activation);
+                pending["by"] = json!(run.by);
+                pending["stage"] = match run.stage {
                     Stage::Preparing => json!("preparing"),
                     Stage::Committed(_) => json!("committed"),
                 };
-                on_its_way
+                pending
             });
             let tables = state.routes.tables();
             let tables: Vec<_> =
@@ -123,7 +127,7 @@
                     "turn": past.fence.turn,
                     "version": past.fence.version,
                     "by": past.by,
-                    "aborted": past.aborted.as_ref().map(why),
+                    "aborted": past.aborted.as_ref().map(abort_reason),
                 })
             };
             json!({ "activations": state.routes.history().map(past).collect::<Vec<_>>() })
@@ -156,7 +160,7 @@
                     "end": end,
                     "evidence": words::ended(past),
                     "made": past.made,
-                    "activation": past.made.map(|made| winners(made, past.on, &state.routes)),
+                    "activation": past.made.map(|made| winner_activation(made, past.on, &state.routes)),
                     "document": past.experiment,
                 })
             };
@@ -166,8 +170,8 @@
     }
 }
 
-/// What the member at the door knows itself, whoever leads.
-pub fn own(member: &Member, now: Duration, ears: &Ears, leader: Option<&str>) -> Value {
+/// The document about what a member knows itself, also without a leader.
+pub fn member_document(member: &Member, now: Duration, reachability: &Ears, leader: Option<&str>) -> Value {
     let (lease, switch) = member.promises();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
@@ -176,9 +180,9 @@
     json!({
         "name": member.life().name,
         "incarnation": member.life().incarnation,
-        "posture": ears.posture(now).name(),
-        "unheard": ears.unheard(now),
-        "membership_hears": ears.by_membership(now),
+        "posture": reachability.posture(now).name(),
+        "unheard": reachability.unheard(now),
+        "membership_hears": reachability.by_membership(now),
         "leader": leader,
         "ready": member.ready(now),
         "lease_ms": ms(lease.until().saturating_sub(now)),
@@ -192,8 +196,8 @@
     })
 }
 
-/// What an order came to.
-pub fn done(applied: &Applied) -> Value {
+/// The document about the result of an order.
+pub fn order_result(applied: &Applied) -> Value {
     match applied {
         Applied::Routes(routes::Applied::Proposed(version)) => json!({ "version": version }),
         Applied::Routes(routes::Applied::Moved(turn)) => json!({ "turn": turn }),
@@ -230,7 +234,7 @@
     }
 
     #[test]
-    fn what_became_of_a_winners_table_is_told_with_what_can_be_done() {
+    fn the_state_of_a_winners_table_is_reported_with_the_next_step() {
         let mut state = routes::State::default();
         for port in 1..=2 {
             state.apply(&Entry::Propose { table: table(port), by: "o".into() }).unwrap();
@@ -238,39 +242,42 @@
         let turn = begin(&mut state, 1, "o");
         finish(&mut state, turn);
         let on = state.active().unwrap().fence;
-        // An activation of the same table before the experiment's end is another matter.
+        // An activation of the same table before the end of the experiment does not count.
         let turn = begin(&mut state, 2, "o");
         state.apply(&Entry::Abort { turn, why: Why::Operator("o".into()) }).unwrap();
-        let told = |state: &routes::State| winners(2, on, state);
-        assert_eq!(told(&state)["stage"], "not begun");
+        let document = |state: &routes::State| winner_activation(2, on, state);
+        assert_eq!(document(&state)["stage"], "not begun");
         assert_eq!(state.make(Table::parse(&table(2)).unwrap()), 2);
-        assert_eq!(told(&state)["stage"], "waits");
+        assert_eq!(document(&state)["stage"], "waits");
         let turn = begin(&mut state, 2, WINNER);
-        assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("on its way"), &json!(turn)));
+        assert_eq!(
+            (&document(&state)["stage"], &document(&state)["turn"]),
+            (&json!("on its way"), &json!(turn))
+        );
         let silent = Why::Silent(Life { name: "m3".into(), incarnation: 1 });
         state.apply(&Entry::Abort { turn, why: silent }).unwrap();
-        let aborted = told(&state);
+        let aborted = document(&state);
         assert_eq!((&aborted["stage"], &aborted["turn"]), (&json!("aborted"), &json!(turn)));
         assert_eq!(aborted["because"], json!({ "silent": "m3" }));
         let help = aborted["help"].as_str().unwrap();
         assert!(help.contains("not tried again") && help.contains("fleet routes activate 2"), "{help}");
-        // An operator's activation of it counts as its own.
+        // An operator's activation of the table counts as well.
         let turn = begin(&mut state, 2, "o");
         finish(&mut state, turn);
-        assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("active"), &json!(turn)));
+        assert_eq!((&document(&state)["stage"], &document(&state)["turn"]), (&json!("active"), &json!(turn)));
         let turn = begin(&mut state, 1, "o");
         finish(&mut state, turn);
-        assert_eq!(told(&state)["stage"], "switched away from");
+        assert_eq!(document(&state)["stage"], "switched away from");
         for port in 100..200 {
             state.apply(&Entry::Propose { table: table(port), by: "o".into() }).unwrap();
         }
-        // Both were active last, and are kept; a third one moves the older one out.
+        // Both tables were active last and are kept. A third one evicts the older one.
         let turn = begin(&mut state, 100, "o");
         finish(&mut state, turn);
         for port in 200..300 {
             state.apply(&Entry::Propose { table: table(port), by: "o".into() }).unwrap();
         }
-        let help = told(&state)["help"].clone();
+        let help = document(&state)["help"].clone();
         assert!(help.as_str().unwrap().contains("propose the table anew"), "{help}");
     }
 }
--- a/src/fleet/driver/leader_role.rs
+++ b/src/fleet/driver/leader_role.rs
@@ -1,5 +1,6 @@
-//! The leader's side as far as it is decided: no I/O, no clock. It follows the record's standing, so that the routes'
-//! leader is on in just the terms in which the record leads, and says which entries may go into the log.
+//! The decisions of a voter that leads, without I/O or a clock. [`LeaderRole`] follows the record's standing, so that
+//! the leader of the routes is active in exactly the terms in which the record leads. The functions decide which
+//! entries may be submitted to the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,50 +16,65 @@
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::{Ask, Life, Pace, Turn, Window};
 
-/// A member that did not ask for this long is not waited for at the end of a block.
-const SEEN: Duration = Duration::from_secs(10);
-/// Members that are remembered at most.
-const MOST_SEEN: usize = 4096;
-/// A winner's activation that was not taken is proposed again after this long.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The end of a block does not wait for a member that has not sent an ask for this long.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Members whose last ask is remembered at most.
+const MAX_MEMBERS: usize = 4096;
+/// The activation of a winner's table is proposed again after this time if it was not accepted.
+const WINNER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known where something is decided: the time on the process's clock and since the Unix epoch, the record, and
-/// what the posture allows.
-pub struct Now<'a> {
+/// The input of a decision: the time on the process's clock and since the Unix epoch, the state of the record, and
+/// what the posture permits.
+pub struct Context<'a> {
     pub now: Duration,
     pub unix: Duration,
     pub state: &'a State,
     pub may: May,
 }
 
-/// One voter as the leader, or as none.
-pub struct Lead {
+/// The state of one voter as the leader; inactive while it does not lead.
+pub struct LeaderRole {
     leader: Leader,
     voters: BTreeSet<String>,
     pace: Pace,
     term: Option<u64>,
-    /// When it was elected, or a majority last answered.
-    confirmed: Duration,
-    seen: BTreeMap<String, Duration>,
+    /// When it was elected, or when the last request that a majority answered was sent.
+    confirmed_at: Duration,
+    last_asks: BTreeMap<String, Duration>,
     collector: Collector,
-    winner: Option<Duration>,
+    winner_proposed_at: Option<Duration>,
 }
 
-impl Lead {
-    /// It does not lead.
+impl LeaderRole {
+    /// Creates the state of a voter that does not lead.
     pub fn new(voters: BTreeSet<String>, pace: Pace) -> Self {
-        let (seen, collector) = Default::default();
-        let (leader, confirmed) = (Leader::new(pace), Duration::ZERO);
-        Self { leader, voters, pace, term: None, confirmed, seen, collector, winner: None }
+        let (last_asks, collector) = Default::default();
+        let (leader, confirmed_at) = (Leader::new(pace), Duration::ZERO);
+        Self {
+            leader,
+            voters,
+            pace,
+            term: None,
+            confirmed_at,
+            last_asks,
+            collector,
+            winner_proposed_at: None,
+        }
     }
 
-    /// The term that it leads in.
+    /// The term in which this voter leads, if it does.
     pub fn term(&self) -> Option<u64> {
         self.term
     }
 
-    /// Takes up where the record stands; `window` is where its own member's clock has the moment of a committed run.
-    pub fn follow(&mut self, at: &Now, standing: &Standing, window: Option<(Turn, Window)>) -> Vec<Effect> {
+    /// Follows the record's standing. `window` is the moment of a committed switch on the clock of this voter's own
+    /// member.
+    pub fn follow_record(
+        &mut self,
+        context: &Context,
+        standing: &Standing,
+        window: Option<(Turn, Window)>,
+    ) -> Vec<Effect> {
         let input = match (standing.leads, self.term) {
             (true, Some(term)) if term == standing.term => return Vec::new(),
             (true, _) => Input::Elected { term: standing.term, window },
@@ -66,95 +82,98 @@
             (false, None) => return Vec::new(),
         };
         self.term = standing.leads.then_some(standing.term);
-        self.confirmed = at.now;
-        (self.collector, self.winner) = Default::default();
-        self.seen.clear();
-        self.step(at, input)
+        self.confirmed_at = context.now;
+        (self.collector, self.winner_proposed_at) = Default::default();
+        self.last_asks.clear();
+        self.step(context, input)
     }
 
-    /// A majority answered what was sent at `sent` or later by the leader of `term`.
-    pub fn confirmed(&mut self, at: &Now, term: u64, sent: Duration) -> Vec<Effect> {
+    /// A majority has answered requests that the leader of `term` sent at `sent` or later.
+    pub fn confirm(&mut self, context: &Context, term: u64, sent: Duration) -> Vec<Effect> {
         match self.term == Some(term) {
             true => {
-                self.confirmed = self.confirmed.max(sent);
-                self.step(at, Input::Confirmed { sent })
+                self.confirmed_at = self.confirmed_at.max(sent);
+                self.step(context, Input::Confirmed { sent })
             }
             false => Vec::new(),
         }
     }
 
-    /// It leads, and has a lease to give. One that a majority has not answered for so long says that it does not: another
-    /// one may lead, and who asks is to look on.
-    pub fn leads(&self, now: Duration) -> bool {
-        self.term.is_some() && now < self.confirmed + self.pace.lease
+    /// Whether it leads and can still grant leases. Without an answer of a majority within the length of a lease it
+    /// does not claim to lead: another voter may lead, and members that ask have to find it.
+    pub fn is_confirmed_leader(&self, now: Duration) -> bool {
+        self.term.is_some() && now < self.confirmed_at + self.pace.lease
     }
 
-    /// A member asks.
-    pub fn ask(&mut self, at: &Now, ask: Ask) -> Vec<Effect> {
-        if self.seen.len() < MOST_SEEN || self.seen.contains_key(&ask.life.name) {
-            self.seen.insert(ask.life.name.clone(), at.now);
+    /// Handles an ask of a member.
+    pub fn handle_ask(&mut self, context: &Context, ask: Ask) -> Vec<Effect> {
+        if self.last_asks.len() < MAX_MEMBERS || self.last_asks.contains_key(&ask.life.name) {
+            self.last_asks.insert(ask.life.name.clone(), context.now);
         }
-        self.step(at, Input::Ask(ask))
+        self.step(context, Input::Ask(ask))
     }
 
-    /// Time passed, or the record moved.
-    pub fn tick(&mut self, at: &Now) -> Vec<Effect> {
-        self.seen.retain(|_, seen| at.now < *seen + SEEN);
-        self.step(at, Input::Tick)
+    /// Handles that time has passed or the record has changed.
+    pub fn tick(&mut self, context: &Context) -> Vec<Effect> {
+        self.last_asks.retain(|_, asked_at| context.now < *asked_at + MEMBER_TIMEOUT);
+        self.step(context, Input::Tick)
     }
 
-    fn step(&mut self, at: &Now, input: Input) -> Vec<Effect> {
-        let mut effects = self.leader.step(at.now, &at.state.routes, input);
+    fn step(&mut self, context: &Context, input: Input) -> Vec<Effect> {
+        let mut effects = self.leader.step(context.now, &context.state.routes, input);
         effects.retain(|effect| match effect {
-            Effect::Propose(entry) => allowed(&Entry::Routes(entry.clone()), at.may),
+            Effect::Propose(entry) => is_allowed(&Entry::Routes(entry.clone()), context.may),
             _ => true,
         });
         effects
     }
 
-    /// Who serves, as far as is known here: the voters, and who asked of late.
+    /// The members that serve, as far as this voter knows: the voters, and the members that sent an ask recently.
     pub fn members(&self) -> BTreeSet<String> {
-        self.voters.iter().chain(self.seen.keys()).cloned().collect()
+        self.voters.iter().chain(self.last_asks.keys()).cloned().collect()
     }
 
-    /// What is known of the leases of each life.
+    /// What the leader knows of the leases of each incarnation.
     pub fn given(&self) -> impl Iterator<Item = (&Life, &Given)> {
         self.leader.given()
     }
 
-    /// Takes what a matcher counted; false if it was not taken.
-    pub fn heard(&mut self, state: &State, report: &Report) -> bool {
+    /// Takes over the counts of a matcher; returns false if they were not accepted.
+    pub fn take_report(&mut self, state: &State, report: &Report) -> bool {
         self.term.is_some() && self.collector.heard(&state.experiments, report).is_ok()
     }
 
-    /// What the experiments want in the log now: a block's end, or the activation of a winner's table.
-    pub fn experiments(&mut self, at: &Now) -> Option<Entry> {
+    /// The entry that the experiments require in the log now: the end of a block, or the activation of a winner's
+    /// table.
+    pub fn next_experiment_entry(&mut self, context: &Context) -> Option<Entry> {
         self.term?;
-        if !at.may.decide {
+        if !context.may.decide {
             return None;
         }
         let members = self.members();
-        if let Some(entry) = self.collector.propose(&at.state.experiments, &members, at.unix) {
+        if let Some(entry) = self.collector.propose(&context.state.experiments, &members, context.unix) {
             return Some(Entry::Experiment(entry));
         }
-        let version = at.state.experiments.to_activate(&at.state.routes)?;
+        let version = context.state.experiments.to_activate(&context.state.routes)?;
         let entry = Entry::Routes(routes::Entry::Prepare { version, by: experiments::WINNER.into() });
-        let waits = self.winner.is_some_and(|last| at.now < last + AGAIN);
-        if waits || !allowed(&entry, at.may) {
+        let is_waiting =
+            self.winner_proposed_at.is_some_and(|last| context.now < last + WINNER_RETRY_INTERVAL);
+        if is_waiting || !is_allowed(&entry, context.may) {
             return None;
         }
-        self.winner = Some(at.now);
+        self.winner_proposed_at = Some(context.now);
         Some(entry)
     }
 
-    /// An entry of the experiments was taken, refused or given up.
-    pub fn answered(&mut self) {
+    /// An entry of the experiments was accepted or refused, or timed out.
+    pub fn entry_answered(&mut self) {
         self.collector.answered();
     }
 }
 
-/// What the posture lets into the log. An abort, and the end of what is decided, need none.
-pub fn allowed(entry: &Entry, may: May) -> bool {
+/// Whether the posture permits an entry in the log. An abort and the completion of a decided switch need no
+/// permission.
+pub fn is_allowed(entry: &Entry, may: May) -> bool {
     use experiments::Entry as E;
     use routes::Entry as R;
     match entry {
@@ -167,8 +186,8 @@
     }
 }
 
-/// Whether it is for operators to order: the rest only a leader proposes by itself.
-pub fn ordered(entry: &Entry) -> bool {
+/// Whether operators may order this entry. The other entries are proposed only by a leader itself.
+pub fn is_operator_order(entry: &Entry) -> bool {
     use experiments::Entry as E;
     use routes::{Entry as R, Why};
     matches!(
@@ -182,9 +201,9 @@
     )
 }
 
-/// What an order already came to: its answer was lost, and it comes again. Whose it is is told by who ordered it and when,
-/// which no two orders share.
-pub fn earlier(state: &State, entry: &Entry) -> Option<Applied> {
+/// The result of an order that was applied already and is repeated because its answer was lost. The order is
+/// recognized by its name, which holds the operator and the time and is unique.
+pub fn earlier_result(state: &State, entry: &Entry) -> Option<Applied> {
     use experiments::{End, Entry as E};
     use routes::{Entry as R, Why};
     match entry {
@@ -212,8 +231,8 @@
     }
 }
 
-/// What a member says of a prepare while its posture does not let it: nothing.
-pub fn gated(mut ask: Ask, may: May) -> Ask {
+/// Removes a member's acceptance of a prepare from an ask if its posture does not permit it.
+pub fn filter_answer(mut ask: Ask, may: May) -> Ask {
     if !may.prepare && matches!(ask.answer, Some((_, Ok(_)))) {
         ask.answer = None;
     }
@@ -251,35 +270,46 @@
     }
 
     #[test]
-    fn it_leads_in_just_the_terms_in_which_the_record_does() {
-        let mut lead = Lead::new(["m1".to_string()].into(), Pace::default());
+    fn it_leads_in_exactly_the_terms_in_which_the_record_leads() {
+        let mut role = LeaderRole::new(["m1".to_string()].into(), Pace::default());
         let state = State::default();
-        let at = |now| Now { now, unix: now, state: &state, may: Posture::Whole.may() };
+        let context = |now| Context { now, unix: now, state: &state, may: Posture::Whole.may() };
         let seat = Seat::Voter;
-        let stands = |term, leads| Standing { term, leads, leader: None, applied: 1, seat };
-        lead.follow(&at(s(10)), &stands(3, false), None);
+        let standing = |term, leads| Standing { term, leads, leader: None, applied: 1, seat };
+        role.follow_record(&context(s(10)), &standing(3, false), None);
         assert_eq!(
-            (lead.term(), lease(&lead.ask(&at(s(10)), ask(1)))),
+            (role.term(), lease(&role.handle_ask(&context(s(10)), ask(1)))),
             (None, None),
-            "no leader grants nothing"
+            "without leading it grants nothing"
+        );
+        role.follow_record(&context(s(10)), &standing(4, true), None);
+        assert_eq!(
+            lease(&role.handle_ask(&context(s(10)), ask(2))),
+            Some(Duration::ZERO),
+            "no majority has confirmed it yet"
+        );
+        role.confirm(&context(s(11)), 3, s(11));
+        assert_eq!(
+            lease(&role.handle_ask(&context(s(11)), ask(9))),
+            Some(Duration::ZERO),
+            "the confirmation is of another term"
+        );
+        role.confirm(&context(s(11)), 4, s(11));
+        assert!(
+            role.is_confirmed_leader(s(12)) && !role.is_confirmed_leader(s(13)),
+            "leading ends a lease after the last confirmation"
         );
-        lead.follow(&at(s(10)), &stands(4, true), None);
-        assert_eq!(lease(&lead.ask(&at(s(10)), ask(2))), Some(Duration::ZERO), "nobody confirmed it yet");
-        lead.confirmed(&at(s(11)), 3, s(11));
-        assert_eq!(lease(&lead.ask(&at(s(11)), ask(9))), Some(Duration::ZERO), "of another term");
-        lead.confirmed(&at(s(11)), 4, s(11));
-        assert!(lead.leads(s(12)) && !lead.leads(s(13)), "a lease without an answer of a majority");
-        assert!(lease(&lead.ask(&at(s(11)), ask(10))) > Some(s(1)));
-        assert!(lead.members().contains("m9") && lead.members().contains("m1"));
-        // A new term of the same voter knows nothing of the one before.
-        lead.follow(&at(s(12)), &stands(6, true), None);
-        assert_eq!((lead.term(), lead.given().count()), (Some(6), 0));
-        lead.follow(&at(s(13)), &stands(6, false), None);
-        assert_eq!((lead.term(), lease(&lead.ask(&at(s(13)), ask(11)))), (None, None));
+        assert!(lease(&role.handle_ask(&context(s(11)), ask(10))) > Some(s(1)));
+        assert!(role.members().contains("m9") && role.members().contains("m1"));
+        // In a new term the same voter starts without the leases of its previous term.
+        role.follow_record(&context(s(12)), &standing(6, true), None);
+        assert_eq!((role.term(), role.given().count()), (Some(6), 0));
+        role.follow_record(&context(s(13)), &standing(6, false), None);
+        assert_eq!((role.term(), lease(&role.handle_ask(&context(s(13)), ask(11)))), (None, None));
     }
 
     #[test]
-    fn a_minority_puts_nothing_into_the_log_but_an_abort() {
+    fn a_minority_may_submit_nothing_but_an_abort() {
         let (minority, majority) = (Posture::Minority.may(), Posture::Majority.may());
         let abort = |why| Entry::Routes(routes::Entry::Abort { turn: 1, why });
         let by = || "anna".to_string();
@@ -289,29 +319,32 @@
             Entry::Routes(routes::Entry::Rollback { by: by() }),
             Entry::Experiment(experiments::Entry::Over { name: "e".into(), at_ms: 1 }),
         ] {
-            assert!(allowed(&entry, majority) && !allowed(&entry, minority), "{entry:?}");
+            assert!(is_allowed(&entry, majority) && !is_allowed(&entry, minority), "{entry:?}");
         }
-        assert!(allowed(&abort(Why::Operator(by())), minority));
-        // What only a leader decides is not for a member to order.
-        assert!(ordered(&prepare("anna")) && ordered(&abort(Why::Operator(by()))));
-        assert!(!ordered(&abort(Why::Silent(ask(1).life))));
-        assert!(!ordered(&Entry::Routes(routes::Entry::Done { turn: 1 })));
-        let yes = Ask { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
-        assert_eq!((gated(yes.clone(), majority), gated(yes.clone(), minority).answer), (yes, None));
+        assert!(is_allowed(&abort(Why::Operator(by())), minority));
+        // A member cannot order what only a leader decides.
+        assert!(is_operator_order(&prepare("anna")) && is_operator_order(&abort(Why::Operator(by()))));
+        assert!(!is_operator_order(&abort(Why::Silent(ask(1).life))));
+        assert!(!is_operator_order(&Entry::Routes(routes::Entry::Done { turn: 1 })));
+        let accepted = Ask { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
+        assert_eq!(
+            (filter_answer(accepted.clone(), majority), filter_answer(accepted.clone(), minority).answer),
+            (accepted, None)
+        );
     }
 
     #[test]
-    fn an_order_that_comes_again_is_told_what_it_came_to() {
+    fn a_repeated_order_gets_the_result_of_the_first() {
         let mut state = State::default();
         state.apply(&Entry::Routes(routes::Entry::Propose { table: TABLE.into(), by: "o".into() })).unwrap();
-        assert_eq!(earlier(&state, &prepare("anna, 1")), None);
+        assert_eq!(earlier_result(&state, &prepare("anna, 1")), None);
         let first = state.apply(&prepare("anna, 1")).unwrap();
-        assert_eq!(earlier(&state, &prepare("anna, 1")), Some(first.clone()));
-        assert_eq!(earlier(&state, &prepare("ben, 2")), None);
+        assert_eq!(earlier_result(&state, &prepare("anna, 1")), Some(first.clone()));
+        assert_eq!(earlier_result(&state, &prepare("ben, 2")), None);
         let abort = Entry::Routes(routes::Entry::Abort { turn: 1, why: Why::Operator("ben, 3".into()) });
         let aborted = state.apply(&abort).unwrap();
         assert_eq!(
-            (earlier(&state, &abort), earlier(&state, &prepare("anna, 1"))),
+            (earlier_result(&state, &abort), earlier_result(&state, &prepare("anna, 1"))),
             (Some(aborted), Some(first))
         );
     }
--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -1,12 +1,15 @@
-//! What carries the fleet's routes out: one thread, "fleet-routes", with a tokio runtime of its own, that steps the
-//! member, and where this matcher votes, the record and the leader's part. The serving path waits for none of it: it
-//! looks at [`Routing`].
+//! Runs this matcher's part in the fleet's routes. [`Driver`] has one thread, "fleet-routes", with its own tokio
+//! runtime. The thread steps the member and, if this matcher votes, the record and the leader's decisions. The
+//! serving path never waits for it: it reads the member's state through [`Routing`].
 //!
-//! - [`leader_role`]: what follows from the record's standing, an ask, an entry or the time, where this member leads. Pure.
-//! - [`documents`]: what operators are told, in JSON. Pure.
-//! - [`tasks`]: the member's side on the wire: asks, tables, connections, the clock's loop.
-//! - [`voter`]: the record and the socket, their opening and giving up, and what is answered there.
-//! - [`orders`]: what operators want, carried to the leader.
+//! - [`leader_role`]: the decisions of a voter that leads, from the record's standing, asks, entries and the time. No
+//!   I/O.
+//! - [`documents`]: the JSON documents for operators. No I/O.
+//! - [`tasks`]: the member's tasks: asks to the leader, fetching tables, connecting to pools, stepping the member on
+//!   time.
+//! - [`voter`]: opens and closes the record and the voter's socket, and answers the requests that arrive there.
+//! - [`orders`]: executes operators' orders by sending them to the leader.
+//! - [`simulated`]: the same work without the thread, for simulations.
 
 mod documents;
 mod leader_role;
@@ -27,7 +30,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use tasks::Part;
+use tasks::DriverState;
 
 use super::clock::{Clock, Fault};
 use super::link::Answers;
@@ -36,62 +39,62 @@
 use super::routes::member::Member;
 use super::routes::table::Known;
 use super::routes::{Life, Pace};
-use super::routing::{Asked, Routing};
+use super::routing::{QueuedOrder, Routing};
 use super::wire::net::{Net, Tcp};
 
-/// Words of this process that may wait for the thread.
-const MOST_WORDS: usize = 16;
-/// How long a leaving process waits for the record to be closed.
-const LEAVE_PATIENCE: Duration = Duration::from_millis(500);
+/// Control messages of this process that may be queued for the thread.
+const MAX_QUEUED_CONTROLS: usize = 16;
+/// How long a process that ends waits for the record to be closed.
+const STOP_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a matcher is told of the fleet's routes at its start.
+/// The settings of the fleet's routes with which a matcher starts.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The matcher's name.
     pub name: String,
-    /// The fleet's: members of another one are not heard.
+    /// The fleet's name. Messages of members of another fleet are ignored.
     pub fleet: String,
-    /// Who votes, and where each is reached.
+    /// The voters' names and addresses.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Where the record is kept, and the address of the own socket; nothing for a matcher that does not vote.
+    /// The folder of the record, and the address of this voter's socket; `None` for a matcher that does not vote.
     pub record: Option<(PathBuf, SocketAddr)>,
     /// The classes and tenants of this matcher's settings.
     pub known: Known,
-    /// A clock that runs wrong, for the lab.
+    /// A fault of the clock, for the lab.
     pub clock_fault: Option<Fault>,
 }
 
 /// Why the driver did not start.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum DriverError {
-    /// No thread, or no runtime on it.
+    /// The thread or its runtime could not be created.
     #[error("the fleet's thread cannot be started: {kind}")]
     #[diagnostic(help("raise the limits on threads and descriptors of this process"))]
     Thread {
-        /// What the system says.
+        /// The system's error.
         kind: std::io::ErrorKind,
     },
 }
 
-/// What the process tells the thread.
+/// A message from the process to the thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
-    /// Another process of this matcher takes the record and the address over.
-    Release,
-    /// This one ends.
-    Leave,
+enum Control {
+    /// Another process of this matcher takes over the record and the voter's address.
+    ReleaseRecord,
+    /// This process ends.
+    Stop,
 }
 
-/// What the thread finds around it.
+/// What the thread depends on, so that a simulation can replace it.
 #[derive(Clone, Debug)]
 pub struct Environment {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The network.
     pub net: Arc<dyn Net>,
-    /// What the record's folder is on.
+    /// The disk that holds the record's folder.
     pub disk: Disk,
-    /// Whom the membership beside it heard.
+    /// The answers that the membership has received from other members.
     pub answers: Answers,
 }
 
@@ -106,74 +109,75 @@
     }
 }
 
-fn routing(options: &Options, clock: Clock, life: Life) -> (Routing, mpsc::Receiver<Asked>, Metrics) {
+fn routing(options: &Options, clock: Clock, life: Life) -> (Routing, mpsc::Receiver<QueuedOrder>, Metrics) {
     let metrics = Metrics::new();
     let member = Member::new(life, options.known.clone(), Pace::default());
-    let (routing, asked) = Routing::new(member, clock, metrics.clone());
-    (routing, asked, metrics)
+    let (routing, order_queue) = Routing::new(member, clock, metrics.clone());
+    (routing, order_queue, metrics)
 }
 
-/// This process's part in the fleet's routes.
+/// Handle to the thread that runs this process's part in the fleet's routes.
 #[derive(Debug)]
 pub struct Driver {
     routing: Routing,
-    words: mpsc::Sender<Word>,
+    controls: mpsc::Sender<Control>,
     ended: Mutex<Option<Receiver<()>>>,
 }
 
 impl Driver {
-    /// Starts the thread. Folder and address are taken as soon as they are free: another process of this matcher may
-    /// have them until it hands over.
+    /// Starts the thread. It opens the record's folder and the voter's address as soon as they are free: another
+    /// process of this matcher may use them until it hands over.
     ///
-    /// # Errors
-    /// [`DriverError`].
+    /// # Errors [`DriverError`].
     pub fn start(options: Options) -> Result<Self, DriverError> {
         Self::start_with_membership(options, Answers::default())
     }
 
-    /// As [`Driver::start`], beside a membership whose answers count for the posture as well.
+    /// As [`Driver::start`], with a membership whose received answers count for the posture as well.
     ///
     /// # Errors
     /// [`DriverError`].
     pub fn start_with_membership(options: Options, answers: Answers) -> Result<Self, DriverError> {
-        let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
+        let error = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
         let environment = Environment { answers, ..Environment::of_this_machine(options.clock_fault) };
-        // As the membership does it: grows across restarts while the system's clock does not go back.
+        // As in the membership, the incarnation increases with each restart, as long as the system's clock is not set
+        // back.
         let life =
             Life { name: options.name.clone(), incarnation: environment.clock.unix().as_millis() as u64 };
-        let (routing, asked, metrics) = routing(&options, environment.clock, life);
-        let (words, told) = mpsc::channel(MOST_WORDS);
-        let (end, ended) = sync_channel(1);
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
-        let held = routing.clone();
-        let work = move || {
+        let (routing, order_queue, metrics) = routing(&options, environment.clock, life);
+        let (controls, control_queue) = mpsc::channel(MAX_QUEUED_CONTROLS);
+        let (ended_sender, ended) = sync_channel(1);
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(error)?;
+        let shared = routing.clone();
+        let thread_main = move || {
             runtime.block_on(async {
-                let (part, pushed) = Part::new(options, environment, metrics, held);
-                tasks::run(part, pushed, asked, told).await;
+                let (driver, pushes) = DriverState::new(options, environment, metrics, shared);
+                tasks::run(driver, pushes, order_queue, control_queue).await;
             });
             drop(runtime);
-            let _ = end.send(());
+            let _ = ended_sender.send(());
         };
-        std::thread::Builder::new().name("fleet-routes".into()).spawn(work).map_err(wrong)?;
-        Ok(Self { routing, words, ended: Mutex::new(Some(ended)) })
+        std::thread::Builder::new().name("fleet-routes".into()).spawn(thread_main).map_err(error)?;
+        Ok(Self { routing, controls, ended: Mutex::new(Some(ended)) })
     }
 
-    /// The serving path's hold.
+    /// The serving path's handle to the routes.
     pub fn routing(&self) -> Routing {
         self.routing.clone()
     }
 
-    /// Gives record and address up to another process of this matcher. This one keeps a lease of its own, as a member that
-    /// does not vote, for the requests that it still has; if the other ends first, it votes again.
+    /// Releases the record and the voter's address for another process of this matcher. This process keeps its own
+    /// lease, as a member that does not vote, for the requests that it still has. If the other process ends first,
+    /// this one votes again.
     pub fn release_record(&self) {
-        let _ = self.words.try_send(Word::Release);
+        let _ = self.controls.try_send(Control::ReleaseRecord);
     }
 
-    /// Ends the thread, and waits a moment for the record to be closed.
+    /// Ends the thread, and waits for a bounded time until the record is closed.
     pub fn stop(&self) {
         let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if let (Ok(()), Some(ended)) = (self.words.try_send(Word::Leave), ended) {
-            let _ = ended.recv_timeout(LEAVE_PATIENCE);
+        if let (Ok(()), Some(ended)) = (self.controls.try_send(Control::Stop), ended) {
+            let _ = ended.recv_timeout(STOP_TIMEOUT);
         }
     }
 }
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -1,5 +1,5 @@
-//! What operators want, carried to the leader. An order whose answer was lost is sent again under the same name, and the
-//! leader tells what it came to.
+//! Executes operators' orders by sending them to the leader. An order whose answer was lost is sent again under the
+//! same name, and the leader returns the result of the first one.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::documents;
-use super::tasks::Part;
+use super::tasks::DriverState;
 use crate::fleet::decided::{Entry, Refused};
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
@@ -20,111 +20,117 @@
 use crate::fleet::wire::message::Look;
 use crate::fleet::wire::{Request, Response};
 
-/// An order waits this long for a leader.
-pub const PATIENCE: Duration = Duration::from_secs(5);
-/// One try of it.
-const TRY: Duration = Duration::from_millis(2900);
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
-/// What the leader knows is waited for no longer where the member can tell something by itself.
-const GLANCE: Duration = Duration::from_millis(250);
+/// How long an order waits for the answer of a leader.
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of one attempt to reach the leader.
+const TRY_TIMEOUT: Duration = Duration::from_millis(2900);
+/// Interval between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How long `show` waits for the leader's document: the member can answer with its own document alone.
+const SHOW_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The document that starts an experiment.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Start {
-    /// What is tried.
+struct StartDocument {
+    /// The experiment.
     experiment: Experiment,
-    /// Switch to a winner.
+    /// Activate the winner's table at the end.
     #[serde(default)]
     activate: bool,
 }
 
-/// Carries an order out.
-pub async fn carry_out(part: &Arc<Part>, order: Order, by: &str) -> Result<String, OrderError> {
-    // No two orders have the same name, also in one millisecond: so one that comes twice is told from another.
-    let number = part.orders.fetch_add(1, Ordering::Relaxed) + 1;
-    let by = format!("{by} at {}, unix_ms {}, number {number}", part.name(), part.clock.unix().as_millis());
-    let told = match order {
+/// Executes an order of the operator `by`.
+pub async fn execute(driver: &Arc<DriverState>, order: Order, by: &str) -> Result<String, OrderError> {
+    // The number makes the name of each order unique, also within one millisecond, so that the leader can tell a
+    // repeated order from another one.
+    let number = driver.order_count.fetch_add(1, Ordering::Relaxed) + 1;
+    let by =
+        format!("{by} at {}, unix_ms {}, number {number}", driver.name(), driver.clock.unix().as_millis());
+    let document = match order {
         Order::Propose { table } => {
             let problem = |problem| Refused::Routes(RecordError::Table { problem });
-            Table::parse(&table).and_then(|t| t.check(part.known())).map_err(problem)?;
-            submit(part, Entry::Routes(Routes::Propose { table, by })).await?
+            Table::parse(&table).and_then(|t| t.check(driver.known())).map_err(problem)?;
+            submit(driver, Entry::Routes(Routes::Propose { table, by })).await?
         }
-        Order::Activate { version } => submit(part, Entry::Routes(Routes::Prepare { version, by })).await?,
-        Order::Rollback => submit(part, Entry::Routes(Routes::Rollback { by })).await?,
+        Order::Activate { version } => submit(driver, Entry::Routes(Routes::Prepare { version, by })).await?,
+        Order::Rollback => submit(driver, Entry::Routes(Routes::Rollback { by })).await?,
         Order::Abort => {
-            let known = look(part, Look::Routes, PATIENCE).await?;
-            let turn = known["pending"]["turn"].as_u64().unwrap_or(0);
-            submit(part, Entry::Routes(Routes::Abort { turn, why: Why::Operator(by) })).await?
+            let shown = query(driver, Look::Routes, ORDER_TIMEOUT).await?;
+            let turn = shown["pending"]["turn"].as_u64().unwrap_or(0);
+            submit(driver, Entry::Routes(Routes::Abort { turn, why: Why::Operator(by) })).await?
         }
         Order::Show => {
-            let known = look(part, Look::Routes, GLANCE).await;
-            let help = known.as_ref().err().map(ToString::to_string);
-            json!({ "here": part.document(), "fleet": known.ok(), "problem": help })
+            let shown = query(driver, Look::Routes, SHOW_TIMEOUT).await;
+            let problem = shown.as_ref().err().map(ToString::to_string);
+            json!({ "here": driver.document(), "fleet": shown.ok(), "problem": problem })
         }
-        Order::History => look(part, Look::History, PATIENCE).await?,
+        Order::History => query(driver, Look::History, ORDER_TIMEOUT).await?,
         Order::Start { document } => {
-            let start: Start = serde_json::from_str(&document)
+            let start: StartDocument = serde_json::from_str(&document)
                 .map_err(|e| OrderError::InvalidDocument { line: e.line(), column: e.column() })?;
-            let (experiment, activate) = (start.experiment.starting(part.clock.unix()), start.activate);
+            let (experiment, activate) = (start.experiment.starting(driver.clock.unix()), start.activate);
             let name = experiment.name.clone();
             let entry = Experiments::Start { experiment, activate, by };
-            submit(part, Entry::Experiment(entry)).await?;
+            submit(driver, Entry::Experiment(entry)).await?;
             json!({ "started": name })
         }
         Order::Stop => {
-            let known = look(part, Look::Experiments, PATIENCE).await?;
-            let name = known["running"]["name"].as_str().unwrap_or_default().to_string();
-            submit(part, Entry::Experiment(Experiments::Stop { name: name.clone(), by })).await?;
+            let shown = query(driver, Look::Experiments, ORDER_TIMEOUT).await?;
+            let name = shown["running"]["name"].as_str().unwrap_or_default().to_string();
+            submit(driver, Entry::Experiment(Experiments::Stop { name: name.clone(), by })).await?;
             json!({ "stopped": name })
         }
-        Order::ShowExperiment => look(part, Look::Experiments, PATIENCE).await?,
+        Order::ShowExperiment => query(driver, Look::Experiments, ORDER_TIMEOUT).await?,
         Order::Admit { name } => {
             let request = Request::Admit { name: name.clone() };
-            match leader(part, &request, PATIENCE).await? {
+            match request_until_answered(driver, &request, ORDER_TIMEOUT).await? {
                 Response::Admitted(Ok(())) => json!({ "admitted": name }),
                 Response::Admitted(Err(e)) => return Err(e.into()),
-                other => return Err(unlike(&other, PATIENCE)),
+                other => return Err(unexpected_response(&other, ORDER_TIMEOUT)),
             }
         }
     };
-    Ok(told.to_string())
+    Ok(document.to_string())
 }
 
-async fn submit(part: &Arc<Part>, entry: Entry) -> Result<Value, OrderError> {
-    match leader(part, &Request::Submit(entry), PATIENCE).await? {
-        Response::Submitted(Ok(applied)) => Ok(documents::done(&applied)),
+async fn submit(driver: &Arc<DriverState>, entry: Entry) -> Result<Value, OrderError> {
+    match request_until_answered(driver, &Request::Submit(entry), ORDER_TIMEOUT).await? {
+        Response::Submitted(Ok(applied)) => Ok(documents::order_result(&applied)),
         Response::Submitted(Err(refused)) => Err(refused.into()),
-        other => Err(unlike(&other, PATIENCE)),
+        other => Err(unexpected_response(&other, ORDER_TIMEOUT)),
     }
 }
 
-async fn look(part: &Arc<Part>, look: Look, patience: Duration) -> Result<Value, OrderError> {
-    match leader(part, &Request::Look(look), patience).await? {
-        // It was written by the leader as JSON.
+async fn query(driver: &Arc<DriverState>, look: Look, limit: Duration) -> Result<Value, OrderError> {
+    match request_until_answered(driver, &Request::Look(look), limit).await? {
+        // The leader wrote the text as JSON.
         Response::Document(text) => Ok(serde_json::from_str(&text).unwrap_or_default()),
-        other => Err(unlike(&other, patience)),
+        other => Err(unexpected_response(&other, limit)),
     }
 }
 
-/// Why an answer of another kind than the order's is none to it.
-fn unlike(answer: &Response, patience: Duration) -> OrderError {
+/// The error for a response that does not answer the request.
+fn unexpected_response(answer: &Response, limit: Duration) -> OrderError {
     match answer {
         Response::Unknown => OrderError::UnknownOrder,
-        _ => OrderError::NoLeader { timeout: patience },
+        _ => OrderError::NoLeader { timeout: limit },
     }
 }
 
-/// Asks whoever leads, again and again until somebody answers who does.
-async fn leader(part: &Arc<Part>, request: &Request, patience: Duration) -> Result<Response, OrderError> {
-    let again = async {
+/// Sends a request to the leader, and repeats it until a leader answers or the time limit is over.
+async fn request_until_answered(
+    driver: &Arc<DriverState>,
+    request: &Request,
+    limit: Duration,
+) -> Result<Response, OrderError> {
+    let attempts = async {
         loop {
-            match part.to_leader(request, TRY.min(patience)).await {
-                Some(Response::NotLeader { .. } | Response::Busy) | None => sleep(PAUSE).await,
+            match driver.request_leader(request, TRY_TIMEOUT.min(limit)).await {
+                Some(Response::NotLeader { .. } | Response::Busy) | None => sleep(RETRY_INTERVAL).await,
                 Some(response) => return response,
             }
         }
     };
-    timeout(patience, again).await.map_err(|_| OrderError::NoLeader { timeout: patience })
+    timeout(limit, attempts).await.map_err(|_| OrderError::NoLeader { timeout: limit })
 }
--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -1,4 +1,5 @@
-//! The thread's work without the thread, for a simulation that has many of them on one: what runs, and what is seen in it.
+//! The driver without its thread, for a simulation that runs many drivers on one thread. [`create`] returns the work
+//! as a future, and a [`SimulatedDriver`] with which the simulation inspects and controls it.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -6,67 +7,71 @@
 
 use tokio::sync::mpsc;
 
-use super::tasks::{self, lock, Part};
-use super::{routing, Environment, Options, Word, MOST_WORDS};
+use super::tasks::{self, lock, DriverState};
+use super::{routing, Control, Environment, Options, MAX_QUEUED_CONTROLS};
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::Held;
 use crate::fleet::routes::{Life, Turn, Window};
 use crate::fleet::routing::Routing;
 
-/// One process's part, seen from inside.
+/// Handle to the driver of one simulated process.
 pub struct SimulatedDriver {
-    part: Arc<Part>,
-    words: mpsc::Sender<Word>,
+    driver: Arc<DriverState>,
+    controls: mpsc::Sender<Control>,
 }
 
 impl Drop for SimulatedDriver {
-    /// The voter's socket knows the part, and the part the voter.
+    /// Breaks the reference cycle between the driver's state and the voter, whose socket refers to that state.
     fn drop(&mut self) {
-        lock(&self.part.voter).take();
+        lock(&self.driver.voter).take();
     }
 }
 
-/// A member's part in a environment, with what it does until it is told to leave. Call it within the runtime that runs it.
+/// Creates a member's driver in an environment, and the future that runs it until it is stopped. Must be called
+/// within the runtime that runs the future.
 pub fn create(
     options: Options,
     environment: Environment,
     incarnation: u64,
 ) -> (SimulatedDriver, impl Future<Output = ()> + Send) {
     let life = Life { name: options.name.clone(), incarnation };
-    let (routing, asked, metrics) = routing(&options, environment.clock, life);
-    let (words, told) = mpsc::channel(MOST_WORDS);
-    let (part, pushed) = Part::new(options, environment, metrics, routing);
-    (SimulatedDriver { part: part.clone(), words }, tasks::run(part, pushed, asked, told))
+    let (routing, order_queue, metrics) = routing(&options, environment.clock, life);
+    let (controls, control_queue) = mpsc::channel(MAX_QUEUED_CONTROLS);
+    let (driver, pushes) = DriverState::new(options, environment, metrics, routing);
+    (
+        SimulatedDriver { driver: driver.clone(), controls },
+        tasks::run(driver, pushes, order_queue, control_queue),
+    )
 }
 
 impl SimulatedDriver {
-    /// The serving path's hold.
+    /// The serving path's handle to the routes.
     pub fn routing(&self) -> Routing {
-        self.part.routing.clone()
+        self.driver.routing.clone()
     }
 
-    /// What its clock shows.
+    /// The time on the member's clock.
     pub fn now(&self) -> Duration {
-        self.part.clock.now()
+        self.driver.clock.now()
     }
 
-    /// Has it end in good order.
+    /// Has the driver end and close its record.
     pub fn stop(&self) {
-        let _ = self.words.try_send(Word::Leave);
+        let _ = self.controls.try_send(Control::Stop);
     }
 
-    /// The lease, and the moment of a switch that it knows.
+    /// The member's lease, and the pending switch that it knows of.
     pub fn promises(&self) -> (Held, Option<(Turn, Window)>) {
-        self.part.routing.held().member.promises()
+        self.driver.routing.state().member.promises()
     }
 
     fn record(&self) -> Option<Record> {
-        Some(lock(&self.part.voter).as_ref()?.record.clone())
+        Some(lock(&self.driver.voter).as_ref()?.record.clone())
     }
 
-    /// How its record stands, how many entries are applied and what they come to; nothing while it has none open. The
-    /// standing may be of a moment before.
+    /// The record's standing, the number of applied entries and the state that results from them; `None` while no
+    /// record is open. The standing may be slightly older than the state.
     pub fn record_state(&self) -> Option<(Standing, u64, Arc<State>)> {
         let record = self.record()?;
         let standing = record.watch().borrow().clone();
@@ -74,17 +79,17 @@
         Some((standing, applied, state))
     }
 
-    /// The term in which the leader's part is on.
+    /// The term in which this member leads, if it does.
     pub fn leading_term(&self) -> Option<u64> {
-        lock(&self.part.lead).term()
+        lock(&self.driver.role).term()
     }
 
-    /// What it knows itself, for operators.
+    /// The document for operators about what the member knows itself.
     pub fn document(&self) -> serde_json::Value {
-        self.part.document()
+        self.driver.document()
     }
 
-    /// Puts an entry into the log past all that decides which may go there: a fault that is planted.
+    /// Submits an entry to the log without the checks of the leader: a fault that the simulation injects.
     pub fn submit_unchecked(&self, entry: Entry) {
         if let Some(record) = self.record() {
             tokio::spawn(async move { record.submit(entry).await });
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -1,5 +1,6 @@
-//! The member's side: its clock's loop, asks to the leader, tables and connections that it wants, and what is heard of the
-//! voters.
+//! The tasks that the driver's thread runs, and [`DriverState`], which they share: stepping the member when it is
+//! due, sending its asks to the leader, fetching tables and connecting to pools for it, checking which voters are in
+//! reach, and reporting the counts of experiments.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -13,9 +14,9 @@
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 use tracing::{info, warn};
 
-use super::leader_role::{gated, Lead, Now};
+use super::leader_role::{filter_answer, Context, LeaderRole};
 use super::voter::{self, Voter};
-use super::{documents, orders, Environment, Options, Word};
+use super::{documents, orders, Control, Environment, Options};
 use crate::fleet::clock::Clock;
 use crate::fleet::experiment::counter::Counter;
 use crate::fleet::link::Answers;
@@ -25,70 +26,71 @@
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, Known};
 use crate::fleet::routes::{Ask, Fence, Pace, Turn};
-use crate::fleet::routing::{Asked, Routing};
+use crate::fleet::routing::{QueuedOrder, Routing};
 use crate::fleet::wire::message::Running;
 use crate::fleet::wire::{Client, Local, Pushed, Request, Response};
 
-/// Orders that are carried out at once.
-const MOST_ORDERS: usize = 16;
-/// Between two words to each voter; what the posture counts in.
+/// Orders that are executed concurrently.
+const MAX_CONCURRENT_ORDERS: usize = 16;
+/// Interval of the hello requests to each voter. The posture measures in this interval.
 pub const HELLO_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an answer of a voter is waited for.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// A connection to a pool must be there by then.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Connections to pools that are tried at once.
-const MOST_CONNECTS: usize = 32;
-/// Before a switch the loop wakes so early, and looks at its clock without sleeping: the runtime's timers are coarse.
-const EARLY: Duration = Duration::from_millis(2);
-/// Between two such looks.
-const LOOK: Duration = Duration::from_micros(50);
-/// Nudges that may wait.
-const MOST_PUSHES: usize = 64;
-/// Leaders that an ask is passed on to, after each other's word.
-const MOST_HOPS: usize = 3;
-/// A process that gave its record up leaves it alone for this long.
-const RELEASED: Duration = Duration::from_secs(5);
+/// How long the answer of a voter is awaited.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection to an address of a pool must be established within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Connections to pools that are attempted concurrently.
+const MAX_CONCURRENT_CONNECTS: usize = 32;
+/// Before a switch the loop wakes up this early and polls its clock, because the runtime's timers are coarse.
+const EARLY_WAKE: Duration = Duration::from_millis(2);
+/// Interval of these polls.
+const POLL_INTERVAL: Duration = Duration::from_micros(50);
+/// Nudges that may be queued.
+const MAX_QUEUED_PUSHES: usize = 64;
+/// Upper bound of the voters that a request is sent to, each named as the leader by the previous one.
+const MAX_REDIRECTS: usize = 3;
+/// A process that has released its record does not open it again for this long.
+const RELEASED_FOR: Duration = Duration::from_secs(5);
 
-/// What is under way, so that it is not begun twice.
+/// A job in progress for the member, so that it is not started twice.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-enum Errand {
+enum Job {
     Fetch(Hash),
     Open(Turn, Hash),
 }
 
-/// What the tasks of the thread share.
-pub struct Part {
+/// The state that the tasks of the thread share.
+pub struct DriverState {
     pub(super) options: Options,
     pub(super) local: Local,
     pub(super) clock: Clock,
     pub(super) disk: Disk,
-    /// Whom the membership heard.
+    /// The answers that the membership has received.
     answers: Answers,
     pub(super) metrics: Metrics,
     pub(super) routing: Routing,
     pub(super) clients: BTreeMap<String, Client>,
-    pub(super) lead: Mutex<Lead>,
+    pub(super) role: Mutex<LeaderRole>,
     pub(super) voter: Mutex<Option<Arc<Voter>>>,
-    ears: Mutex<Ears>,
-    /// Who led, by the last word; none: whoever is next is asked.
-    leader: Mutex<Option<String>>,
-    next: AtomicUsize,
-    /// Orders of this life so far.
-    pub(super) orders: AtomicUsize,
-    errands: Mutex<HashSet<Errand>>,
+    reachability: Mutex<Ears>,
+    /// The leader according to the last answer; `None` to ask the voters in turn.
+    known_leader: Mutex<Option<String>>,
+    next_voter: AtomicUsize,
+    /// Orders of this process so far.
+    pub(super) order_count: AtomicUsize,
+    jobs: Mutex<HashSet<Job>>,
     leased: AtomicBool,
-    /// The member was stepped: its loop looks anew when it is due.
+    /// Notified after each step of the member, so that its loop determines anew when it is due.
     stepped: Notify,
 }
 
-/// Locks without a care for who panicked: nothing here is left half done.
-pub(super) fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex even if a thread has panicked with the lock: no update here can be left incomplete.
+pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Part {
-    /// With the links to the voters; nudges come out at the other end. Call it within a tokio runtime.
+impl DriverState {
+    /// Creates the state and the links to the voters, and the queue of nudges from them. Must be called within a
+    /// tokio runtime.
     pub fn new(
         options: Options,
         environment: Environment,
@@ -98,21 +100,23 @@
         let Environment { clock, net, disk, answers } = environment;
         let counters = metrics.links.clone();
         let local = Local { net, counters, ..Local::new(&*options.fleet, &*options.name) };
-        let (pushes, pushed) = mpsc::channel(MOST_PUSHES);
+        let (push_sender, pushes) = mpsc::channel(MAX_QUEUED_PUSHES);
         let client = |(name, address): &(String, SocketAddr)| {
-            (name.clone(), Client::start(local.clone(), name, *address, Some(pushes.clone())))
+            (name.clone(), Client::start(local.clone(), name, *address, Some(push_sender.clone())))
         };
         let clients = options.voters.iter().map(client).collect();
         let names: Vec<String> = options.voters.iter().map(|(name, _)| name.clone()).collect();
         let voters: BTreeSet<String> = names.iter().cloned().collect();
-        let part = Self {
-            ears: Mutex::new(Ears::new(&options.name, &names, HELLO_INTERVAL).beside(answers.period())),
-            lead: Mutex::new(Lead::new(voters, Pace::default())),
+        let driver = Self {
+            reachability: Mutex::new(
+                Ears::new(&options.name, &names, HELLO_INTERVAL).beside(answers.period()),
+            ),
+            role: Mutex::new(LeaderRole::new(voters, Pace::default())),
             voter: Mutex::default(),
-            leader: Mutex::default(),
-            next: AtomicUsize::new(0),
-            orders: AtomicUsize::new(0),
-            errands: Mutex::default(),
+            known_leader: Mutex::default(),
+            next_voter: AtomicUsize::new(0),
+            order_count: AtomicUsize::new(0),
+            jobs: Mutex::default(),
             leased: AtomicBool::new(false),
             stepped: Notify::new(),
             options,
@@ -124,63 +128,64 @@
             routing,
             clients,
         };
-        (Arc::new(part), pushed)
+        (Arc::new(driver), pushes)
     }
 }
 
-/// Runs everything until the process leaves.
+/// Runs all tasks until the driver is stopped.
 pub async fn run(
-    part: Arc<Part>,
-    mut pushed: mpsc::Receiver<Pushed>,
-    mut asked: mpsc::Receiver<Asked>,
-    mut words: mpsc::Receiver<Word>,
+    driver: Arc<DriverState>,
+    mut pushes: mpsc::Receiver<Pushed>,
+    mut order_queue: mpsc::Receiver<QueuedOrder>,
+    mut controls: mpsc::Receiver<Control>,
 ) {
-    let (votes, vote) = watch::channel(part.options.record.is_some());
+    let (votes, should_vote) = watch::channel(driver.options.record.is_some());
     let mut tasks = JoinSet::new();
-    tasks.spawn(tick(part.clone()));
-    tasks.spawn(hear(part.clone()));
-    tasks.spawn(report(part.clone()));
-    let voting = tokio::spawn(voter::keep(part.clone(), vote));
-    let nudged = part.clone();
+    tasks.spawn(step_when_due(driver.clone()));
+    tasks.spawn(probe_voters(driver.clone()));
+    tasks.spawn(report_counts(driver.clone()));
+    let voting = tokio::spawn(voter::run(driver.clone(), should_vote));
+    let nudge_driver = driver.clone();
     tasks.spawn(async move {
-        while pushed.recv().await.is_some() {
-            nudged.step(Input::Nudge);
+        while pushes.recv().await.is_some() {
+            nudge_driver.step(Input::Nudge);
         }
     });
-    let ordered = part.clone();
+    let order_driver = driver.clone();
     tasks.spawn(async move {
-        let slots = Arc::new(Semaphore::new(MOST_ORDERS));
-        while let Some(asked) = asked.recv().await {
+        let slots = Arc::new(Semaphore::new(MAX_CONCURRENT_ORDERS));
+        while let Some(queued) = order_queue.recv().await {
             let Ok(slot) = slots.clone().acquire_owned().await else { return };
-            let part = ordered.clone();
+            let driver = order_driver.clone();
             tokio::spawn(async move {
-                let answer = orders::carry_out(&part, asked.order, &asked.by).await;
-                // Whoever asked may have gone.
-                let _ = asked.answer.send(answer);
+                let answer = orders::execute(&driver, queued.order, &queued.by).await;
+                // The client that sent the order may have disconnected.
+                let _ = queued.answer.send(answer);
                 drop(slot);
             });
         }
     });
-    let mut back: Option<tokio::time::Instant> = None;
+    let mut vote_again_at: Option<tokio::time::Instant> = None;
     loop {
-        let again = async {
-            match back {
+        let vote_again = async {
+            match vote_again_at {
                 Some(at) => tokio::time::sleep_until(at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            word = words.recv() => match word {
-                Some(Word::Release) => {
-                    info!("routes: another process of this matcher takes the record over");
+            control = controls.recv() => match control {
+                Some(Control::ReleaseRecord) => {
+                    info!("routes: releases the record to another process of this matcher");
                     let _ = votes.send(false);
-                    back = part.options.record.is_some().then(|| tokio::time::Instant::now() + RELEASED);
+                    vote_again_at =
+                        driver.options.record.is_some().then(|| tokio::time::Instant::now() + RELEASED_FOR);
                 }
-                // A voter closes its record in good order.
-                Some(Word::Leave) | None => break,
+                // A voter closes its record before the driver ends.
+                Some(Control::Stop) | None => break,
             },
-            () = again => {
-                back = None;
+            () = vote_again => {
+                vote_again_at = None;
                 let _ = votes.send(true);
             }
         }
@@ -190,145 +195,153 @@
 }
 
 /// Steps the member when it is due.
-async fn tick(part: Arc<Part>) {
+async fn step_when_due(driver: Arc<DriverState>) {
     loop {
         let (next, switch) = {
-            let held = part.routing.held();
-            let (lease, switch) = held.member.promises();
-            let now = part.clock.now();
-            // The end of a lease is logged when it comes.
+            let state = driver.routing.state();
+            let (lease, switch) = state.member.promises();
+            let now = driver.clock.now();
+            // A step at the end of the lease logs that end on time.
             let ends = Some(lease.until()).filter(|until| *until > now);
-            let next = held.member.next();
+            let next = state.member.next();
             (ends.map_or(next, |ends| ends.min(next)), switch.map(|(_, window)| window.high))
         };
-        let until = part.clock.until(next);
-        let early = if switch == Some(next) { EARLY } else { Duration::ZERO };
+        let until = driver.clock.until(next);
+        let early = if switch == Some(next) { EARLY_WAKE } else { Duration::ZERO };
         tokio::select! {
             () = sleep(until.saturating_sub(early)) => {
-                while early > Duration::ZERO && part.clock.now() < next {
-                    part.clock.look(LOOK).await;
+                while early > Duration::ZERO && driver.clock.now() < next {
+                    driver.clock.look(POLL_INTERVAL).await;
                 }
-                part.step(Input::Tick);
+                driver.step(Input::Tick);
             }
-            () = part.stepped.notified() => {}
+            () = driver.stepped.notified() => {}
         }
     }
 }
 
-/// Asks each voter for a word, so that it is known who is in reach both ways, and looks who answered the
-/// membership.
-async fn hear(part: Arc<Part>) {
+/// Sends a hello to each voter, to know which of them are in reach in both directions, and takes over the answers
+/// that the membership has received.
+async fn probe_voters(driver: Arc<DriverState>) {
     let mut ticks = interval(HELLO_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (name, client) in part.clients.iter().filter(|(name, _)| **name != part.options.name) {
-            let (part, name, client) = (part.clone(), name.clone(), client.clone());
+        for (name, client) in driver.clients.iter().filter(|(name, _)| **name != driver.options.name) {
+            let (driver, name, client) = (driver.clone(), name.clone(), client.clone());
             tokio::spawn(async move {
-                let sent = part.clock.now();
-                if let Ok(Response::Hello(_)) = client.request(&Request::Hello, PATIENCE).await {
-                    lock(&part.ears).answered(&name, sent);
-                    part.count_unheard();
+                let sent = driver.clock.now();
+                if let Ok(Response::Hello(_)) = client.request(&Request::Hello, REQUEST_TIMEOUT).await {
+                    lock(&driver.reachability).answered(&name, sent);
+                    driver.update_unreachable_voters();
                 }
             });
         }
-        for (name, sent) in part.answers.late() {
-            let sent = part.clock.now().saturating_sub(sent.elapsed());
-            lock(&part.ears).acked(&name, sent);
+        for (name, sent) in driver.answers.late() {
+            let sent = driver.clock.now().saturating_sub(sent.elapsed());
+            lock(&driver.reachability).acked(&name, sent);
         }
-        part.count_unheard();
+        driver.update_unreachable_voters();
     }
 }
 
-/// Tells the leader what this life counted of a running experiment.
-async fn report(part: Arc<Part>) {
+/// Reports to the leader what this process has counted for a running experiment.
+async fn report_counts(driver: Arc<DriverState>) {
     loop {
-        let block = {
-            let held = part.routing.held();
-            held.counter.as_ref().map(|c| Duration::from_millis(c.experiment().block_ms))
+        let block_length = {
+            let state = driver.routing.state();
+            state.counter.as_ref().map(|c| Duration::from_millis(c.experiment().block_ms))
         };
-        let pause = block.unwrap_or(HELLO_INTERVAL).clamp(HELLO_INTERVAL / 2, HELLO_INTERVAL * 5);
+        let pause = block_length.unwrap_or(HELLO_INTERVAL).clamp(HELLO_INTERVAL / 2, HELLO_INTERVAL * 5);
         sleep(pause).await;
-        let report =
-            part.routing.held().counter.as_mut().and_then(|counter| counter.report(part.clock.unix()).ok());
+        let report = driver
+            .routing
+            .state()
+            .counter
+            .as_mut()
+            .and_then(|counter| counter.report(driver.clock.unix()).ok());
         if let Some(report) = report {
-            part.to_leader(&Request::Counts(report), PATIENCE).await;
+            driver.request_leader(&Request::Counts(report), REQUEST_TIMEOUT).await;
         }
     }
 }
 
-impl Part {
+impl DriverState {
     /// This matcher's name.
     pub fn name(&self) -> &str {
         &self.options.name
     }
 
-    /// What its settings name.
+    /// The classes and tenants that its settings name.
     pub fn known(&self) -> &Known {
         &self.options.known
     }
 
-    /// Since the Unix epoch, for the log, in microseconds.
+    /// Microseconds since the Unix epoch, for the log.
     fn unix_us(&self) -> u64 {
         self.clock.unix().as_micros() as u64
     }
 
-    /// What its posture lets it do now.
-    pub fn may(&self) -> May {
-        lock(&self.ears).posture(self.clock.now()).may()
+    /// What its posture permits now.
+    pub fn permissions(&self) -> May {
+        lock(&self.reachability).posture(self.clock.now()).may()
     }
 
-    fn count_unheard(&self) {
-        let unheard = lock(&self.ears).unheard(self.clock.now()).len();
-        self.metrics.unreachable_voters.set(unheard as i64);
+    fn update_unreachable_voters(&self) {
+        let unreachable = lock(&self.reachability).unheard(self.clock.now()).len();
+        self.metrics.unreachable_voters.set(unreachable as i64);
     }
 
-    /// What this member knows itself, for operators.
+    /// The document for operators about what this member knows itself.
     pub fn document(&self) -> Value {
-        let leader = self.leads().or_else(|| lock(&self.leader).clone());
+        let leader = self.leader_by_record().or_else(|| lock(&self.known_leader).clone());
         let now = self.clock.now();
-        let ears = lock(&self.ears);
-        let held = self.routing.held();
-        documents::own(&held.member, now, &ears, leader.as_deref())
+        let reachability = lock(&self.reachability);
+        let state = self.routing.state();
+        documents::member_document(&state.member, now, &reachability, leader.as_deref())
     }
 
-    /// What is known where the leader's side decides something; `f` is given the record as it stands.
-    pub(super) fn deciding<T>(&self, voter: &Voter, f: impl FnOnce(&Now, &mut Lead) -> T) -> T {
-        let may = self.may();
-        let mut lead = lock(&self.lead);
-        let state = voter.record.state();
-        f(&Now { now: self.clock.now(), unix: self.clock.unix(), state: &state, may }, &mut lead)
+    /// Calls `f` with the leader's state and the input of its decisions, among it the current state of the record.
+    pub(super) fn with_leader_role<T>(
+        &self,
+        voter: &Voter,
+        f: impl FnOnce(&Context, &mut LeaderRole) -> T,
+    ) -> T {
+        let may = self.permissions();
+        let mut role = lock(&self.role);
+        let record_state = voter.record.state();
+        f(&Context { now: self.clock.now(), unix: self.clock.unix(), state: &record_state, may }, &mut role)
     }
 
-    /// The voter that leads, as the own record has it.
-    fn leads(&self) -> Option<String> {
+    /// The leader according to this voter's own record.
+    fn leader_by_record(&self) -> Option<String> {
         let voter = lock(&self.voter).clone()?;
         let standing = voter.record.watch().borrow().clone();
         standing.leader
     }
 
-    /// Steps the member, and does what it asks for.
+    /// Steps the member and performs its effects.
     pub fn step(self: &Arc<Self>, input: Input) {
         let (effects, leased) = {
-            let mut held = self.routing.held();
+            let mut state = self.routing.state();
             let now = self.clock.now();
-            let effects = held.member.step(now, input);
-            (effects, held.member.promises().0.holds(now))
+            let effects = state.member.step(now, input);
+            (effects, state.member.promises().0.holds(now))
         };
         for effect in effects {
             match effect {
                 Effect::Ask(ask) => {
                     self.metrics.asks.inc();
-                    tokio::spawn(self.clone().ask(ask));
+                    tokio::spawn(self.clone().send_ask(ask));
                 }
-                Effect::Fetch(hash) if self.begins(Errand::Fetch(hash)) => {
-                    tokio::spawn(self.clone().fetch(hash));
+                Effect::Fetch(hash) if self.begin_job(Job::Fetch(hash)) => {
+                    tokio::spawn(self.clone().fetch_table(hash));
                 }
-                Effect::Open(turn, hash) if self.begins(Errand::Open(turn, hash)) => {
-                    tokio::spawn(self.clone().open(turn, hash));
+                Effect::Open(turn, hash) if self.begin_job(Job::Open(turn, hash)) => {
+                    tokio::spawn(self.clone().open_pools(turn, hash));
                 }
                 Effect::Fetch(_) | Effect::Open(..) => {}
-                Effect::Switched(fence) => self.switched(fence, leased),
+                Effect::Switched(fence) => self.note_switch(fence, leased),
             }
         }
         if self.leased.swap(leased, Ordering::Relaxed) != leased {
@@ -343,8 +356,9 @@
         self.stepped.notify_one();
     }
 
-    /// Without a lease it knows the version, and does not act on it.
-    fn switched(&self, fence: Fence, leased: bool) {
+    /// Counts and logs a switch of the version in force. Without a lease the member knows the version but does not
+    /// act on it.
+    fn note_switch(&self, fence: Fence, leased: bool) {
         self.metrics.switches.inc();
         self.metrics.turn.set(fence.turn);
         self.metrics.version.set(fence.version);
@@ -357,72 +371,76 @@
         );
     }
 
-    fn begins(&self, errand: Errand) -> bool {
-        lock(&self.errands).insert(errand)
+    fn begin_job(&self, job: Job) -> bool {
+        lock(&self.jobs).insert(job)
     }
 
-    fn ends(&self, errand: Errand) {
-        lock(&self.errands).remove(&errand);
+    fn end_job(&self, job: Job) {
+        lock(&self.jobs).remove(&job);
     }
 
-    /// Brings an ask to the leader, and the reply back.
-    async fn ask(self: Arc<Self>, ask: Ask) {
-        let ask = gated(ask, self.may());
-        if let Some(Response::Reply { reply, running }) = self.to_leader(&Request::Ask(ask), PATIENCE).await {
+    /// Sends an ask to the leader, and takes over the reply.
+    async fn send_ask(self: Arc<Self>, ask: Ask) {
+        let ask = filter_answer(ask, self.permissions());
+        if let Some(Response::Reply { reply, running }) =
+            self.request_leader(&Request::Ask(ask), REQUEST_TIMEOUT).await
+        {
             self.metrics.replies.inc();
-            let told = (reply.term, reply.number);
+            let source = (reply.term, reply.number);
             self.step(Input::Reply(*reply));
-            self.follow(told, running.map(|running| *running));
+            self.update_counter(source, running.map(|running| *running));
         }
     }
 
-    /// Takes up which experiment runs, as a leader of this term told in its answer to the ask of this number. One of an
-    /// earlier term, or asked earlier, may not know, so it is not heard.
-    fn follow(&self, told: (u64, u64), running: Option<Running>) {
-        let mut held = self.routing.held();
-        if told < held.told {
+    /// Takes over which experiment runs. `source` is the term of the leader that reported it and the number of the
+    /// ask that it replied to. A report from an earlier term or on an earlier ask may be out of date and is ignored.
+    fn update_counter(&self, source: (u64, u64), running: Option<Running>) {
+        let mut state = self.routing.state();
+        if source < state.counter_source {
             return;
         }
-        held.told = told;
-        let Some(Running { experiment, closed, members }) = running else { return held.counter = None };
-        if held.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
-            let life = held.member.life();
+        state.counter_source = source;
+        let Some(Running { experiment, closed, members }) = running else { return state.counter = None };
+        if state.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
+            let life = state.member.life();
             let life = (life.name.clone(), life.incarnation);
-            held.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
+            state.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
         }
-        held.counter.iter_mut().for_each(|counter| counter.closed(closed));
+        state.counter.iter_mut().for_each(|counter| counter.closed(closed));
     }
 
-    /// Whom to ask for the leader's word: this process itself, or a voter; the last one's word, else one after another.
-    fn target(&self) -> Option<String> {
-        if let Some(name) = self.leads().or_else(|| lock(&self.leader).clone()) {
+    /// The voter to which a request to the leader is sent first: the leader according to the own record or the last
+    /// answer, or else the voters in turn.
+    fn likely_leader(&self) -> Option<String> {
+        if let Some(name) = self.leader_by_record().or_else(|| lock(&self.known_leader).clone()) {
             return Some(name);
         }
-        let at = self.next.fetch_add(1, Ordering::Relaxed);
+        let at = self.next_voter.fetch_add(1, Ordering::Relaxed);
         self.options.voters.get(at % self.options.voters.len().max(1)).map(|(name, _)| name.clone())
     }
 
-    /// Asks whoever leads, and whom it names if it does not; the last answer.
-    pub async fn to_leader(self: &Arc<Self>, request: &Request, patience: Duration) -> Option<Response> {
-        let mut to = self.target()?;
+    /// Sends a request to the likely leader and, if that one does not lead, to the leader that it names. Returns the
+    /// last answer.
+    pub async fn request_leader(self: &Arc<Self>, request: &Request, limit: Duration) -> Option<Response> {
+        let mut to = self.likely_leader()?;
         let mut answer = None;
-        for _ in 0..MOST_HOPS {
-            let own = to == self.options.name;
-            let voter = if own { lock(&self.voter).clone() } else { None };
+        for _ in 0..MAX_REDIRECTS {
+            let is_own = to == self.options.name;
+            let voter = if is_own { lock(&self.voter).clone() } else { None };
             answer = match (voter, self.clients.get(&to)) {
                 (Some(voter), _) => Some(self.answer(&voter, request.clone()).await),
-                (None, Some(client)) => client.request(request, patience).await.ok(),
+                (None, Some(client)) => client.request(request, limit).await.ok(),
                 (None, None) => None,
             };
             let next = match &answer {
                 Some(Response::NotLeader { leader }) => leader.clone().filter(|next| *next != to),
                 Some(_) => {
-                    *lock(&self.leader) = Some(to);
+                    *lock(&self.known_leader) = Some(to);
                     return answer;
                 }
                 None => None,
             };
-            *lock(&self.leader) = next.clone();
+            *lock(&self.known_leader) = next.clone();
             match next {
                 Some(next) => to = next,
                 None => break,
@@ -431,52 +449,55 @@
         answer
     }
 
-    /// Fetches a table from any voter.
-    async fn fetch(self: Arc<Self>, hash: Hash) {
-        let own = lock(&self.voter).clone();
-        let mut text = own.and_then(|voter| voter.table(hash));
-        let first = self.target();
+    /// Fetches a table from any voter that has it, the likely leader first.
+    async fn fetch_table(self: Arc<Self>, hash: Hash) {
+        let own_voter = lock(&self.voter).clone();
+        let mut text = own_voter.and_then(|voter| voter.table(hash));
+        let first = self.likely_leader();
         let rest = self.clients.keys().filter(|name| Some(*name) != first.as_ref()).cloned();
         for name in first.clone().into_iter().chain(rest) {
             if text.is_some() {
                 break;
             }
             if let Some(client) = self.clients.get(&name) {
-                if let Ok(Response::Table(table)) = client.request(&Request::Fetch(hash), PATIENCE).await {
+                if let Ok(Response::Table(table)) =
+                    client.request(&Request::Fetch(hash), REQUEST_TIMEOUT).await
+                {
                     text = table;
                 }
             }
         }
-        self.ends(Errand::Fetch(hash));
+        self.end_job(Job::Fetch(hash));
         if let Some(text) = text {
             self.step(Input::Fetched(hash, text));
         }
     }
 
-    /// Tries all pools of a table, for a turn.
-    async fn open(self: Arc<Self>, turn: Turn, hash: Hash) {
+    /// Attempts a connection to each address in the pools of a table, and reports the result for this turn to the
+    /// member.
+    async fn open_pools(self: Arc<Self>, turn: Turn, hash: Hash) {
         let addresses: BTreeSet<SocketAddr> =
-            self.routing.held().member.addresses(hash).into_iter().collect();
-        let (mut tries, mut opened) = (JoinSet::new(), Ok(()));
-        let mut take = |done: Option<(SocketAddr, bool)>| {
+            self.routing.state().member.addresses(hash).into_iter().collect();
+        let (mut attempts, mut opened) = (JoinSet::new(), Ok(()));
+        let mut collect = |done: Option<(SocketAddr, bool)>| {
             if let Some((address, false)) = done {
                 opened = Err(address);
             }
         };
         for address in addresses {
-            if tries.len() >= MOST_CONNECTS {
-                take(tries.join_next().await.and_then(Result::ok));
+            if attempts.len() >= MAX_CONCURRENT_CONNECTS {
+                collect(attempts.join_next().await.and_then(Result::ok));
             }
             let net = self.local.net.clone();
-            tries.spawn(async move {
-                let connected = timeout(CONNECT, net.connect(address)).await;
+            attempts.spawn(async move {
+                let connected = timeout(CONNECT_TIMEOUT, net.connect(address)).await;
                 (address, matches!(connected, Ok(Ok(_))))
             });
         }
-        while let Some(done) = tries.join_next().await {
-            take(done.ok());
+        while let Some(done) = attempts.join_next().await {
+            collect(done.ok());
         }
-        self.ends(Errand::Open(turn, hash));
+        self.end_job(Job::Open(turn, hash));
         self.step(Input::Opened(turn, hash, opened));
     }
 }
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -1,5 +1,6 @@
-//! The voter's side: its record and socket, opened as soon as they are free and given up on the process's word; what is
-//! answered there; and the leader's part, in step with the record's standing.
+//! The part of a matcher that votes. [`run`] opens the record and the voter's socket as soon as they are free, and
+//! closes them when the process is to release them. While they are open, requests of members are answered here, and
+//! the leader's decisions follow the record's standing.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,8 +14,8 @@
 use tracing::{debug, info, warn};
 
 use super::documents;
-use super::leader_role::{allowed, earlier, ordered};
-use super::tasks::{lock, Part};
+use super::leader_role::{earlier_result, is_allowed, is_operator_order};
+use super::tasks::{lock, DriverState};
 use super::Options;
 use crate::fleet::decided::{Applied, Entry};
 use crate::fleet::experiment::record as experiments;
@@ -27,26 +28,27 @@
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
 use crate::fleet::wire::{Answering, Caller, Push, Request, Response, Server};
 
-/// The leader's part looks at the time this often.
-const TICK: Duration = Duration::from_millis(20);
-/// The leader asks a majority this often; a lease is shorter by it.
-const CONFIRM: Duration = Duration::from_millis(100);
-/// A majority that did not answer for this long is asked again.
-const CONFIRM_PATIENCE: Duration = Duration::from_secs(1);
-/// An entry is waited for this long: less than a link waits for an answer.
-const SUBMIT: Duration = Duration::from_millis(2000);
-/// An admission is waited for this long.
-const ADMIT: Duration = Duration::from_millis(2700);
-/// After a folder or an address could not be taken.
-const RETRY: Duration = Duration::from_millis(100);
-/// This process's vote.
+/// Interval at which the leader's state is informed of the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the leader has a majority confirm that it leads. A lease is shorter by it.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
+/// A majority that has not answered within this time is asked again.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long the submission of an entry may take: less than a link waits for an answer.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long an admission may take.
+const ADMIT_TIMEOUT: Duration = Duration::from_millis(2700);
+/// Interval at which the folder and the address are tried until both can be opened.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The open record and the open socket of a voter.
 pub struct Voter {
     pub(super) record: Record,
     server: Server,
 }
 
 impl Voter {
-    /// A table by its hash, if it is kept.
+    /// The table with this hash, if the record keeps it.
     pub(super) fn table(&self, hash: Hash) -> Option<String> {
         let state = self.record.state();
         let found = state.routes.tables().find(|(_, table)| table.hash() == hash);
@@ -54,88 +56,88 @@
     }
 }
 
-/// Votes while `vote` says so; ends when nobody is left to say so.
-pub async fn keep(part: Arc<Part>, mut vote: watch::Receiver<bool>) {
-    let Some((folder, listen)) = part.options.record.clone() else { return };
+/// Votes while `should_vote` is true. Returns when the sender of `should_vote` is dropped.
+pub async fn run(driver: Arc<DriverState>, mut should_vote: watch::Receiver<bool>) {
+    let Some((folder, listen)) = driver.options.record.clone() else { return };
     loop {
-        while !*vote.borrow_and_update() {
-            if vote.changed().await.is_err() {
+        while !*should_vote.borrow_and_update() {
+            if should_vote.changed().await.is_err() {
                 return;
             }
         }
         let voter = tokio::select! {
-            voter = open(&part, &folder, listen) => voter,
-            told = vote.changed() => match told {
+            voter = open(&driver, &folder, listen) => voter,
+            changed = should_vote.changed() => match changed {
                 Ok(()) => continue,
                 Err(_) => return,
             },
         };
         info!(folder = %folder.display(), %listen, "routes: votes");
-        *lock(&part.voter) = Some(voter.clone());
-        let goes_on = lead(&part, &voter, &mut vote).await;
-        *lock(&part.voter) = None;
-        let none = Standing { leads: false, ..voter.record.watch().borrow().clone() };
-        part.deciding(&voter, |at, lead| lead.follow(at, &none, None));
-        part.metrics.is_leader.set(0);
+        *lock(&driver.voter) = Some(voter.clone());
+        let may_vote_again = follow_record(&driver, &voter, &mut should_vote).await;
+        *lock(&driver.voter) = None;
+        let not_leading = Standing { leads: false, ..voter.record.watch().borrow().clone() };
+        driver.with_leader_role(&voter, |context, role| role.follow_record(context, &not_leading, None));
+        driver.metrics.is_leader.set(0);
         voter.server.close();
         voter.record.close().await;
-        info!("routes: votes no more");
-        if !goes_on {
+        info!("routes: no longer votes");
+        if !may_vote_again {
             return;
         }
     }
 }
 
-/// The socket and the record, once both can be had.
-async fn open(part: &Arc<Part>, folder: &Path, listen: SocketAddr) -> Arc<Voter> {
-    let mut told = String::new();
+/// Opens the socket and the record, retrying until both succeed.
+async fn open(driver: &Arc<DriverState>, folder: &Path, listen: SocketAddr) -> Arc<Voter> {
+    let mut logged = String::new();
     loop {
-        let (said, help) = match try_open(part, folder, listen).await {
+        let (problem, help) = match try_open(driver, folder, listen).await {
             Ok(voter) => return voter,
             Err(e) => (e.to_string(), e.help().map(|help| help.to_string())),
         };
-        if said != told {
-            warn!(help, "fleet.routes: {said}; tried again until it can be had");
-            told = said;
+        if problem != logged {
+            warn!(help, "fleet.routes: {problem}; retrying until it succeeds");
+            logged = problem;
         }
-        sleep(RETRY).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
 async fn try_open(
-    part: &Arc<Part>,
+    driver: &Arc<DriverState>,
     folder: &Path,
     listen: SocketAddr,
 ) -> Result<Arc<Voter>, Box<dyn Diagnostic + Send + Sync>> {
-    let answers = part.clone();
+    let answering = driver.clone();
     let handler = move |from: Arc<Caller>, request: Request| -> Answering {
-        let part = answers.clone();
+        let driver = answering.clone();
         Box::pin(async move {
-            let voter = lock(&part.voter).clone();
+            let voter = lock(&driver.voter).clone();
             match voter {
                 Some(voter) => {
-                    part.metrics.request(kind(&request));
+                    driver.metrics.count_request(request_kind(&request));
                     match &request {
-                        // A lease is for whom the link said it is.
+                        // A lease is granted only to the member that opened the link.
                         Request::Ask(ask) if ask.life.name != from.name => Response::Busy,
-                        _ => part.answer(&voter, request).await,
+                        _ => driver.answer(&voter, request).await,
                     }
                 }
-                // The record is being opened.
-                None => absent(&request),
+                // The record is still being opened.
+                None => response_while_opening(&request),
             }
         })
     };
-    let server = Server::start(listen, part.local.clone(), handler).await?;
-    let Options { name, fleet, voters, .. } = part.options.clone();
+    let server = Server::start(listen, driver.local.clone(), handler).await?;
+    let Options { name, fleet, voters, .. } = driver.options.clone();
     let mut options = record::Options::new(fleet, name, folder, voters);
-    options.disk = part.disk.clone();
-    let record = Record::open(options, part.clients.clone()).await?;
+    options.disk = driver.disk.clone();
+    let record = Record::open(options, driver.clients.clone()).await?;
     Ok(Arc::new(Voter { record, server }))
 }
 
-/// What is answered before the record is there.
-fn absent(request: &Request) -> Response {
+/// The response to a request that arrives before the record is open.
+fn response_while_opening(request: &Request) -> Response {
     match request {
         Request::Hello => Response::Hello(Hello::default()),
         Request::Fetch(_) => Response::Table(None),
@@ -143,8 +145,8 @@
     }
 }
 
-/// The name of a request, for counting.
-fn kind(request: &Request) -> &'static str {
+/// The kind of a request, as a metric label.
+fn request_kind(request: &Request) -> &'static str {
     match request {
         Request::Hello => "hello",
         Request::Raft { .. } => "raft",
@@ -157,111 +159,117 @@
     }
 }
 
-/// Follows the record until this process is to vote no more: true if it may vote again.
-async fn lead(part: &Arc<Part>, voter: &Arc<Voter>, vote: &mut watch::Receiver<bool>) -> bool {
-    let mut standing = voter.record.watch();
-    let mut ticks = interval(TICK);
+/// Follows the record until this process is to stop voting or the record stops. Returns true if it may vote again.
+async fn follow_record(
+    driver: &Arc<DriverState>,
+    voter: &Arc<Voter>,
+    should_vote: &mut watch::Receiver<bool>,
+) -> bool {
+    let mut standings = voter.record.watch();
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut tasks = JoinSet::new();
-    tasks.spawn(confirm(part.clone(), voter.clone()));
+    tasks.spawn(confirm_leadership(driver.clone(), voter.clone()));
     loop {
         tokio::select! {
-            told = vote.changed() => match told {
-                Ok(()) if *vote.borrow() => {}
+            changed = should_vote.changed() => match changed {
+                Ok(()) if *should_vote.borrow() => {}
                 Ok(()) => return true,
                 Err(_) => return false,
             },
-            moved = standing.changed() => if moved.is_err() {
-                warn!("routes: the record has stopped; it is opened again");
+            changed = standings.changed() => if changed.is_err() {
+                warn!("routes: the record has stopped; reopening it");
                 return true;
             },
             _ = ticks.tick() => {}
         }
-        let stands = standing.borrow_and_update().clone();
-        let window = part.routing.held().member.promises().1;
-        let (before, after, effects, entry) = part.deciding(voter, |at, lead| {
-            let before = lead.term();
-            let mut effects = lead.follow(at, &stands, window);
-            effects.extend(lead.tick(at));
-            (before, lead.term(), effects, lead.experiments(at))
+        let standing = standings.borrow_and_update().clone();
+        let window = driver.routing.state().member.promises().1;
+        let (before, after, effects, entry) = driver.with_leader_role(voter, |context, role| {
+            let before = role.term();
+            let mut effects = role.follow_record(context, &standing, window);
+            effects.extend(role.tick(context));
+            (before, role.term(), effects, role.next_experiment_entry(context))
         });
         if before != after {
-            part.metrics.is_leader.set(i64::from(after.is_some()));
+            driver.metrics.is_leader.set(i64::from(after.is_some()));
             match after {
                 Some(term) => {
-                    part.metrics.elections.inc();
-                    info!(term, "routes: leads");
+                    driver.metrics.elections.inc();
+                    info!(term, "routes: became leader");
                 }
-                None => info!(term = before, "routes: leads no more"),
+                None => info!(term = before, "routes: no longer leader"),
             }
         }
-        perform(part, voter, effects);
-        entry.into_iter().for_each(|entry| propose(part, voter, entry));
+        perform_effects(driver, voter, effects);
+        entry.into_iter().for_each(|entry| propose(driver, voter, entry));
     }
 }
 
-/// Keeps the leader's part up to date about who answers.
-async fn confirm(part: Arc<Part>, voter: Arc<Voter>) {
+/// Has a majority confirm regularly that this voter leads.
+async fn confirm_leadership(driver: Arc<DriverState>, voter: Arc<Voter>) {
     loop {
-        if lock(&part.lead).term().is_some() {
-            let sent = part.clock.now();
-            if let Ok(Ok(term)) = timeout(CONFIRM_PATIENCE, voter.record.confirm()).await {
-                let effects = part.deciding(&voter, |at, lead| lead.confirmed(at, term, sent));
-                perform(&part, &voter, effects);
+        if lock(&driver.role).term().is_some() {
+            let sent = driver.clock.now();
+            if let Ok(Ok(term)) = timeout(CONFIRM_TIMEOUT, voter.record.confirm()).await {
+                let effects =
+                    driver.with_leader_role(&voter, |context, role| role.confirm(context, term, sent));
+                perform_effects(&driver, &voter, effects);
             }
         }
-        sleep(CONFIRM).await;
+        sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-/// Does what the leader's part asks for; the reply, where there is one.
-fn perform(part: &Arc<Part>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<Reply> {
-    let mut replied = None;
+/// Performs the effects of the leader's decisions. Returns the reply, if there is one.
+fn perform_effects(driver: &Arc<DriverState>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<Reply> {
+    let mut sent_reply = None;
     for effect in effects {
         match effect {
             Effect::Reply(_, reply) => {
                 if !reply.lease.is_zero() {
-                    part.metrics.grants.inc();
+                    driver.metrics.grants.inc();
                 }
-                replied = Some(reply);
+                sent_reply = Some(reply);
             }
             Effect::Nudge(life) => {
-                // In a handover two processes have one name.
+                // During a handover two processes have the same name.
                 voter.server.push(Some(&life.name), Push::Nudge);
-                if life.name == part.options.name {
-                    part.step(Input::Nudge);
+                if life.name == driver.options.name {
+                    driver.step(Input::Nudge);
                 }
             }
-            Effect::Propose(entry) => propose(part, voter, Entry::Routes(entry)),
+            Effect::Propose(entry) => propose(driver, voter, Entry::Routes(entry)),
         }
     }
-    replied
+    sent_reply
 }
 
-/// Puts an entry of the leader's own into the log.
-fn propose(part: &Arc<Part>, voter: &Arc<Voter>, entry: Entry) {
-    let (part, voter) = (part.clone(), voter.clone());
+/// Submits an entry that the leader itself proposes to the log.
+fn propose(driver: &Arc<DriverState>, voter: &Arc<Voter>, entry: Entry) {
+    let (driver, voter) = (driver.clone(), voter.clone());
     tokio::spawn(async move {
-        match timeout(SUBMIT, voter.record.submit(entry.clone())).await {
-            Ok(Ok(Ok(applied))) => applied_own(&part, &entry, &applied),
+        match timeout(SUBMIT_TIMEOUT, voter.record.submit(entry.clone())).await {
+            Ok(Ok(Ok(applied))) => note_applied(&driver, &entry, &applied),
             Ok(Ok(Err(refused))) => debug!("routes: {refused}"),
-            Ok(Err(e)) => info!("routes: an entry was not taken: {e}"),
-            Err(_) => info!("routes: an entry waits for a majority"),
+            Ok(Err(e)) => info!("routes: an entry was not accepted: {e}"),
+            Err(_) => info!("routes: an entry still waits for a majority"),
         }
         if matches!(entry, Entry::Experiment(_)) {
-            lock(&part.lead).answered();
+            lock(&driver.role).entry_answered();
         }
     });
 }
 
-fn applied_own(part: &Part, entry: &Entry, applied: &Applied) {
+/// Counts and logs an entry that was applied for this voter.
+fn note_applied(driver: &DriverState, entry: &Entry, applied: &Applied) {
     match entry {
         Entry::Routes(routes::Entry::Abort { turn, why }) => {
-            part.metrics.aborted(why);
+            driver.metrics.count_abort(why);
             warn!(turn, ?why, "routes: aborted");
         }
         Entry::Experiment(experiments::Entry::Block { name, block, tallies, .. }) => {
-            part.metrics.closed_blocks.inc();
+            driver.metrics.closed_blocks.inc();
             debug!(name, block, ?tallies, "routes: a block is closed");
         }
         _ => {}
@@ -271,8 +279,8 @@
     }
 }
 
-impl Part {
-    /// Answers a request of another member, or of this one.
+impl DriverState {
+    /// Answers a request of another member, or of this process.
     pub(super) async fn answer(self: &Arc<Self>, voter: &Arc<Voter>, request: Request) -> Response {
         match request {
             Request::Hello => Response::Hello(voter.record.hello().await),
@@ -281,71 +289,76 @@
             Request::Fetch(hash) => Response::Table(voter.table(hash)),
             Request::Submit(entry) => self.submit(voter, entry).await,
             Request::Counts(report) => {
-                let heard = self
-                    .deciding(voter, |at, lead| lead.leads(at.now).then(|| lead.heard(at.state, &report)));
-                heard.map_or_else(|| self.not_leader(voter), Response::Counted)
+                let counted = self.with_leader_role(voter, |context, role| {
+                    role.is_confirmed_leader(context.now).then(|| role.take_report(context.state, &report))
+                });
+                counted.map_or_else(|| self.not_leader(voter), Response::Counted)
             }
-            Request::Admit { name } => match timeout(ADMIT, voter.record.admit(&name)).await {
+            Request::Admit { name } => match timeout(ADMIT_TIMEOUT, voter.record.admit(&name)).await {
                 Ok(Err(AdmitError::NotLeader { leader })) => Response::NotLeader { leader },
                 Ok(admitted) => Response::Admitted(admitted),
                 Err(_) => Response::Busy,
             },
             Request::Look(look) => {
-                let stands = voter.record.watch().borrow().clone();
-                let told = self.deciding(voter, |at, lead| {
-                    // What one that is cut off knows may have been overtaken.
-                    let told = || documents::leaders(look, at.state, &stands, lead.given(), at.now);
-                    lead.leads(at.now).then(|| told().to_string())
+                let standing = voter.record.watch().borrow().clone();
+                let document = self.with_leader_role(voter, |context, role| {
+                    // A leader that is cut off from the majority may have an outdated state.
+                    let document = || {
+                        documents::leader_document(look, context.state, &standing, role.given(), context.now)
+                    };
+                    role.is_confirmed_leader(context.now).then(|| document().to_string())
                 });
-                told.map_or_else(|| self.not_leader(voter), Response::Document)
+                document.map_or_else(|| self.not_leader(voter), Response::Document)
             }
         }
     }
 
     fn not_leader(&self, voter: &Voter) -> Response {
         let own = &self.options.name;
-        // A leader that has yet to begin, or has ended already, is nobody to be sent to.
+        // If this voter has just been elected or deposed, the record may still name it, but it does not lead.
         let leader = voter.record.watch().borrow().leader.clone().filter(|name| name != own);
         Response::NotLeader { leader }
     }
 
     fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: Ask) -> Response {
-        let (effects, leads, running) = self.deciding(voter, |at, lead| {
-            let running = at.state.experiments.run().map(|run| {
+        let (effects, leads, running) = self.with_leader_role(voter, |context, role| {
+            let running = context.state.experiments.run().map(|run| {
                 let experiment = run.experiment.clone();
-                Box::new(Running { experiment, closed: run.weighing.closed(), members: lead.members() })
+                Box::new(Running { experiment, closed: run.weighing.closed(), members: role.members() })
             });
-            (lead.ask(at, ask), lead.leads(at.now), running)
+            (role.handle_ask(context, ask), role.is_confirmed_leader(context.now), running)
         });
-        match perform(self, voter, effects).filter(|_| leads) {
+        match perform_effects(self, voter, effects).filter(|_| leads) {
             Some(reply) => Response::Reply { reply: Box::new(reply), running },
             None => self.not_leader(voter),
         }
     }
 
     async fn submit(&self, voter: &Voter, entry: Entry) -> Response {
-        let (leads, before) =
-            self.deciding(voter, |at, lead| (lead.leads(at.now), earlier(at.state, &entry)));
+        let (leads, earlier) = self.with_leader_role(voter, |context, role| {
+            (role.is_confirmed_leader(context.now), earlier_result(context.state, &entry))
+        });
         if !leads {
             return self.not_leader(voter);
         }
-        if let Some(applied) = before {
+        if let Some(applied) = earlier {
             return Response::Submitted(Ok(applied));
         }
-        if !ordered(&entry) || !allowed(&entry, self.may()) {
+        if !is_operator_order(&entry) || !is_allowed(&entry, self.permissions()) {
             return Response::Busy;
         }
         if let Err(refused) = entry.bounded() {
             return Response::Submitted(Err(refused));
         }
-        match timeout(SUBMIT, voter.record.submit(entry.clone())).await {
+        match timeout(SUBMIT_TIMEOUT, voter.record.submit(entry.clone())).await {
             Ok(Ok(done)) => {
                 if let Ok(applied) = &done {
-                    applied_own(self, &entry, applied);
+                    note_applied(self, &entry, applied);
                 }
-                // It may be refused for itself: it was sent again before it was applied the first time.
-                let before = || self.deciding(voter, |at, _| earlier(at.state, &entry));
-                Response::Submitted(done.or_else(|refused| before().ok_or(refused)))
+                // A repeated order may be refused because of its first submission, which was applied in the meantime.
+                let earlier =
+                    || self.with_leader_role(voter, |context, _| earlier_result(context.state, &entry));
+                Response::Submitted(done.or_else(|refused| earlier().ok_or(refused)))
             }
             Ok(Err(_)) => self.not_leader(voter),
             Err(_) => Response::Busy,
--- a/src/fleet/metrics.rs
+++ b/src/fleet/metrics.rs
@@ -1,5 +1,5 @@
-//! What the fleet's routes count, as text for Prometheus (the OpenMetrics format). The same counters at every matcher; a
-//! restart begins at 0.
+//! The metrics of the fleet's routes, in the OpenMetrics text format for Prometheus. Every matcher has the same
+//! counters. They start at 0 with each process.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,10 +13,10 @@
 use super::routes::record::Why;
 use super::wire::Counters;
 
-/// One label: its name is fixed by the counter, its values are words of the program.
-type Labelled = Family<[(&'static str, &'static str); 1], Counter>;
+/// A counter with one label. The name of the label is fixed per counter, and its values are constants of the program.
+type LabelledCounter = Family<[(&'static str, &'static str); 1], Counter>;
 
-/// The counters and gauges; a copy counts into the same ones.
+/// The counters and gauges. A clone shares them.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub struct Metrics {
@@ -33,20 +33,20 @@
     pub version: Gauge<u64, AtomicU64>,
     pub is_leader: Gauge,
     pub lease_held: Gauge,
-    aborts: Labelled,
-    /// What the links count; a text takes it over.
+    aborts: LabelledCounter,
+    /// The counters of the links, which [`Metrics::render`] takes over.
     pub links: Arc<Counters>,
-    /// Voters that are not heard both ways.
+    /// Voters that are not in reach in both directions.
     pub unreachable_voters: Gauge,
-    frames: Labelled,
-    link_frames: Labelled,
-    link_bytes: Labelled,
-    requests: Labelled,
+    dropped_frames: LabelledCounter,
+    link_frames: LabelledCounter,
+    link_bytes: LabelledCounter,
+    requests: LabelledCounter,
     registry: Arc<Mutex<Registry>>,
 }
 
 impl Metrics {
-    /// All at 0.
+    /// Creates the metrics, all of them 0.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("hopwalk_fleet");
         let mut counter = |name: &str, help: &str| {
@@ -71,20 +71,20 @@
         let is_leader = gauge("leads", "1 while this member leads");
         let lease_held = gauge("lease_held", "1 while this member has a lease");
         let unreachable_voters = gauge("voters_unheard", "Voters out of reach; 0 is the posture whole");
-        let mut number = |name: &str, help: &str| {
+        let mut unsigned_gauge = |name: &str, help: &str| {
             let gauge = Gauge::<u64, AtomicU64>::default();
             registry.register(name, help, gauge.clone());
             gauge
         };
-        let turn = number("turn", "The turn in force here");
-        let version = number("version", "The route version in force here");
+        let turn = unsigned_gauge("turn", "The turn in force here");
+        let version = unsigned_gauge("version", "The route version in force here");
         let mut labelled = |name: &str, help: &str| {
-            let family = Labelled::default();
+            let family = LabelledCounter::default();
             registry.register(name, help, family.clone());
             family
         };
         let aborts = labelled("aborts", "Activations that were given up while this member led, by reason");
-        let frames = labelled("frames_dropped", "Frames that were not taken, by what was wrong");
+        let dropped_frames = labelled("frames_dropped", "Frames that were not taken, by what was wrong");
         let link_frames = labelled("link_frames", "Frames on the links between members, by way");
         let link_bytes = labelled("link_bytes", "Bytes of those frames, their lengths included, by way");
         let requests = labelled("requests", "Requests of other members, by kind");
@@ -106,7 +106,7 @@
             aborts,
             links: Arc::default(),
             unreachable_voters,
-            frames,
+            dropped_frames,
             link_frames,
             link_bytes,
             requests,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// An activation was given up.
-    pub fn aborted(&self, why: &Why) {
+    /// Counts an activation that was aborted.
+    pub fn count_abort(&self, why: &Why) {
         let reason = match why {
             Why::Refused(..) => "refused",
             Why::Silent(_) => "silent",
@@ -124,37 +124,37 @@
         self.aborts.get_or_create(&[("reason", reason)]).inc();
     }
 
-    /// Takes over what the links counted.
-    fn take_links(&self) {
+    /// Takes over the counters of the links.
+    fn update_link_counters(&self) {
         let links = &self.links;
-        let all = [
-            (&self.frames, "what", "foreign", &links.foreign),
-            (&self.frames, "what", "long", &links.too_long),
-            (&self.frames, "what", "malformed", &links.malformed),
-            (&self.frames, "what", "later", &links.later),
+        let counters = [
+            (&self.dropped_frames, "what", "foreign", &links.foreign),
+            (&self.dropped_frames, "what", "long", &links.too_long),
+            (&self.dropped_frames, "what", "malformed", &links.malformed),
+            (&self.dropped_frames, "what", "later", &links.later),
             (&self.link_frames, "way", "out", &links.frames_out),
             (&self.link_frames, "way", "in", &links.frames_in),
             (&self.link_bytes, "way", "out", &links.bytes_out),
             (&self.link_bytes, "way", "in", &links.bytes_in),
         ];
-        for (family, label, value, counted) in all {
+        for (family, label, value, total) in counters {
             let counter = family.get_or_create(&[(label, value)]);
-            counter.inc_by(counted.load(Ordering::Relaxed).saturating_sub(counter.get()));
+            counter.inc_by(total.load(Ordering::Relaxed).saturating_sub(counter.get()));
         }
     }
 
-    /// Another member asked something.
-    pub fn request(&self, kind: &'static str) {
+    /// Counts a request of another member.
+    pub fn count_request(&self, kind: &'static str) {
         self.requests.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// All of them as text.
+    /// All metrics in the text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock: two texts at once must not take the same over twice.
-        self.take_links();
-        // Writing to a text cannot fail.
+        // Under the lock, so that two concurrent calls do not add the same increments twice.
+        self.update_link_counters();
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &registry);
         text
     }
@@ -171,11 +171,11 @@
     use super::*;
 
     #[test]
-    fn what_was_counted_stands_in_the_text() {
+    fn all_counts_are_rendered() {
         let metrics = Metrics::new();
         metrics.asks.inc_by(3);
         metrics.turn.set(7);
-        metrics.aborted(&Why::Operator("anna".into()));
+        metrics.count_abort(&Why::Operator("anna".into()));
         metrics.links.bytes_in.store(9, Ordering::Relaxed);
         let first = metrics.render();
         assert!(first.contains("link_bytes_total{way=\"in\"} 9\n"), "{first}");
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -1,6 +1,7 @@
-//! What the serving path asks of the fleet's routes: a handle that never waits for a peer. The driver's thread steps the
-//! member behind it; here a lock is held for one look. What becomes of a call is decided by the clock at the look, so a
-//! switch comes at its moment however late the driver's thread is.
+//! The serving path's interface to the fleet's routes. [`Routing`] is a handle that never waits for a peer: the
+//! driver's thread steps the member behind it, and a method holds the lock only while it reads the member's state.
+//! Each call is routed by the clock at that moment, so a switch of routes happens on time even if the driver's thread
+//! is late.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -21,87 +22,87 @@
 use super::routes::table::{self, Table};
 use super::routes::{Fence, Version};
 
-/// Orders that may wait for the driver's thread.
-const MOST_ORDERS: usize = 16;
-/// A call that waits looks again this soon at the earliest.
-const LOOK: Duration = Duration::from_micros(100);
+/// Orders that may be queued for the driver's thread.
+const MAX_QUEUED_ORDERS: usize = 16;
+/// A call that has to wait is routed again after this time at the earliest.
+const MIN_WAIT: Duration = Duration::from_micros(100);
 
-/// A call below, as far as its route goes.
+/// The data of a call to the dependency that its route depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Call {
     /// The name of the request's class.
     pub class: String,
     /// The name of its tenant, where it has one.
     pub tenant: Option<String>,
-    /// What the request is about: draws its arm.
+    /// What the request is about. The experiment arm is drawn from it.
     pub subject: Vec<u8>,
-    /// What an earlier call of the request went out under.
+    /// The fence under which an earlier call of the request was sent.
     pub last_fence: Option<Fence>,
-    /// What whoever makes it goes by; nothing where no table is known there.
+    /// The call limits that the caller applies; `None` if it knows no routes table.
     pub limits: Option<CallLimits>,
 }
 
 /// What a route allows of the calls of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// How often each is tried at most, from 1 to [`table::MOST_TRIES`].
+    /// Upper bound of the tries of each call, from 1 to [`table::MOST_TRIES`].
     pub max_tries: u8,
-    /// The request may be answered without.
+    /// The request may be answered without the call.
     pub may_skip: bool,
 }
 
 impl CallLimits {
-    fn by(route: &table::Route) -> Self {
-        // The table was checked: the bound keeps a number that never was in one from turning into another.
+    fn of_route(route: &table::Route) -> Self {
+        // A checked table has no higher number. The bound prevents the conversion from truncating one.
         Self { max_tries: route.tries.min(table::MOST_TRIES) as u8, may_skip: route.without }
     }
 }
 
-/// What the route of a class, and where set of one tenant of it, allows.
+/// The call limits of a route: that of a class, or that of one tenant within the class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteLimits {
-    /// Of which class.
+    /// The name of the class.
     pub class: String,
-    /// Of which tenant; every one that has no route of its own if there is none.
+    /// The name of the tenant; `None` for all tenants without a route of their own.
     pub tenant: Option<String>,
-    /// What.
+    /// The call limits.
     pub limits: CallLimits,
 }
 
-/// What becomes of a call at this moment.
+/// How a call is to be routed at this moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
-    /// Made now.
+    /// The call is made now.
     Go {
-        /// Carried by the call; turn 0 is the configuration's own vault, before any activation.
+        /// The fence that the call carries. Turn 0 stands for the vault of the configuration, before any activation.
         fence: Fence,
-        /// Where it goes; none for the configuration's own vault.
+        /// Where the call is sent; `None` for the vault of the configuration.
         address: Option<SocketAddr>,
-        /// It may take no longer, whatever the module allows; none for no bound.
+        /// Upper bound of the time that the call may take, whatever the decision module allows; `None` for no bound.
         timeout: Option<Duration>,
-        /// What its route allows; none for the module's own bounds.
+        /// The call limits of the route; `None` for the decision module's own limits.
         limits: Option<CallLimits>,
     },
-    /// Inside the uncertainty of a switch: ask again then.
+    /// The moment of a switch is within the uncertainty of the clock: the call is to be routed again at this time.
     Wait(Instant),
-    /// A call of it went out under an older version: it ends as failed.
+    /// A call of the request was sent under an older version of the routes: this call ends as failed.
     Ended(Fence),
-    /// No lease: nothing is called.
+    /// This matcher holds no lease: no call may be made.
     Barred,
 }
 
-/// How the calls of one class stand.
+/// Whether calls of a class may be made now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteState {
-    /// They are made.
+    /// Calls are made.
     Open,
-    /// They are answered without, as long as there is no lease.
+    /// There is no lease, and the table allows answers without the call: requests go on without their calls.
     Skip,
-    /// There is no lease, and the table allows no answer without the call: requests are turned away at once.
+    /// There is no lease, and the table allows no answer without the call: requests are refused immediately.
     Closed,
 }
 
-/// What an operator wants of the fleet.
+/// An operator's order to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum Order {
@@ -117,7 +118,7 @@
     Admit { name: String },
 }
 
-/// Why an order was not carried out.
+/// Why an order was not executed.
 #[derive(Clone, Debug, PartialEq, Error, Diagnostic)]
 #[allow(missing_docs)]
 pub enum OrderError {
@@ -138,7 +139,7 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admit(#[from] super::wire::message::AdmitError),
-    #[error("{MOST_ORDERS} orders wait already")]
+    #[error("{MAX_QUEUED_ORDERS} orders wait already")]
     #[diagnostic(help("wait for their answers, and order again"))]
     QueueFull,
     #[error("the fleet's thread has ended")]
@@ -149,32 +150,33 @@
     Refused(#[from] super::decided::Refused),
 }
 
-/// An order on its way to the driver.
-pub(super) struct Asked {
+/// An order in the queue to the driver.
+pub(super) struct QueuedOrder {
     pub order: Order,
     pub by: String,
     pub answer: Sender<Result<String, OrderError>>,
 }
 
-/// What the driver and the serving path share.
-pub(super) struct Held {
-    /// The member's part of the routes.
+/// The state that the driver and the serving path share.
+pub(super) struct RoutingState {
+    /// The state machine of this member.
     pub member: Member,
-    /// What this life counts of the experiment that runs, as a leader told last.
+    /// Counts the requests of the running experiment, of which a leader's reply informed this process.
     pub counter: Option<Counter>,
-    /// The term of that leader, and the number of the ask that it answered.
-    pub told: (u64, u64),
-    spread: u64,
+    /// The source of `counter`: the term of that leader, and the number of the ask that it replied to.
+    pub counter_source: (u64, u64),
+    /// Calls sent so far; spreads them over the addresses of a pool.
+    calls_sent: u64,
 }
 
 struct Shared {
     clock: Clock,
-    held: Mutex<Held>,
-    orders: mpsc::Sender<Asked>,
+    state: Mutex<RoutingState>,
+    orders: mpsc::Sender<QueuedOrder>,
     metrics: Metrics,
 }
 
-/// The serving path's hold on the fleet's routes.
+/// The serving path's handle to the fleet's routes.
 #[derive(Clone)]
 pub struct Routing(Arc<Shared>);
 
@@ -184,12 +186,12 @@
     }
 }
 
-/// Which address of a pool the `n`th call goes to: by weight, along the multiples of the golden ratio, which are spread
-/// evenly from any of them on (Weyl, 1916). Each process counts its own calls; nothing is shared.
-fn address(pool: &[table::Address], n: u64) -> Option<SocketAddr> {
-    let all: u64 = pool.iter().map(|a| u64::from(a.weight)).sum();
-    let at = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mut left = (u128::from(at) * u128::from(all)) >> 64;
+/// Selects the address of a pool for the `n`th call by weight, along the multiples of the golden ratio. These are
+/// evenly distributed, beginning at any of them (Weyl, 1916). Each process counts its own calls and shares nothing.
+fn select_address(pool: &[table::Address], n: u64) -> Option<SocketAddr> {
+    let total_weight: u64 = pool.iter().map(|a| u64::from(a.weight)).sum();
+    let point = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut left = (u128::from(point) * u128::from(total_weight)) >> 64;
     for a in pool {
         match left.checked_sub(u128::from(a.weight)) {
             Some(rest) => left = rest,
@@ -199,13 +201,14 @@
     None
 }
 
-impl Held {
-    fn go(&mut self, fence: Fence, call: &Call, clock: &Clock) -> RouteDecision {
+impl RoutingState {
+    /// Routes a call under this fence.
+    fn route_under(&mut self, fence: Fence, call: &Call, clock: &Clock) -> RouteDecision {
         if fence.turn == 0 {
             return RouteDecision::Go { fence, address: None, timeout: None, limits: None };
         }
-        self.spread = self.spread.wrapping_add(1);
-        let Self { member, counter, spread, .. } = self;
+        self.calls_sent = self.calls_sent.wrapping_add(1);
+        let Self { member, counter, calls_sent, .. } = self;
         let found = member.table_under(fence).and_then(|table| {
             let route = table.route(&call.class, call.tenant.as_deref())?;
             let counter = counter.as_mut().filter(|_| !route.arms.is_empty());
@@ -213,26 +216,27 @@
                 let experiment = counter.experiment();
                 let name = &experiment.arms.get(arm(experiment, &call.subject))?.name;
                 let arm = route.arms.iter().find(|a| a.name == *name)?;
-                // What has no room is not counted, for no arm.
+                // Without room for the subject it is counted for no arm.
                 let _ = counter.assigned(&call.subject, clock.unix());
                 Some(arm)
             });
             let pool = table.pools.get(arm.map_or(&route.pool, |a| &a.pool))?;
             let timeout = Duration::from_millis(route.timeout_ms.into());
-            Some((address(pool, *spread)?, timeout, CallLimits::by(route)))
+            Some((select_address(pool, *calls_sent)?, timeout, CallLimits::of_route(route)))
         });
         match found {
             Some((address, timeout, limits)) => {
                 let (address, timeout, limits) = (Some(address), Some(timeout), Some(limits));
                 RouteDecision::Go { fence, address, timeout, limits }
             }
-            // A class that came into the settings after the table was checked.
+            // The class was added to the settings after the table had been checked.
             None => RouteDecision::Barred,
         }
     }
 
-    /// How calls stand without a lease: left out only where each route of the class allows that.
-    fn without(table: Option<&Table>, class: &str) -> RouteState {
+    /// The route state of a class while there is no lease: calls are skipped only if all routes of the class allow
+    /// that.
+    fn state_without_lease(table: Option<&Table>, class: &str) -> RouteState {
         let mut routes = table.iter().flat_map(|t| &t.routes).filter(|r| r.class == class).peekable();
         let some = routes.peek().is_some();
         if some && routes.all(|r| r.without) {
@@ -244,82 +248,84 @@
 }
 
 impl Routing {
-    /// Of a member, for the driver that steps it; orders come out at the other end.
-    pub(super) fn new(member: Member, clock: Clock, metrics: Metrics) -> (Self, mpsc::Receiver<Asked>) {
-        let (orders, asked) = mpsc::channel(MOST_ORDERS);
-        let held = Held { member, counter: None, told: (0, 0), spread: 0 };
-        (Self(Arc::new(Shared { clock, held: Mutex::new(held), orders, metrics })), asked)
+    /// Creates the handle to a member for the driver that steps it, and the queue from which the driver takes orders.
+    pub(super) fn new(member: Member, clock: Clock, metrics: Metrics) -> (Self, mpsc::Receiver<QueuedOrder>) {
+        let (orders, queue) = mpsc::channel(MAX_QUEUED_ORDERS);
+        let state = RoutingState { member, counter: None, counter_source: (0, 0), calls_sent: 0 };
+        (Self(Arc::new(Shared { clock, state: Mutex::new(state), orders, metrics })), queue)
     }
 
-    pub(super) fn held(&self) -> MutexGuard<'_, Held> {
-        self.0.held.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn state(&self) -> MutexGuard<'_, RoutingState> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What becomes of a call now.
+    /// Routes a call at this moment.
     pub fn route(&self, call: &Call) -> RouteDecision {
-        let mut held = self.held();
+        let mut state = self.state();
         let now = self.0.clock.now();
-        let routed = match held.member.route(now, Request { read: now, tried: call.last_fence, ran: None }) {
-            Route::Go(fence) => held.go(fence, call, &self.0.clock),
-            Route::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
+        let decision = match state.member.route(now, Request { read: now, tried: call.last_fence, ran: None })
+        {
+            Route::Go(fence) => state.route_under(fence, call, &self.0.clock),
+            Route::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT)),
             Route::Ended(fence) => RouteDecision::Ended(fence),
             Route::FromKey(_) | Route::Barred => RouteDecision::Barred,
         };
-        if routed == RouteDecision::Barred {
+        if decision == RouteDecision::Barred {
             self.0.metrics.barred_calls.inc();
         }
-        routed
+        decision
     }
 
-    /// How the calls of each named class stand now, in the order given.
+    /// The route state of each named class at this moment, in the given order.
     pub fn route_states(&self, classes: &[String]) -> Vec<RouteState> {
-        let held = self.held();
-        if held.member.ready(self.0.clock.now()) {
+        let state = self.state();
+        if state.member.ready(self.0.clock.now()) {
             return vec![RouteState::Open; classes.len()];
         }
-        classes.iter().map(|class| Held::without(held.member.table(), class)).collect()
+        classes.iter().map(|class| RoutingState::state_without_lease(state.member.table(), class)).collect()
     }
 
-    /// What the routes in force allow, and under which fence; nothing if that is `known`, or without a table.
+    /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no
+    /// table.
     pub fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)> {
-        let held = self.held();
-        let fence = held.member.in_force(self.0.clock.now()).filter(|fence| known != Some(*fence))?;
-        let routes = held.member.table_under(fence)?.routes.iter().map(|route| RouteLimits {
+        let state = self.state();
+        let fence = state.member.in_force(self.0.clock.now()).filter(|fence| known != Some(*fence))?;
+        let routes = state.member.table_under(fence)?.routes.iter().map(|route| RouteLimits {
             class: route.class.clone(),
             tenant: route.tenant.clone(),
-            limits: CallLimits::by(route),
+            limits: CallLimits::of_route(route),
         });
         Some((fence, routes.collect()))
     }
 
-    /// The active version is known here, its table is there, and the lease holds.
+    /// Whether the active version is known, its table is present, and the lease holds.
     pub fn ready(&self) -> bool {
-        self.held().member.ready(self.0.clock.now())
+        self.state().member.ready(self.0.clock.now())
     }
 
-    /// Counts how a request of a running experiment ended; nothing where its class is in none.
+    /// Counts how a request was answered, if its class takes part in the running experiment.
     pub fn count(&self, call: &Call, kind: Kind) {
-        let mut held = self.held();
-        let Held { member, counter, .. } = &mut *held;
+        let mut state = self.state();
+        let RoutingState { member, counter, .. } = &mut *state;
         let route = member.table().and_then(|t| t.route(&call.class, call.tenant.as_deref()));
         if let (Some(route), Some(counter)) = (route, counter) {
             if !route.arms.is_empty() {
-                // What has no room is not counted, for no arm.
+                // Without room for the subject it is counted for no arm.
                 let _ = counter.ended(&call.subject, kind, self.0.clock.unix());
             }
         }
     }
 
-    /// A service refused a call of an older turn.
+    /// Counts a call that a service refused because its turn is out of date.
     pub fn count_stale(&self) {
         self.0.metrics.stale_calls.inc();
     }
 
-    /// Has an order carried out; the answer is a JSON document for the operator.
+    /// Queues an order of the operator `by`. The answer is a JSON document for that operator.
     pub fn order(&self, order: Order, by: &str) -> Receiver<Result<String, OrderError>> {
         let (answer, receiver) = channel();
-        let asked = Asked { order, by: by.into(), answer: answer.clone() };
-        let error = match self.0.orders.try_send(asked) {
+        let queued = QueuedOrder { order, by: by.into(), answer: answer.clone() };
+        let error = match self.0.orders.try_send(queued) {
             Ok(()) => return receiver,
             Err(mpsc::error::TrySendError::Full(_)) => OrderError::QueueFull,
             Err(mpsc::error::TrySendError::Closed(_)) => OrderError::ThreadEnded,
@@ -328,7 +334,7 @@
         receiver
     }
 
-    /// What was counted, as text for Prometheus.
+    /// All metrics of the routes, in the text format of Prometheus.
     pub fn metrics(&self) -> String {
         self.0.metrics.render()
     }
@@ -357,20 +363,20 @@
         Routing::new(member, Clock::start(None), Metrics::new()).0
     }
 
-    /// Grants a lease, for the activation of the table where there is one.
+    /// Grants a lease and, if given, activates the table.
     fn grant(routing: &Routing, lease: Duration, active: Option<Activation>) {
-        let mut held = routing.held();
+        let mut state = routing.state();
         let now = routing.0.clock.now();
-        let effects = held.member.step(now, Input::Nudge);
+        let effects = state.member.step(now, Input::Nudge);
         let number = effects.iter().find_map(|e| match e {
             Effect::Ask(ask) => Some(ask.number),
             _ => None,
         });
         let number = number.unwrap();
         let reply = Reply { number, term: 1, time: now, lease, active, pending: None };
-        held.member.step(routing.0.clock.now(), Input::Reply(reply));
+        state.member.step(routing.0.clock.now(), Input::Reply(reply));
         if let Some(a) = active {
-            held.member.step(routing.0.clock.now(), Input::Fetched(a.hash, TABLE.into()));
+            state.member.step(routing.0.clock.now(), Input::Fetched(a.hash, TABLE.into()));
         }
     }
 
@@ -383,8 +389,9 @@
         }
     }
 
-    fn to(routed: RouteDecision) -> Option<u16> {
-        match routed {
+    /// The port to which a call is sent.
+    fn port(decision: RouteDecision) -> Option<u16> {
+        match decision {
             RouteDecision::Go { address, .. } => address.map(|a| a.port()),
             _ => None,
         }
@@ -399,18 +406,19 @@
         );
         assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
-        let own = RouteDecision::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
-        assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, own));
+        let configured =
+            RouteDecision::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
+        assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, configured));
 
         let fence = Fence { turn: 1, version: 1 };
         let active = Activation { fence, hash: Table::parse(TABLE).unwrap().hash() };
         grant(&routing, Duration::from_secs(60), Some(active));
         assert_eq!(routing.route_states(&classes), [RouteState::Open, RouteState::Open]);
-        let ports: Vec<_> = (0..4000).filter_map(|_| to(routing.route(&call("seat", None, b"")))).collect();
-        let first = ports.iter().filter(|port| **port == 1).count();
-        assert!((2990..=3010).contains(&first) && ports.len() == 4000, "{first}");
-        assert_eq!(to(routing.route(&call("look", Some("t"), b""))), Some(3));
-        assert_eq!(to(routing.route(&call("look", Some("u"), b""))).unwrap() / 3, 0);
+        let ports: Vec<_> = (0..4000).filter_map(|_| port(routing.route(&call("seat", None, b"")))).collect();
+        let to_first = ports.iter().filter(|port| **port == 1).count();
+        assert!((2990..=3010).contains(&to_first) && ports.len() == 4000, "{to_first}");
+        assert_eq!(port(routing.route(&call("look", Some("t"), b""))), Some(3));
+        assert_eq!(port(routing.route(&call("look", Some("u"), b""))).unwrap() / 3, 0);
         let last_fence = Some(Fence::default());
         assert_eq!(
             routing.route(&Call { last_fence, ..call("seat", None, b"") }),
@@ -420,7 +428,7 @@
     }
 
     #[test]
-    fn without_a_lease_only_what_the_table_allows_is_left_out() {
+    fn without_a_lease_calls_are_skipped_only_where_the_table_allows_it() {
         let routing = routing();
         let active =
             Activation { fence: Fence { turn: 1, version: 1 }, hash: Table::parse(TABLE).unwrap().hash() };
@@ -434,7 +442,7 @@
     }
 
     #[test]
-    fn a_subject_goes_to_its_arm_and_is_counted_there() {
+    fn a_subject_is_routed_to_its_arm_and_counted_for_it() {
         let routing = routing();
         let active =
             Activation { fence: Fence { turn: 1, version: 1 }, hash: Table::parse(TABLE).unwrap().hash() };
@@ -455,34 +463,42 @@
             least_blocks: 10,
         };
         let (life, members) = (("m1".to_string(), 1), ["m1".to_string()].into());
-        routing.held().counter =
+        routing.state().counter =
             Some(Counter::of(experiment, life.clone(), &members, routing.0.clock.unix()));
-        let mut new = 0;
+        let mut on_new_arm = 0;
         for n in 0..1000u32 {
             let call = call("seat", None, &n.to_le_bytes());
-            let b = to(routing.route(&call)) == Some(3);
-            assert_eq!(to(routing.route(&call)) == Some(3), b, "the same subject, the same arm");
-            new += u64::from(b);
+            let is_new_arm = port(routing.route(&call)) == Some(3);
+            assert_eq!(
+                port(routing.route(&call)) == Some(3),
+                is_new_arm,
+                "the same subject always has the same arm"
+            );
+            on_new_arm += u64::from(is_new_arm);
             routing.count(&call, Kind::Served);
         }
         routing.count(&call("look", None, b"x"), Kind::Served);
-        let report = routing.held().counter.as_mut().unwrap().report(routing.0.clock.unix()).unwrap();
-        let of = |kind, arm| report.counts.get(&life, Cell { block: 0, arm, kind });
+        let report = routing.state().counter.as_mut().unwrap().report(routing.0.clock.unix()).unwrap();
+        let count = |kind, arm| report.counts.get(&life, Cell { block: 0, arm, kind });
         for kind in [Kind::Served, Kind::Assigned] {
-            assert_eq!((of(kind, 0), of(kind, 1)), (1000 - new, new), "each subject once");
+            assert_eq!(
+                (count(kind, 0), count(kind, 1)),
+                (1000 - on_new_arm, on_new_arm),
+                "each subject is counted once"
+            );
         }
-        assert!((400..600).contains(&new));
+        assert!((400..600).contains(&on_new_arm));
     }
 
     #[test]
-    fn orders_beyond_the_bound_are_turned_away_at_once() {
+    fn orders_beyond_the_queue_bound_are_rejected_immediately() {
         let known = Known::default();
         let member = Member::new(Life { name: "m1".into(), incarnation: 1 }, known, Pace::default());
-        let (routing, asked) = Routing::new(member, Clock::start(None), Metrics::new());
-        let waiting: Vec<_> = (0..MOST_ORDERS).map(|_| routing.order(Order::Show, "anna")).collect();
+        let (routing, queue) = Routing::new(member, Clock::start(None), Metrics::new());
+        let waiting: Vec<_> = (0..MAX_QUEUED_ORDERS).map(|_| routing.order(Order::Show, "anna")).collect();
         assert!(waiting.iter().all(|w| w.try_recv().is_err()));
         assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::QueueFull));
-        drop(asked);
+        drop(queue);
         assert_eq!(routing.order(Order::Show, "anna").recv().unwrap(), Err(OrderError::ThreadEnded));
     }
 }
