--- a/src/fleet/admin_client.rs
+++ b/src/fleet/admin_client.rs
@@ -18,7 +18,7 @@
     #[error("{address}: {reason}")]
     #[diagnostic(help("check that the matcher runs, and that --admin names its `admin` address"))]
     Io {
-        /// Which door.
+        /// The address of the endpoint.
         address: SocketAddr,
         /// The system's error.
         reason: io::Error,
@@ -27,7 +27,7 @@
     #[error("{address}: the answer is truncated or not HTTP")]
     #[diagnostic(help("check that --admin names the admin endpoint of a matcher, and try again"))]
     InvalidResponse {
-        /// Which door.
+        /// The address of the endpoint.
         address: SocketAddr,
     },
     /// The answer has an error status and no reason.
@@ -36,7 +36,7 @@
         "status 404: this matcher is in no fleet, or does not know this path; 503: it cannot answer now"
     ))]
     Status {
-        /// Which door.
+        /// The address of the endpoint.
         address: SocketAddr,
         /// The path of the request.
         path: String,
