--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -165,8 +165,8 @@
     pub counter: Option<Counter>,
     /// The source of `counter`: the term of that leader, and the number of the ask that it replied to.
     pub counter_source: (u64, u64),
-    /// Calls sent so far; spreads them over the addresses of a pool.
-    calls_sent: u64,
+    /// Calls routed so far; spreads them over the addresses of a pool.
+    routed_calls: u64,
 }
 
 struct Shared {
@@ -207,8 +207,8 @@
         if fence.turn == 0 {
             return RouteDecision::Go { fence, address: None, timeout: None, limits: None };
         }
-        self.calls_sent = self.calls_sent.wrapping_add(1);
-        let Self { member, counter, calls_sent, .. } = self;
+        self.routed_calls = self.routed_calls.wrapping_add(1);
+        let Self { member, counter, routed_calls, .. } = self;
         let found = member.table_under(fence).and_then(|table| {
             let route = table.route(&call.class, call.tenant.as_deref())?;
             let counter = counter.as_mut().filter(|_| !route.arms.is_empty());
@@ -216,13 +216,13 @@
                 let experiment = counter.experiment();
                 let name = &experiment.arms.get(arm(experiment, &call.subject))?.name;
                 let arm = route.arms.iter().find(|a| a.name == *name)?;
-                // Without room for the subject it is counted for no arm.
+                // If the counter has no room for the subject, it is not counted, whichever its arm.
                 let _ = counter.assigned(&call.subject, clock.unix());
                 Some(arm)
             });
             let pool = table.pools.get(arm.map_or(&route.pool, |a| &a.pool))?;
             let timeout = Duration::from_millis(route.timeout_ms.into());
-            Some((select_address(pool, *calls_sent)?, timeout, CallLimits::of_route(route)))
+            Some((select_address(pool, *routed_calls)?, timeout, CallLimits::of_route(route)))
         });
         match found {
             Some((address, timeout, limits)) => {
@@ -238,8 +238,8 @@
     /// that.
     fn state_without_lease(table: Option<&Table>, class: &str) -> RouteState {
         let mut routes = table.iter().flat_map(|t| &t.routes).filter(|r| r.class == class).peekable();
-        let some = routes.peek().is_some();
-        if some && routes.all(|r| r.without) {
+        let has_routes = routes.peek().is_some();
+        if has_routes && routes.all(|r| r.without) {
             RouteState::Skip
         } else {
             RouteState::Closed
@@ -251,7 +251,7 @@
     /// Creates the handle to a member for the driver that steps it, and the queue from which the driver takes orders.
     pub(super) fn new(member: Member, clock: Clock, metrics: Metrics) -> (Self, mpsc::Receiver<QueuedOrder>) {
         let (orders, queue) = mpsc::channel(MAX_QUEUED_ORDERS);
-        let state = RoutingState { member, counter: None, counter_source: (0, 0), calls_sent: 0 };
+        let state = RoutingState { member, counter: None, counter_source: (0, 0), routed_calls: 0 };
         (Self(Arc::new(Shared { clock, state: Mutex::new(state), orders, metrics })), queue)
     }
 
@@ -310,7 +310,7 @@
         let route = member.table().and_then(|t| t.route(&call.class, call.tenant.as_deref()));
         if let (Some(route), Some(counter)) = (route, counter) {
             if !route.arms.is_empty() {
-                // Without room for the subject it is counted for no arm.
+                // If the counter has no room for the result, it is not counted, whichever its arm.
                 let _ = counter.ended(&call.subject, kind, self.0.clock.unix());
             }
         }
