--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -141,7 +141,7 @@
     /// The route state of each named class, where the fleet routes calls. Classes that are not named are open.
     RouteStates(Vec<(String, RouteState)>),
     /// The call limits of all routes that are in force from now on; at most one entry for each route of the table.
-    CallLimits(Vec<routing::Allows>),
+    CallLimits(Vec<routing::RouteLimits>),
     /// A call is being sent under a route whose limits differ from those that were known when the call was ordered.
     CallRouteChanged {
         /// The request that the call is for.
@@ -149,7 +149,7 @@
         /// The number of the attempt.
         attempt: u32,
         /// The limits of that route; `None` for the decision module's own limits.
-        limits: Option<routing::Allowed>,
+        limits: Option<routing::CallLimits>,
     },
     /// The process was asked to stop.
     Drain {
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -13,15 +13,15 @@
 use super::net::{address, mix, service, Host, Network};
 use crate::fleet::chance;
 use crate::fleet::clock::{Clock, Fault};
-use crate::fleet::driver::inside::{begin, Inside};
-use crate::fleet::driver::{Options, World};
+use crate::fleet::driver::simulated::{create, SimulatedDriver};
+use crate::fleet::driver::{Environment, Options};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::membership::view::{Id, Note, State, View};
 use crate::fleet::membership::{self, Input, Membership};
 use crate::fleet::record::disk;
 use crate::fleet::routes::table::Known;
 use crate::fleet::routes::Fence;
-use crate::fleet::routing::{Call, Routed};
+use crate::fleet::routing::{Call, RouteDecision};
 use crate::lab::random::Random;
 
 /// One tick.
@@ -64,7 +64,7 @@
     missed: u32,
     /// Of all lives of this member.
     pub incarnation: u64,
-    pub inside: Inside,
+    pub inside: SimulatedDriver,
     pub member: Membership,
     row: u64,
     clock: Clock,
@@ -148,11 +148,11 @@
             name: name(self.host),
             fleet: "sim".into(),
             voters: (0..setup.voters).map(|host| (name(host), address(host))).collect(),
-            keeps: votes.then(|| ("record".into(), address(self.host))),
+            record: votes.then(|| ("record".into(), address(self.host))),
             known: Known { classes: ["seat".to_string()].into(), tenants: [].into() },
-            fault: Some(fault),
+            clock_fault: Some(fault),
         };
-        let world = World {
+        let environment = Environment {
             clock,
             net: Arc::new(network.of(self.host)),
             disk: disk::Disk::Simulated(Arc::new(self.disk.clone())),
@@ -160,7 +160,7 @@
         };
         let inside = {
             let _entered = runtime.enter();
-            let (inside, work) = begin(options, world, incarnation);
+            let (inside, work) = create(options, environment, incarnation);
             runtime.spawn(work);
             inside
         };
@@ -261,7 +261,7 @@
     }
 
     /// Within its runtime, such as for an order or what is planted.
-    pub fn within<T>(&self, act: impl FnOnce(&Inside) -> T) -> T {
+    pub fn within<T>(&self, act: impl FnOnce(&SimulatedDriver) -> T) -> T {
         let _entered = self.runtime.enter();
         act(&self.inside)
     }
@@ -270,14 +270,14 @@
     fn serve(&mut self, setup: &Setup, random: &mut Random, now: u64) -> Seen {
         let _entered = self.runtime.enter();
         let (routing, mut seen) = (self.inside.routing(), Seen::default());
-        let call = |subject: u64, tried| Call {
+        let call = |subject: u64, last_fence| Call {
             class: "seat".into(),
             tenant: None,
             subject: subject.to_le_bytes().into(),
-            tried,
-            allowed: None,
+            last_fence,
+            limits: None,
         };
-        if let Routed::Go { fence, .. } = routing.route(&call(0, None)) {
+        if let RouteDecision::Go { fence, .. } = routing.route(&call(0, None)) {
             seen.acts = Some(fence);
         }
         seen.changed = seen.acts != self.acts;
@@ -295,7 +295,7 @@
             let Some(key) = self.keys.get_mut(&id) else { continue };
             let asked = call(id, key.tried);
             let (over, kind) = match routing.route(&asked) {
-                Routed::Go { fence, address, .. } => {
+                RouteDecision::Go { fence, address, .. } => {
                     if let Some(under) = key.under.filter(|under| *under != fence) {
                         seen.two = Some((id, under, fence));
                     }
@@ -306,9 +306,9 @@
                     let late = address == Some(service(1)) && id.is_multiple_of(5);
                     (key.left == 0, if late { Kind::Late } else { Kind::Served })
                 }
-                Routed::Wait(_) => (false, Kind::Served),
-                Routed::Ended(_) => (true, Kind::Failed),
-                Routed::Barred => {
+                RouteDecision::Wait(_) => (false, Kind::Served),
+                RouteDecision::Ended(_) => (true, Kind::Failed),
+                RouteDecision::Barred => {
                     key.next_ms = now_ms + 100;
                     key.left -= 1;
                     (key.left == 0, Kind::Failed)
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -318,15 +318,15 @@
 /// Executes an order; returns the status and body of the answer. It waits in a coroutine, for a limited time.
 fn execute_order(hub: &Hub, order: Order, operator: &str) -> (u16, String) {
     let result = match &hub.routing {
-        None => Err(OrderError::Off),
+        None => Err(OrderError::NoRoutes),
         Some(routing) => {
             let (answer, since) = (routing.order(order, operator), Instant::now());
             loop {
                 match answer.try_recv() {
                     Ok(result) => break result,
-                    Err(TryRecvError::Disconnected) => break Err(OrderError::Gone),
+                    Err(TryRecvError::Disconnected) => break Err(OrderError::ThreadEnded),
                     Err(TryRecvError::Empty) if since.elapsed() >= ORDER_TIMEOUT => {
-                        break Err(OrderError::NoLeader { patience: ORDER_TIMEOUT });
+                        break Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT });
                     }
                     Err(TryRecvError::Empty) => crate::net::spawn::sleep(ORDER_POLL_INTERVAL),
                 }
@@ -337,10 +337,10 @@
         Ok(document) => (200, document + "\n"),
         Err(e) => {
             let status = match e {
-                OrderError::Off => 404,
-                OrderError::NoLeader { .. } | OrderError::Gone | OrderError::Full => 503,
-                OrderError::Document { .. } => 400,
-                OrderError::Refused(_) | OrderError::Admit(_) | OrderError::Unknown => 409,
+                OrderError::NoRoutes => 404,
+                OrderError::NoLeader { .. } | OrderError::ThreadEnded | OrderError::QueueFull => 503,
+                OrderError::InvalidDocument { .. } => 400,
+                OrderError::Refused(_) | OrderError::Admit(_) | OrderError::UnknownOrder => 409,
             };
             (status, error_document(&e.to_string(), e.help().map(|help| help.to_string()).as_deref()))
         }
@@ -356,9 +356,9 @@
 mod tests {
     use super::super::call_routing::fake::{test_hub, FakeRouter};
     use super::*;
-    use crate::fleet::door::{ask, send, DoorError};
+    use crate::fleet::admin_client::{request, request_with_body, AdminClientError};
     use crate::fleet::routes::record::RecordError;
-    use crate::fleet::routing::Routed;
+    use crate::fleet::routing::RouteDecision;
 
     const TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -368,16 +368,16 @@
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
 
-    fn refused(result: Result<String, DoorError>) -> (u16, String, String) {
+    fn refused(result: Result<String, AdminClientError>) -> (u16, String, String) {
         match result {
-            Err(DoorError::Refused { status, error, help }) => (status, error, help),
+            Err(AdminClientError::Refused { status, error, help }) => (status, error, help),
             other => panic!("{other:?}"),
         }
     }
 
     #[test]
     fn each_request_becomes_its_order_and_returns_the_document() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
@@ -393,7 +393,7 @@
             ("POST", "/fleet/record/admit", "m2", Order::Admit { name: "m2".into() }),
         ];
         for (method, path, body, order) in calls {
-            assert_eq!(send(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
+            assert_eq!(request_with_body(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
             let (received, operator) = double.orders().pop().unwrap();
             assert_eq!(received, order);
             assert!(operator.starts_with("127.0.0.1:"), "{operator}");
@@ -402,41 +402,42 @@
 
     #[test]
     fn a_refusal_gives_the_reason_and_what_to_do() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
         double.set_answer(Err(OrderError::Refused(error.clone().into())));
-        let (status, reason, help) = refused(send(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
+        let (status, reason, help) =
+            refused(request_with_body(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
         assert_eq!((status, reason, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.set_answer(Err(OrderError::NoLeader { patience: ORDER_TIMEOUT }));
-        let (status, reason, help) = refused(ask(at, "GET", "/fleet/routes", TIMEOUT));
+        double.set_answer(Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT }));
+        let (status, reason, help) = refused(request(at, "GET", "/fleet/routes", TIMEOUT));
         assert!(status == 503 && reason.contains("leader") && !help.is_empty(), "{reason}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
-            assert_eq!(refused(send(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
+            assert_eq!(refused(request_with_body(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
         }
         let long = "x".repeat(MOST_BYTES + 1);
-        let result = send(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
-        assert!(matches!(result, Err(DoorError::Status { status: 413, .. })), "{result:?}");
+        let result = request_with_body(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
+        assert!(matches!(result, Err(AdminClientError::Status { status: 413, .. })), "{result:?}");
         let (off, _hub) = start_admin(None);
-        assert_eq!(refused(ask(off, "GET", "/fleet/routes", TIMEOUT)).0, 404);
+        assert_eq!(refused(request(off, "GET", "/fleet/routes", TIMEOUT)).0, 404);
     }
 
     #[test]
     fn an_unanswered_order_does_not_block_other_requests() {
         // Guards against orders that block a worker thread: as many orders as there are worker threads would stop the
         // whole endpoint.
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         double.leave_unanswered();
         let (at, _hub) = start_admin(Some(double.clone()));
         let since = Instant::now();
         let pending: Vec<_> = (0..10)
-            .map(|_| std::thread::spawn(move || refused(ask(at, "GET", "/fleet/routes", TIMEOUT)).0))
+            .map(|_| std::thread::spawn(move || refused(request(at, "GET", "/fleet/routes", TIMEOUT)).0))
             .collect();
         while double.orders().len() < 10 {
             assert!(since.elapsed() < TIMEOUT, "{} orders", double.orders().len());
             std::thread::sleep(Duration::from_millis(1));
         }
-        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
+        assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
         assert!(since.elapsed() < ORDER_TIMEOUT, "{:?}", since.elapsed());
         double.drop_unanswered();
         assert!(pending.into_iter().all(|order| order.join().unwrap() == 503));
@@ -444,11 +445,11 @@
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
-        let double = Arc::new(FakeRouter::with_answers([Routed::Barred]));
+        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
         let (at, _hub) = start_admin(Some(double.clone()));
-        assert!(ask(at, "GET", "/ready", TIMEOUT).is_ok());
+        assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
         double.set_ready(false);
-        let result = ask(at, "GET", "/ready", TIMEOUT);
-        assert!(matches!(result, Err(DoorError::Status { status: 503, .. })), "{result:?}");
+        let result = request(at, "GET", "/ready", TIMEOUT);
+        assert!(matches!(result, Err(AdminClientError::Status { status: 503, .. })), "{result:?}");
     }
 }
