--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -4,7 +4,6 @@
 
 use serde_json::{json, Value};
 
-use crate::fleet::decided::{Applied, State};
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::experiment::record::{End, WINNER};
 use crate::fleet::experiment::words;
@@ -14,6 +13,7 @@
 use crate::fleet::routes::member::Member;
 use crate::fleet::routes::record::{self as routes, Stage, Why};
 use crate::fleet::routes::{Activation, Fence, Life, Version};
+use crate::fleet::state_machine::{Applied, State};
 use crate::fleet::wire::message::Look;
 
 fn ms(time: Duration) -> u64 {
--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -8,11 +8,11 @@
 
 use super::part::{self, lock, Part};
 use super::{routing, Options, Word, World, MOST_WORDS};
-use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::Held;
 use crate::fleet::routes::{Life, Turn, Window};
 use crate::fleet::routing::Routing;
+use crate::fleet::state_machine::{Entry, State};
 
 /// One process's part, seen from inside.
 pub struct Inside {
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -4,7 +4,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::fleet::decided::{Applied, Entry, State};
 use crate::fleet::experiment::collect::Collector;
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::record as experiments;
@@ -14,6 +13,7 @@
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::{Ask, Life, Pace, Turn, Window};
+use crate::fleet::state_machine::{Applied, Entry, State};
 
 /// A member that did not ask for this long is not waited for at the end of a block.
 const SEEN: Duration = Duration::from_secs(10);
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -11,12 +11,12 @@
 
 use super::documents;
 use super::part::Part;
-use crate::fleet::decided::{Entry, Refused};
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
+use crate::fleet::state_machine::{Entry, Refused};
 use crate::fleet::wire::message::Look;
 use crate::fleet::wire::{Request, Response};
 
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -16,7 +16,6 @@
 use super::lead::{allowed, earlier, ordered};
 use super::part::{lock, Part};
 use super::Options;
-use crate::fleet::decided::{Applied, Entry};
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::record::{self, Record, Standing};
 use crate::fleet::routes::leader::Effect;
@@ -24,6 +23,7 @@
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::table::{Hash, Table};
 use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::state_machine::{Applied, Entry};
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
 use crate::fleet::wire::{Answering, Caller, Push, Request, Response, Server};
 
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,7 +4,6 @@
 
 pub mod chance;
 pub mod clock;
-pub mod decided;
 pub mod door;
 pub mod driver;
 pub mod experiment;
@@ -15,6 +14,7 @@
 pub mod record;
 pub mod routes;
 pub mod routing;
+pub mod state_machine;
 pub mod status;
 pub mod views;
 pub mod wire;
--- a/src/fleet/record/log.rs
+++ b/src/fleet/record/log.rs
@@ -13,7 +13,7 @@
 
 use super::store::{Store, StoreError};
 use super::{MOST_SNAPSHOT, PAYLOAD};
-use crate::fleet::decided::State;
+use crate::fleet::state_machine::State;
 use crate::fleet::wire::raft::{NodeId, Outcome, Types, Voter};
 
 type Result<T> = std::result::Result<T, StorageError<NodeId>>;
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -30,7 +30,7 @@
 pub use seat::Seat;
 
 use super::chance;
-use super::decided::{Applied, Entry, Refused, State};
+use super::state_machine::{Applied, Entry, Refused, State};
 use super::wire::message::{AdmitError, Hello, Request, Response};
 use super::wire::raft::{NodeId, RaftRefusal, RaftRequest, RaftResponse, Types, Voter};
 use super::wire::Client;
--- a/src/fleet/wire/message.rs
+++ b/src/fleet/wire/message.rs
@@ -8,11 +8,11 @@
 
 use super::codec::{take, FrameError};
 use super::raft::{NodeId, RaftRequest, RaftResponse};
-use crate::fleet::decided::{Applied, Entry, Refused};
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::routes::table::Hash;
 use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::state_machine::{Applied, Entry, Refused};
 
 /// From a member to a voter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/src/fleet/wire/raft.rs
+++ b/src/fleet/wire/raft.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::fleet::{chance, decided};
+use crate::fleet::{chance, state_machine};
 
 /// The number of a store, drawn when it is made. A store that is lost takes its number along: so no voter votes twice in
 /// a term.
@@ -31,12 +31,12 @@
 }
 
 /// What an entry of the log came to; none for entries that are the log's own.
-pub type Outcome = Option<Result<decided::Applied, decided::Refused>>;
+pub type Outcome = Option<Result<state_machine::Applied, state_machine::Refused>>;
 
 openraft::declare_raft_types!(
     /// The types of the record. With openraft's feature `single-term-leader`: at most one leader a term, as in Raft's paper.
     pub Types:
-        D = decided::Entry,
+        D = state_machine::Entry,
         R = Outcome,
         NodeId = NodeId,
         Node = Voter,
--- a/src/lab/sim/judge.rs
+++ b/src/lab/sim/judge.rs
@@ -9,8 +9,8 @@
 
 use super::machine::{name, Machine, Seen};
 use super::net::Host;
-use crate::fleet::decided::State;
 use crate::fleet::routes::record::Stage;
+use crate::fleet::state_machine::State;
 
 /// What must hold at each moment, and after the heal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -6,7 +6,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use hopwalk::fleet::decided::{self, Refused};
 use hopwalk::fleet::driver::{Driver, Options};
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::Experiment;
@@ -14,6 +13,7 @@
 use hopwalk::fleet::routes::table::Known;
 use hopwalk::fleet::routes::{Ask, Reply};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
+use hopwalk::fleet::state_machine::{self, Refused};
 use hopwalk::fleet::wire::message::Running;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
 use hopwalk::lab::ports::ReservedPort;
@@ -216,13 +216,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let answers = runtime.block_on(async {
         let client = Client::start(Local::new("test", "m2"), &name, address, None);
-        let request = Request::Submit(decided::Entry::Routes(prepare));
+        let request = Request::Submit(state_machine::Entry::Routes(prepare));
         let submit = || client.request(&request, PATIENCE);
         // The disk is slower than the link: the second one comes while the first one is written.
         tokio::join!(submit(), submit())
     });
     for answer in [answers.0, answers.1] {
-        let moved = decided::Applied::Routes(Applied::Moved(1));
+        let moved = state_machine::Applied::Routes(Applied::Moved(1));
         assert!(matches!(&answer, Ok(Response::Submitted(Ok(applied))) if *applied == moved), "{answer:?}");
     }
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -6,7 +6,6 @@
 use hopwalk::acme::AcmeError;
 use hopwalk::console::ConsoleError;
 use hopwalk::core::CoreError;
-use hopwalk::fleet::decided::Refused;
 use hopwalk::fleet::door::DoorError;
 use hopwalk::fleet::experiment::counts::CountsError;
 use hopwalk::fleet::experiment::{self, DocumentError};
@@ -15,6 +14,7 @@
 use hopwalk::fleet::routes::table::{Hash, TableError};
 use hopwalk::fleet::routes::{self, Refusal};
 use hopwalk::fleet::routing::OrderError;
+use hopwalk::fleet::state_machine::Refused;
 use hopwalk::fleet::status::StatusError;
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRefusal;
@@ -242,7 +242,7 @@
             }),
         ),
         (
-            "src/fleet/decided.rs",
+            "src/fleet/state_machine.rs",
             "Refused",
             samples!(Refused {
                 Routes(routes::record::RecordError::NoEarlier),
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -3,7 +3,6 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hopwalk::fleet::decided::{self, Refused};
 use hopwalk::fleet::experiment::blocks::{Blocks, Tally};
 use hopwalk::fleet::experiment::collect::Collector;
 use hopwalk::fleet::experiment::counter::{Counter, Report, MOST_SENT, MOST_SUBJECTS, SUBJECTS_APART};
@@ -15,6 +14,7 @@
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::Version;
+use hopwalk::fleet::state_machine::{self, Refused};
 use miette::Diagnostic;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,45 +32,48 @@
 
 const ARMS: &str = r#","arms":[{"name":"a1","pool":"p1","share":500},{"name":"a0","pool":"p0","share":500}]"#;
 
-fn route(state: &mut decided::State, entry: routes::Entry) -> Result<routes::Applied, routes::RecordError> {
-    match state.apply(&decided::Entry::Routes(entry)) {
-        Ok(decided::Applied::Routes(applied)) => Ok(applied),
+fn route(
+    state: &mut state_machine::State,
+    entry: routes::Entry,
+) -> Result<routes::Applied, routes::RecordError> {
+    match state.apply(&state_machine::Entry::Routes(entry)) {
+        Ok(state_machine::Applied::Routes(applied)) => Ok(applied),
         Err(Refused::Routes(error)) => Err(error),
         other => panic!("{other:?}"),
     }
 }
 
-fn take(state: &mut decided::State, entry: Entry) -> Result<Applied, RecordError> {
-    match state.apply(&decided::Entry::Experiment(entry)) {
-        Ok(decided::Applied::Experiment(applied)) => Ok(applied),
+fn take(state: &mut state_machine::State, entry: Entry) -> Result<Applied, RecordError> {
+    match state.apply(&state_machine::Entry::Experiment(entry)) {
+        Ok(state_machine::Applied::Experiment(applied)) => Ok(applied),
         Err(Refused::Experiment(error)) => Err(error),
         other => panic!("{other:?}"),
     }
 }
 
-fn propose(state: &mut decided::State, arms: &str) -> Version {
+fn propose(state: &mut state_machine::State, arms: &str) -> Version {
     match route(state, routes::Entry::Propose { table: document(arms), by: "o".into() }) {
         Ok(routes::Applied::Proposed(version)) => version,
         other => panic!("{other:?}"),
     }
 }
 
-fn begin(state: &mut decided::State, version: Version) -> u64 {
+fn begin(state: &mut state_machine::State, version: Version) -> u64 {
     match route(state, routes::Entry::Prepare { version, by: "o".into() }) {
         Ok(routes::Applied::Moved(turn)) => turn,
         other => panic!("{other:?}"),
     }
 }
 
-fn finish(state: &mut decided::State, turn: u64) {
+fn finish(state: &mut state_machine::State, turn: u64) {
     let at = routes::Stamp { term: 1, at: Duration::ZERO };
     route(state, routes::Entry::Commit { turn, at }).unwrap();
     route(state, routes::Entry::Done { turn }).unwrap();
 }
 
 /// A fleet whose active table has the arms a0 and a1.
-fn ready() -> decided::State {
-    let mut state = decided::State::default();
+fn ready() -> state_machine::State {
+    let mut state = state_machine::State::default();
     let version = propose(&mut state, ARMS);
     let turn = begin(&mut state, version);
     finish(&mut state, turn);
@@ -105,7 +108,7 @@
     let short = Experiment { arms: experiment(&[0.4, 0.3, 0.3]).arms, ..two() };
     let uneven = Experiment { arms: experiment(&[0.6, 0.4]).arms, ..two() };
     let mut seen = BTreeSet::new();
-    let mut refused = |state: &mut decided::State, entry: Entry| {
+    let mut refused = |state: &mut state_machine::State, entry: Entry| {
         let before = state.clone();
         let error = take(state, entry).unwrap_err();
         assert!(*state == before && error.help().is_some(), "{error:?}");
@@ -113,7 +116,7 @@
         assert_eq!(postcard::from_bytes::<RecordError>(&wire).unwrap(), error);
         seen.insert(format!("{error:?}").split([' ', '{']).next().unwrap().to_string());
     };
-    refused(&mut decided::State::default(), start(two(), true));
+    refused(&mut state_machine::State::default(), start(two(), true));
     for bad in [short, uneven, Experiment { alpha: 2.0, ..two() }] {
         refused(&mut state, start(bad, true));
     }
@@ -151,7 +154,7 @@
 }
 
 /// A fleet in which a1 has just won, after the entries that this takes.
-fn won(activate: bool) -> (decided::State, Vec<Entry>) {
+fn won(activate: bool) -> (state_machine::State, Vec<Entry>) {
     let (mut state, mut log) = (ready(), vec![start(two(), activate)]);
     take(&mut state, log[0].clone()).unwrap();
     for block in 0.. {
@@ -186,7 +189,7 @@
     assert_eq!(other, state);
     // Nothing of it again.
     assert!(take(&mut other, log[log.len() - 1].clone()).is_err() && other == state);
-    let to = |state: &decided::State| state.experiments.to_activate(&state.routes);
+    let to = |state: &state_machine::State| state.experiments.to_activate(&state.routes);
     // It survives as many proposals as are kept, and waits for an activation that is on its way.
     for at in 0..100 {
         let arms = ARMS.replace("500", &format!("{}", 400 + at));
@@ -223,7 +226,7 @@
     let mut state = ready();
     let (x, few) = (Experiment { least_blocks: 10, ..two() }, |n| Tally { assigned: n, ..served(80) });
     take(&mut state, start(x.clone(), false)).unwrap();
-    let said = |state: &decided::State| {
+    let said = |state: &state_machine::State| {
         let run = state.experiments.run().unwrap();
         words::running(&run.experiment, &run.weighing).join("\n")
     };
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hopwalk::fleet::decided::Entry;
 use hopwalk::fleet::routes::record::Entry as Routes;
+use hopwalk::fleet::state_machine::Entry;
 use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MOST_FRAME};
 use hopwalk::fleet::wire::message::{Down, Heard, Hello, Look};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -9,7 +9,6 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hopwalk::fleet::decided::{Applied, Entry, Refused};
 use hopwalk::fleet::record::store::Store;
 use hopwalk::fleet::record::{
     ConfirmError, Options, Record, RecordError, Seat, Standing, SubmitError, MOST_ENTRY, MOST_SNAPSHOT,
@@ -17,6 +16,7 @@
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
 use hopwalk::fleet::routes::{Life, Refusal};
+use hopwalk::fleet::state_machine::{Applied, Entry, Refused};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -4,10 +4,10 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-use hopwalk::fleet::decided;
 use hopwalk::fleet::record::store::{Store, MARK, STORE};
 use hopwalk::fleet::record::RecordError;
 use hopwalk::fleet::routes::record as routes;
+use hopwalk::fleet::state_machine;
 use hopwalk::fleet::wire::raft::{NodeId, Types};
 use miette::Diagnostic;
 use openraft::{CommittedLeaderId, Entry, EntryPayload, LogId, Vote};
@@ -51,7 +51,7 @@
 
 fn entry(term: u64, index: u64) -> Entry<Types> {
     let propose = routes::Entry::Propose { table: format!("table {index}").repeat(30), by: "o".into() };
-    Entry { log_id: id(term, index), payload: EntryPayload::Normal(decided::Entry::Routes(propose)) }
+    Entry { log_id: id(term, index), payload: EntryPayload::Normal(state_machine::Entry::Routes(propose)) }
 }
 
 /// A store with a vote, entries 0 to 29 and the vote of a later term.
--- a/tests/sweep.rs
+++ b/tests/sweep.rs
@@ -12,10 +12,10 @@
 use std::sync::{mpsc, Mutex};
 use std::time::{Duration, Instant};
 
-use hopwalk::fleet::decided;
 use hopwalk::fleet::record::store::{Kept, Store, MARK, STORE};
 use hopwalk::fleet::record::RecordError;
 use hopwalk::fleet::routes::record as routes;
+use hopwalk::fleet::state_machine;
 use hopwalk::fleet::wire::raft::{NodeId, Types};
 use miette::Diagnostic;
 use openraft::{CommittedLeaderId, Entry, EntryPayload, LogId, SnapshotMeta, Vote};
@@ -59,7 +59,7 @@
 
 fn entry(term: u64, index: u64) -> Entry<Types> {
     let propose = routes::Entry::Propose { table: format!("table {index}").repeat(9), by: "o".into() };
-    Entry { log_id: id(term, index), payload: EntryPayload::Normal(decided::Entry::Routes(propose)) }
+    Entry { log_id: id(term, index), payload: EntryPayload::Normal(state_machine::Entry::Routes(propose)) }
 }
 
 fn state(store: &Store) -> Result<State, String> {
