--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -16,7 +16,7 @@
 use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
-use crate::fleet::state_machine::{Entry, Refused};
+use crate::fleet::state_machine::{Entry, Rejection};
 use crate::fleet::wire::message::Look;
 use crate::fleet::wire::{Request, Response};
 
@@ -47,7 +47,7 @@
     let by = format!("{by} at {}, unix_ms {}, number {number}", part.name(), part.clock.unix().as_millis());
     let told = match order {
         Order::Propose { table } => {
-            let problem = |problem| Refused::Routes(RecordError::Table { problem });
+            let problem = |problem| Rejection::Routes(RecordError::Table { problem });
             Table::parse(&table).and_then(|t| t.check(part.known())).map_err(problem)?;
             submit(part, Entry::Routes(Routes::Propose { table, by })).await?
         }
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -30,7 +30,7 @@
 pub use seat::Seat;
 
 use super::chance;
-use super::state_machine::{Applied, Entry, Refused, State};
+use super::state_machine::{Applied, Entry, Rejection, State};
 use super::wire::message::{AdmitError, Hello, Request, Response};
 use super::wire::raft::{NodeId, RaftRefusal, RaftRequest, RaftResponse, Types, Voter};
 use super::wire::Client;
@@ -256,7 +256,7 @@
     ///
     /// # Errors
     /// [`SubmitError`]: only after [`SubmitError::Unsure`] it may yet take effect.
-    pub async fn submit(&self, entry: Entry) -> Result<Result<Applied, Refused>, SubmitError> {
+    pub async fn submit(&self, entry: Entry) -> Result<Result<Applied, Rejection>, SubmitError> {
         let bytes = postcard::experimental::serialized_size(&entry).unwrap_or(usize::MAX);
         if bytes > MOST_ENTRY {
             return Err(SubmitError::TooLong { bytes });
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -146,7 +146,7 @@
     Gone,
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Refused(#[from] super::state_machine::Refused),
+    Refused(#[from] super::state_machine::Rejection),
 }
 
 /// An order on its way to the driver.
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -21,10 +21,10 @@
     /// Whether an order is within the record's bounds, before it comes into the log.
     ///
     /// # Errors
-    /// [`Refused`].
-    pub fn bounded(&self) -> Result<(), Refused> {
+    /// [`Rejection`].
+    pub fn bounded(&self) -> Result<(), Rejection> {
         match self {
-            Self::Routes(entry) => entry.bounded().map_err(Refused::Routes),
+            Self::Routes(entry) => entry.bounded().map_err(Rejection::Routes),
             // They are looked at as they are applied.
             Self::Experiment(_) => Ok(()),
         }
@@ -34,8 +34,8 @@
     /// again, in a later term, before its entry came into the log, nobody knows what leases were granted since.
     ///
     /// # Errors
-    /// [`Refused`].
-    pub fn fits(&self, term: u64) -> Result<(), Refused> {
+    /// [`Rejection`].
+    pub fn fits(&self, term: u64) -> Result<(), Rejection> {
         match self {
             Self::Routes(routes::Entry::Commit { at, .. }) if at.term != term => {
                 Err(routes::RecordError::OtherTerm { stamped: at.term, term }.into())
@@ -56,7 +56,7 @@
 
 /// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Error, Diagnostic, Serialize, Deserialize)]
-pub enum Refused {
+pub enum Rejection {
     /// Of tables and activations.
     #[error(transparent)]
     #[diagnostic(transparent)]
@@ -80,8 +80,8 @@
     /// Takes the next entry of the log.
     ///
     /// # Errors
-    /// [`Refused`] for an entry that does not fit what was decided before; nothing is changed then.
-    pub fn apply(&mut self, entry: &Entry) -> Result<Applied, Refused> {
+    /// [`Rejection`] for an entry that does not fit what was decided before; nothing is changed then.
+    pub fn apply(&mut self, entry: &Entry) -> Result<Applied, Rejection> {
         match entry {
             Entry::Routes(entry) => Ok(Applied::Routes(self.routes.apply(entry)?)),
             Entry::Experiment(entry) => {
--- a/src/fleet/wire/message.rs
+++ b/src/fleet/wire/message.rs
@@ -12,7 +12,7 @@
 use crate::fleet::experiment::Experiment;
 use crate::fleet::routes::table::Hash;
 use crate::fleet::routes::{Ask, Reply};
-use crate::fleet::state_machine::{Applied, Entry, Refused};
+use crate::fleet::state_machine::{Applied, Entry, Rejection};
 
 /// From a member to a voter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
     /// To [`Request::Fetch`]: the document, if it is kept.
     Table(Option<String>),
     /// To [`Request::Submit`]: the entry is in the log, and this is what it did.
-    Submitted(Result<Applied, Refused>),
+    Submitted(Result<Applied, Rejection>),
     /// To [`Request::Counts`]: taken, or not.
     Counted(bool),
     /// To [`Request::Admit`].
--- a/src/fleet/wire/raft.rs
+++ b/src/fleet/wire/raft.rs
@@ -31,7 +31,7 @@
 }
 
 /// What an entry of the log came to; none for entries that are the log's own.
-pub type Outcome = Option<Result<state_machine::Applied, state_machine::Refused>>;
+pub type Outcome = Option<Result<state_machine::Applied, state_machine::Rejection>>;
 
 openraft::declare_raft_types!(
     /// The types of the record. With openraft's feature `single-term-leader`: at most one leader a term, as in Raft's paper.
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -13,7 +13,7 @@
 use hopwalk::fleet::routes::table::Known;
 use hopwalk::fleet::routes::{Ask, Reply};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
-use hopwalk::fleet::state_machine::{self, Refused};
+use hopwalk::fleet::state_machine::{self, Rejection};
 use hopwalk::fleet::wire::message::Running;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
 use hopwalk::lab::ports::ReservedPort;
@@ -124,11 +124,14 @@
     assert_eq!(fleet.order(3, Order::Propose { table: fleet.table(0) }).unwrap()["version"], 1);
     let bad = fleet.table(0).replace("seat", "boat");
     let told = fleet.order(3, Order::Propose { table: bad });
-    assert!(matches!(told, Err(OrderError::Refused(Refused::Routes(RecordError::Table { .. })))), "{told:?}");
+    assert!(
+        matches!(told, Err(OrderError::Refused(Rejection::Routes(RecordError::Table { .. })))),
+        "{told:?}"
+    );
     assert_eq!(fleet.order(1, Order::Activate { version: 1 }).unwrap()["turn"], 1);
     let busy = fleet.order(2, Order::Activate { version: 1 });
     assert!(
-        matches!(&busy, Err(OrderError::Refused(Refused::Routes(RecordError::Busy { version: 1, by })))
+        matches!(&busy, Err(OrderError::Refused(Rejection::Routes(RecordError::Busy { version: 1, by })))
             if by.starts_with("anna at m2")),
         "{busy:?}"
     );
@@ -201,7 +204,7 @@
     assert!(wait_until(PATIENCE, || aborted().is_some()), "no abort");
     assert_eq!(aborted().unwrap(), "no connection to 127.0.0.1:1");
     let nothing = fleet.order(0, Order::Abort);
-    assert!(matches!(nothing, Err(OrderError::Refused(Refused::Routes(RecordError::NotPending { .. })))));
+    assert!(matches!(nothing, Err(OrderError::Refused(Rejection::Routes(RecordError::NotPending { .. })))));
     assert!(fleet.drivers.iter().all(|d| turn(d) == Some(0)));
 }
 
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -14,7 +14,7 @@
 use hopwalk::fleet::routes::table::{Hash, TableError};
 use hopwalk::fleet::routes::{self, Refusal};
 use hopwalk::fleet::routing::OrderError;
-use hopwalk::fleet::state_machine::Refused;
+use hopwalk::fleet::state_machine::Rejection;
 use hopwalk::fleet::status::StatusError;
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRefusal;
@@ -243,8 +243,8 @@
         ),
         (
             "src/fleet/state_machine.rs",
-            "Refused",
-            samples!(Refused {
+            "Rejection",
+            samples!(Rejection {
                 Routes(routes::record::RecordError::NoEarlier),
                 Experiment(experiment::record::RecordError::NoTable),
             }),
@@ -260,7 +260,7 @@
                 Admit(AdmitError::NoMajority),
                 Full,
                 Gone,
-                Refused(Refused::Routes(routes::record::RecordError::NoEarlier)),
+                Refused(Rejection::Routes(routes::record::RecordError::NoEarlier)),
             }),
         ),
         (
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -14,7 +14,7 @@
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::Version;
-use hopwalk::fleet::state_machine::{self, Refused};
+use hopwalk::fleet::state_machine::{self, Rejection};
 use miette::Diagnostic;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -38,7 +38,7 @@
 ) -> Result<routes::Applied, routes::RecordError> {
     match state.apply(&state_machine::Entry::Routes(entry)) {
         Ok(state_machine::Applied::Routes(applied)) => Ok(applied),
-        Err(Refused::Routes(error)) => Err(error),
+        Err(Rejection::Routes(error)) => Err(error),
         other => panic!("{other:?}"),
     }
 }
@@ -46,7 +46,7 @@
 fn take(state: &mut state_machine::State, entry: Entry) -> Result<Applied, RecordError> {
     match state.apply(&state_machine::Entry::Experiment(entry)) {
         Ok(state_machine::Applied::Experiment(applied)) => Ok(applied),
-        Err(Refused::Experiment(error)) => Err(error),
+        Err(Rejection::Experiment(error)) => Err(error),
         other => panic!("{other:?}"),
     }
 }
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -16,7 +16,7 @@
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
 use hopwalk::fleet::routes::{Life, Refusal};
-use hopwalk::fleet::state_machine::{Applied, Entry, Refused};
+use hopwalk::fleet::state_machine::{Applied, Entry, Rejection};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
@@ -184,7 +184,7 @@
     }
 
     /// Puts an entry into the log, whoever leads.
-    async fn submit(&self, entry: Entry) -> Result<Applied, Refused> {
+    async fn submit(&self, entry: Entry) -> Result<Applied, Rejection> {
         loop {
             match self.voters[self.leader().await].record.submit(entry.clone()).await {
                 Ok(outcome) => return outcome,
@@ -212,7 +212,7 @@
     }
 }
 
-fn proposed(version: u64) -> Result<Applied, Refused> {
+fn proposed(version: u64) -> Result<Applied, Rejection> {
     Ok(Applied::Routes(routes::Applied::Proposed(version)))
 }
 
@@ -234,7 +234,7 @@
         // What does not fit is refused by the log, and one table put twice is one version.
         let unknown = Entry::Routes(routes::Entry::Prepare { version: 9, by: "o".into() });
         let refused = routes::RecordError::UnknownVersion { version: 9 };
-        assert_eq!(fleet.submit(unknown).await, Err(Refused::Routes(refused)));
+        assert_eq!(fleet.submit(unknown).await, Err(Rejection::Routes(refused)));
         assert_eq!(fleet.submit(propose(5, 0)).await, proposed(5));
         fleet.same().await;
 
