--- a/src/fleet/record/disk.rs
+++ b/src/fleet/record/disk.rs
@@ -11,7 +11,7 @@
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
 /// A small file, read whole and written in places.
-pub trait Slots: Debug + Send + Sync {
+pub trait SlotFile: Debug + Send + Sync {
     /// Its first bytes, up to `most`.
     fn read(&self, most: usize) -> Result<Vec<u8>>;
     /// Writes at a place; not synced.
@@ -22,7 +22,7 @@
     fn sync(&self) -> Result<()>;
 }
 
-impl Slots for File {
+impl SlotFile for File {
     fn read(&self, most: usize) -> Result<Vec<u8>> {
         let mut bytes = Vec::new();
         let file = self;
@@ -56,7 +56,7 @@
     /// A file as a database; made if it is `new`, an error if one is there then.
     fn database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>>;
     /// A file in slots; made empty if it is `new`.
-    fn slots(&self, file: &Path, new: bool) -> Result<Box<dyn Slots>>;
+    fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>>;
     /// How long the next call takes.
     fn takes(&self) -> Duration;
 }
@@ -172,14 +172,14 @@
     }
 
     /// A file in slots; made empty if it is `new`.
-    pub fn slots(&self, file: &Path, new: bool) -> Result<Box<dyn Slots>> {
+    pub fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>> {
         match self {
             Self::Files => {
                 let mut options = OpenOptions::new();
                 options.read(true).write(true).create(new).truncate(new);
                 Ok(Box::new(options.open(file)?))
             }
-            Self::Simulated(disk) => disk.slots(file, new),
+            Self::Simulated(disk) => disk.slot_file(file, new),
         }
     }
 }
--- a/src/fleet/record/mark.rs
+++ b/src/fleet/record/mark.rs
@@ -10,12 +10,12 @@
 
 use sha2::{Digest, Sha256};
 
-use super::disk::{Disk, Slots};
+use super::disk::{Disk, SlotFile};
 use crate::fleet::wire::raft::NodeId;
 
 /// Bytes of a slot: the number and its checksum.
 const SLOT: usize = 16;
-/// Slots are this far apart, on sectors of their own.
+/// SlotFile are this far apart, on sectors of their own.
 const APART: usize = 4096;
 /// Bytes of the file.
 const LENGTH: usize = APART + SLOT;
@@ -23,7 +23,7 @@
 /// The file.
 #[derive(Debug)]
 pub struct Mark {
-    file: Box<dyn Slots>,
+    file: Box<dyn SlotFile>,
     node: NodeId,
     write: u64,
 }
@@ -54,7 +54,7 @@
 impl Mark {
     /// Reads the file of a store.
     pub fn open(disk: &Disk, path: &Path, node: NodeId) -> std::io::Result<Found> {
-        let file = match disk.slots(path, false) {
+        let file = match disk.slot_file(path, false) {
             Ok(file) => file,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Found::Nothing),
             Err(error) => return Err(error),
@@ -71,7 +71,7 @@
     /// would look like one that was spoilt.
     pub fn create(disk: &Disk, path: &Path, node: NodeId, write: u64) -> std::io::Result<Self> {
         let new = path.with_extension("mark.new");
-        let mut mark = Self { file: disk.slots(&new, true)?, node, write: 0 };
+        let mut mark = Self { file: disk.slot_file(&new, true)?, node, write: 0 };
         mark.file.resize(LENGTH as u64)?;
         mark.promise(write)?;
         mark.file.sync()?;
--- a/src/lab/sim/disk.rs
+++ b/src/lab/sim/disk.rs
@@ -8,7 +8,7 @@
 
 use redb::StorageBackend;
 
-use crate::fleet::record::disk::{Simulated, Slots};
+use crate::fleet::record::disk::{Simulated, SlotFile};
 use crate::lab::random::Random;
 
 /// What a disk writes at once; a write is torn between two of them.
@@ -239,7 +239,7 @@
     }
 }
 
-impl Slots for Handle {
+impl SlotFile for Handle {
     fn read(&self, most: usize) -> Result<Vec<u8>> {
         self.act(|file| Ok(file.now[..file.now.len().min(most)].to_vec()))
     }
@@ -315,7 +315,7 @@
         Ok(Box::new(self.handle(file, new, false)?))
     }
 
-    fn slots(&self, file: &Path, new: bool) -> Result<Box<dyn Slots>> {
+    fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>> {
         Ok(Box::new(self.handle(file, new, true)?))
     }
 
