--- a/src/fleet/record/disk.rs
+++ b/src/fleet/record/disk.rs
@@ -44,7 +44,7 @@
 }
 
 /// A disk that is simulated; errors are those of a file system.
-pub trait Simulated: Debug + Send + Sync {
+pub trait SimulatedDisk: Debug + Send + Sync {
     /// The length of a file; an error of kind `NotFound` without one.
     fn length(&self, file: &Path) -> Result<u64>;
     /// Takes a file away.
@@ -54,11 +54,11 @@
     /// The names in a folder are kept when it returns.
     fn sync(&self, folder: &Path) -> Result<()>;
     /// A file as a database; made if it is `new`, an error if one is there then.
-    fn database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>>;
+    fn open_database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>>;
     /// A file in slots; made empty if it is `new`.
     fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>>;
     /// How long the next call takes.
-    fn takes(&self) -> Duration;
+    fn call_duration(&self) -> Duration;
 }
 
 /// What a store is kept on.
@@ -68,7 +68,7 @@
     #[default]
     Files,
     /// None; calls are made where they are asked for, and time passes before and after.
-    Simulated(Arc<dyn Simulated>),
+    Simulated(Arc<dyn SimulatedDisk>),
 }
 
 /// A simulated file as redb takes one.
@@ -103,7 +103,7 @@
         match self {
             Self::Files => tokio::task::spawn_blocking(act).await.ok(),
             Self::Simulated(disk) => {
-                let (before, after) = (disk.takes(), disk.takes());
+                let (before, after) = (disk.call_duration(), disk.call_duration());
                 tokio::time::sleep(before).await;
                 let done = act();
                 tokio::time::sleep(after).await;
@@ -159,7 +159,7 @@
                 drop(File::create_new(file)?);
                 builder.create(file)
             }
-            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.database(file, true)?)),
+            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.open_database(file, true)?)),
         }
     }
 
@@ -167,7 +167,7 @@
     pub fn open(&self, builder: &Builder, file: &Path) -> std::result::Result<Database, DatabaseError> {
         match self {
             Self::Files => builder.open(file),
-            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.database(file, false)?)),
+            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.open_database(file, false)?)),
         }
     }
 
--- a/src/lab/sim/disk.rs
+++ b/src/lab/sim/disk.rs
@@ -8,7 +8,7 @@
 
 use redb::StorageBackend;
 
-use crate::fleet::record::disk::{Simulated, SlotFile};
+use crate::fleet::record::disk::{SimulatedDisk, SlotFile};
 use crate::lab::random::Random;
 
 /// What a disk writes at once; a write is torn between two of them.
@@ -279,7 +279,7 @@
     }
 }
 
-impl Simulated for Disk {
+impl SimulatedDisk for Disk {
     fn length(&self, file: &Path) -> Result<u64> {
         let inner = self.lock();
         let id = inner.file(file)?;
@@ -311,7 +311,7 @@
         Ok(())
     }
 
-    fn database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>> {
+    fn open_database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>> {
         Ok(Box::new(self.handle(file, new, false)?))
     }
 
@@ -319,7 +319,7 @@
         Ok(Box::new(self.handle(file, new, true)?))
     }
 
-    fn takes(&self) -> Duration {
+    fn call_duration(&self) -> Duration {
         let drawn = self.lock().random.next_u64();
         // A sync takes a millisecond or two, and now and then ten.
         Duration::from_millis(if drawn.is_multiple_of(20) { 5 + drawn / 20 % 6 } else { drawn / 20 % 2 })
