--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -335,7 +335,7 @@
         if !ordered(&entry) || !allowed(&entry, self.may()) {
             return Response::Busy;
         }
-        if let Err(refused) = entry.bounded() {
+        if let Err(refused) = entry.check_bounds() {
             return Response::Submitted(Err(refused));
         }
         match timeout(SUBMIT, voter.record.submit(entry.clone())).await {
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// [`Rejection`].
-    pub fn bounded(&self) -> Result<(), Rejection> {
+    pub fn check_bounds(&self) -> Result<(), Rejection> {
         match self {
             Self::Routes(entry) => entry.bounded().map_err(Rejection::Routes),
             // They are looked at as they are applied.
