--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -56,13 +56,13 @@
         file: PathBuf,
     },
     /// The store is truncated, overwritten or no store.
-    #[error("{} is spoilt: {what}", file.display())]
+    #[error("{} is spoilt: {reason}", file.display())]
     #[diagnostic(help("while a majority of the other voters runs: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted by `hopwalk fleet record admit NAME --admin ADDR`; never put back a copy"))]
-    Spoilt {
+    Corrupt {
         /// Which file.
         file: PathBuf,
         /// How it shows.
-        what: String,
+        reason: String,
     },
     /// The store is whole, but older than what this voter promised others on it.
     #[error("{} has write {found}, and write {promised} was promised to others", file.display())]
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -201,13 +201,13 @@
         let (shown, state) = watch::channel(Shown::default());
         let unreadable = |error: store::StoreError| {
             let file = options.folder.join(store::STORE);
-            RecordError::Spoilt { file, what: error.to_string() }
+            RecordError::Corrupt { file, reason: error.to_string() }
         };
         let machine = Machine::new(store.clone(), shown).map_err(unreadable)?;
         let raft = Raft::new(store.node(), Arc::new(config), ways, Log(store.clone()), machine).await;
-        let raft = raft.map_err(|error| RecordError::Spoilt {
+        let raft = raft.map_err(|error| RecordError::Corrupt {
             file: options.folder.join(store::STORE),
-            what: error.to_string(),
+            reason: error.to_string(),
         })?;
         let (seats, seat) = watch::channel(Seat::Forming);
         let first = standing(&raft.metrics().borrow(), Seat::Forming);
--- a/src/fleet/record/store.rs
+++ b/src/fleet/record/store.rs
@@ -175,8 +175,8 @@
             Ok(_) => {}
             Err(error) if error.kind() == ErrorKind::NotFound => {
                 if disk.length(&mark).is_ok() {
-                    let what = "it is gone, and its mark is there".into();
-                    return Err(RecordError::Spoilt { file: store, what });
+                    let reason = "it is gone, and its mark is there".into();
+                    return Err(RecordError::Corrupt { file: store, reason });
                 }
                 let identity =
                     Identity { format: FORMAT, fleet: fleet.into(), name: name.into(), node: drawn };
@@ -189,8 +189,10 @@
         }
         // A file that was tampered with may make redb panic: that is the same to an operator.
         let opened = catch_unwind(AssertUnwindSafe(|| load(disk, &store, fleet, name)));
-        let spoilt =
-            |_| RecordError::Spoilt { file: store.clone(), what: "its pages contradict each other".into() };
+        let spoilt = |_| RecordError::Corrupt {
+            file: store.clone(),
+            reason: "its pages contradict each other".into(),
+        };
         let (database, node, found, committed) = opened.map_err(spoilt)??;
         let mark = match Mark::open(disk, &mark, node).map_err(|error| io(&mark, error))? {
             Found::Mark(mark) if mark.write() > found => {
@@ -206,11 +208,11 @@
             Found::Nothing if found <= 1 => {
                 Mark::create(disk, &mark, node, found).map_err(|error| io(&mark, error))?
             }
-            Found::Nothing => return Err(RecordError::Spoilt { file: mark, what: "it is gone".into() }),
+            Found::Nothing => return Err(RecordError::Corrupt { file: mark, reason: "it is gone".into() }),
             Found::Spoilt => {
-                return Err(RecordError::Spoilt {
+                return Err(RecordError::Corrupt {
                     file: mark,
-                    what: "it is not the mark of the store".into(),
+                    reason: "it is not the mark of the store".into(),
                 })
             }
         };
@@ -386,9 +388,9 @@
             {
                 RecordError::Io { file, kind: error.kind() }
             }
-            error => RecordError::Spoilt { file, what: error.to_string() },
+            error => RecordError::Corrupt { file, reason: error.to_string() },
         },
-        error => RecordError::Spoilt { file, what: error.to_string() },
+        error => RecordError::Corrupt { file, reason: error.to_string() },
     }
 }
 
@@ -399,7 +401,7 @@
     let length = disk.length(file).map_err(|e| RecordError::Io { file: file.into(), kind: e.kind() })?;
     if length == 0 {
         // redb would make a new one of it.
-        return Err(RecordError::Spoilt { file: file.into(), what: "it is empty".into() });
+        return Err(RecordError::Corrupt { file: file.into(), reason: "it is empty".into() });
     }
     let mut builder = Builder::new();
     builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -272,7 +272,7 @@
                 Pace { heartbeat: SECOND, least: SECOND, most: SECOND },
                 Folder { folder: x(), kind: KIND },
                 Held { file: x() },
-                Spoilt { file: x(), what: x() },
+                Corrupt { file: x(), reason: x() },
                 Behind { file: x(), found: 1, promised: 2 },
                 Foreign { file: x(), fleet: x(), name: x() },
                 Format { file: x(), found: 9 },
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -117,7 +117,7 @@
             Ok(store) => assert_eq!(state(&store), expected, "{name}: {what} at {at}"),
             Err(error) => {
                 assert!(error.to_string().contains(STORE) && error.help().is_some(), "{error:?}");
-                let kind = matches!(error, RecordError::Spoilt { .. } | RecordError::Behind { .. });
+                let kind = matches!(error, RecordError::Corrupt { .. } | RecordError::Behind { .. });
                 assert!(
                     kind || matches!(error, RecordError::Format { .. }),
                     "{name}: {what} at {at}: {error:?}"
@@ -179,9 +179,9 @@
     torn(&mark, 4096 + 9);
     drop(folder.open().unwrap());
     torn(&mark, 9);
-    assert!(matches!(folder.open().unwrap_err(), RecordError::Spoilt { file, .. } if file == mark));
+    assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { file, .. } if file == mark));
     fs::remove_file(&mark).unwrap();
-    assert!(matches!(folder.open().unwrap_err(), RecordError::Spoilt { file, .. } if file == mark));
+    assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { file, .. } if file == mark));
 }
 
 #[test]
@@ -211,12 +211,12 @@
     assert_eq!(Store::open(&folder.0, "f", "a", 5).unwrap().node(), NODE);
     assert!(folder.0.join(MARK).exists() && !folder.0.join("record.mark.new").exists());
     fs::remove_file(folder.0.join(STORE)).unwrap();
-    assert!(matches!(folder.open().unwrap_err(), RecordError::Spoilt { .. }));
+    assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
     fs::remove_file(folder.0.join(MARK)).unwrap();
     fs::write(folder.0.join("record.new"), "half").unwrap();
     assert_eq!(Store::open(&folder.0, "f", "a", 5).unwrap().node(), 5);
     fs::write(folder.0.join(STORE), "").unwrap();
-    assert!(matches!(folder.open().unwrap_err(), RecordError::Spoilt { .. }));
+    assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
     fs::write(folder.0.join(STORE), "no store at all").unwrap();
-    assert!(matches!(folder.open().unwrap_err(), RecordError::Spoilt { .. }));
+    assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
 }
--- a/tests/sweep.rs
+++ b/tests/sweep.rs
@@ -256,7 +256,7 @@
         Err(error) => {
             let kind = format!("{error:?}").split([' ', '{']).next().unwrap_or_default().to_string();
             return match error.help() {
-                Some(_) if matches!(kind.as_str(), "Spoilt" | "Behind" | "Format") => Ok(Some(kind)),
+                Some(_) if matches!(kind.as_str(), "Corrupt" | "Behind" | "Format") => Ok(Some(kind)),
                 _ => Err(format!("an error that does not fit: {error:?}")),
             };
         }
