--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -29,7 +29,7 @@
     /// Heartbeats and elections that do not go together.
     #[error("a heartbeat of {} ms with elections of {} to {} ms", heartbeat.as_millis(), least.as_millis(), most.as_millis())]
     #[diagnostic(help("let elections begin after at least 2 heartbeats, and differ: 100 ms with 400 to 800 ms is the default"))]
-    Pace {
+    Timing {
         /// Between heartbeats.
         heartbeat: Duration,
         /// The shortest wait.
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -269,7 +269,7 @@
             samples!(record::RecordError {
                 Voters { count: 2 },
                 NotAVoter { name: x() },
-                Pace { heartbeat: SECOND, least: SECOND, most: SECOND },
+                Timing { heartbeat: SECOND, least: SECOND, most: SECOND },
                 Folder { folder: x(), kind: KIND },
                 Held { file: x() },
                 Corrupt { file: x(), reason: x() },
