--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -51,7 +51,7 @@
     #[diagnostic(help(
         "wait until the process before this one has ended, or give each matcher a folder of its own"
     ))]
-    Held {
+    InUse {
         /// Which file.
         file: PathBuf,
     },
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -185,7 +185,7 @@
     /// said so.
     ///
     /// # Errors
-    /// [`RecordError`]. After [`RecordError::Held`] a later try may go well: a process that hands over holds the store
+    /// [`RecordError`]. After [`RecordError::InUse`] a later try may go well: a process that hands over holds the store
     /// until its [`Record::close`].
     pub async fn open(options: Options, clients: BTreeMap<String, Client>) -> Result<Self, RecordError> {
         let config = options.check()?;
--- a/src/fleet/record/store.rs
+++ b/src/fleet/record/store.rs
@@ -382,7 +382,7 @@
     let file = PathBuf::from(file);
     match error {
         StoreError::Redb(error) => match *error {
-            redb::Error::DatabaseAlreadyOpen => RecordError::Held { file },
+            redb::Error::DatabaseAlreadyOpen => RecordError::InUse { file },
             redb::Error::Io(error)
                 if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
             {
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -271,7 +271,7 @@
                 NotAVoter { name: x() },
                 Timing { heartbeat: SECOND, least: SECOND, most: SECOND },
                 Folder { folder: x(), kind: KIND },
-                Held { file: x() },
+                InUse { file: x() },
                 Corrupt { file: x(), reason: x() },
                 Behind { file: x(), found: 1, promised: 2 },
                 Foreign { file: x(), fleet: x(), name: x() },
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -504,7 +504,7 @@
         assert!(fleet.voters["a"].record.confirm().await.is_ok());
         let options = Options::new("f", "a", fleet.base.join("a"), fleet.addresses.clone());
         let held = Record::open(options.clone(), BTreeMap::new()).await.err().unwrap();
-        assert!(matches!(held, RecordError::Held { .. }), "{held:?}");
+        assert!(matches!(held, RecordError::InUse { .. }), "{held:?}");
         let record = fleet.voters["a"].record.clone();
         fleet.stop("a").await;
         assert_eq!(record.submit(propose(2, 0)).await, Err(SubmitError::Stopped));
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -196,7 +196,7 @@
 
     let store = folder.open().unwrap();
     let held = folder.open().unwrap_err();
-    assert!(matches!(&held, RecordError::Held { file } if *file == folder.0.join(STORE)), "{held:?}");
+    assert!(matches!(&held, RecordError::InUse { file } if *file == folder.0.join(STORE)), "{held:?}");
     store.close();
     assert!(store.vote().is_err() && store.save_vote(&Vote::new(1, NODE)).is_err());
 
