--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -118,7 +118,7 @@
     /// Voters do not name the same voters: no record begins.
     #[error("the settings of {name} name other voters than those of this member")]
     #[diagnostic(help("give all voters the same `fleet.routes.voters`"))]
-    OtherList {
+    VotersDiffer {
         /// Whose settings.
         name: String,
     },
--- a/src/fleet/record/seat.rs
+++ b/src/fleet/record/seat.rs
@@ -115,7 +115,7 @@
             Advice::Stranger => tell(Seat::Stranger),
             Advice::OtherList(name) => {
                 if warned.as_ref() != Some(&name) {
-                    let error = RecordError::OtherList { name: name.clone() };
+                    let error = RecordError::VotersDiffer { name: name.clone() };
                     report(&error, "the fleet's record cannot begin");
                 }
                 warned = Some(name);
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -278,7 +278,7 @@
                 Format { file: x(), found: 9 },
                 Io { file: x(), kind: KIND },
                 NotAdmitted { name: x() },
-                OtherList { name: x() },
+                VotersDiffer { name: x() },
                 Stopped,
             }),
         ),
