--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -65,7 +65,7 @@
         reason: String,
     },
     /// The store is whole, but older than what this voter promised others on it.
-    #[error("{} has write {found}, and write {promised} was promised to others", file.display())]
+    #[error("{} has write {found}, and write {acknowledged} was promised to others", file.display())]
     #[diagnostic(help("it lost its last writes, or is an old copy. While a majority of the other voters runs: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted by `hopwalk fleet record admit NAME --admin ADDR`"))]
     Behind {
         /// Which file.
@@ -73,7 +73,7 @@
         /// The last write that is there.
         found: u64,
         /// The last write that was promised.
-        promised: u64,
+        acknowledged: u64,
     },
     /// The store of another fleet or voter.
     #[error("{} belongs to {name} of fleet {fleet}", file.display())]
--- a/src/fleet/record/store.rs
+++ b/src/fleet/record/store.rs
@@ -196,7 +196,7 @@
         let (database, node, found, committed) = opened.map_err(spoilt)??;
         let mark = match Mark::open(disk, &mark, node).map_err(|error| io(&mark, error))? {
             Found::Mark(mark) if mark.write() > found => {
-                return Err(RecordError::Behind { file: store, found, promised: mark.write() });
+                return Err(RecordError::Behind { file: store, found, acknowledged: mark.write() });
             }
             // It may be ahead, after a kill between the two. Others count on what is shown from here on without a
             // further write: an entry that is there answers the leader's next message.
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -273,7 +273,7 @@
                 Folder { folder: x(), kind: KIND },
                 InUse { file: x() },
                 Corrupt { file: x(), reason: x() },
-                Behind { file: x(), found: 1, promised: 2 },
+                Behind { file: x(), found: 1, acknowledged: 2 },
                 Foreign { file: x(), fleet: x(), name: x() },
                 Format { file: x(), found: 9 },
                 Io { file: x(), kind: KIND },
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -167,7 +167,7 @@
     fs::copy(old.0.join(STORE), folder.0.join(STORE)).unwrap();
     for _ in 0..2 {
         let error = folder.open().unwrap_err();
-        assert!(matches!(error, RecordError::Behind { found: 2, promised: 3, .. }), "{error:?}");
+        assert!(matches!(error, RecordError::Behind { found: 2, acknowledged: 3, .. }), "{error:?}");
     }
     // A torn mark has the slot before; one without a whole slot is an error, and so is none.
     let mark = folder.0.join(MARK);
