--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -156,11 +156,11 @@
     ))]
     NoMajority,
     /// It may yet be in the log, or not.
-    #[error("no majority took the entry in {} ms", patience.as_millis())]
+    #[error("no majority took the entry in {} ms", timeout.as_millis())]
     #[diagnostic(help("it may take effect yet: look at the state before you repeat it"))]
-    Unsure {
+    OutcomeUnknown {
         /// How long was waited.
-        patience: Duration,
+        timeout: Duration,
     },
     /// The record has stopped.
     #[error("the record has stopped")]
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -255,7 +255,7 @@
     /// did. An entry that is put twice is refused the second time, or does nothing ([`State::apply`]).
     ///
     /// # Errors
-    /// [`SubmitError`]: only after [`SubmitError::Unsure`] it may yet take effect.
+    /// [`SubmitError`]: only after [`SubmitError::OutcomeUnknown`] it may yet take effect.
     pub async fn submit(&self, entry: Entry) -> Result<Result<Applied, Rejection>, SubmitError> {
         let bytes = postcard::experimental::serialized_size(&entry).unwrap_or(usize::MAX);
         if bytes > MOST_ENTRY {
@@ -273,7 +273,7 @@
                 Err(SubmitError::NotLeader { leader: self.named(&to) })
             }
             Ok(Err(_)) => Err(SubmitError::Stopped),
-            Err(_) => Err(SubmitError::Unsure { patience: PATIENCE }),
+            Err(_) => Err(SubmitError::OutcomeUnknown { timeout: PATIENCE }),
         }
     }
 
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -290,7 +290,7 @@
                 TooLong { bytes: 9 },
                 Busy,
                 NoMajority,
-                Unsure { patience: SECOND },
+                OutcomeUnknown { timeout: SECOND },
                 Stopped,
             }),
         ),
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -189,7 +189,11 @@
             match self.voters[self.leader().await].record.submit(entry.clone()).await {
                 Ok(outcome) => return outcome,
                 // A machine under load makes it wait: the same entry once more does no harm.
-                Err(SubmitError::NotLeader { .. } | SubmitError::NoMajority | SubmitError::Unsure { .. }) => {
+                Err(
+                    SubmitError::NotLeader { .. }
+                    | SubmitError::NoMajority
+                    | SubmitError::OutcomeUnknown { .. },
+                ) => {
                     // One that is told at once would ask again without end, and hold up all that it waits for.
                     tokio::time::sleep(ms(5)).await;
                 }
@@ -344,7 +348,7 @@
         assert_eq!(record.confirm().await, Err(ConfirmError::NoMajority));
         loop {
             match record.submit(propose(1, 0)).await {
-                Err(SubmitError::Unsure { .. }) => {}
+                Err(SubmitError::OutcomeUnknown { .. }) => {}
                 Err(SubmitError::NoMajority) => break,
                 other => panic!("{other:?}"),
             }
@@ -380,7 +384,10 @@
         fleet.stop(other).await;
         let record = &fleet.voters[leader].record;
         let alone = record.submit(propose(2, 0)).await;
-        assert!(matches!(alone, Err(SubmitError::Unsure { .. } | SubmitError::NoMajority)), "{alone:?}");
+        assert!(
+            matches!(alone, Err(SubmitError::OutcomeUnknown { .. } | SubmitError::NoMajority)),
+            "{alone:?}"
+        );
         assert_eq!(record.confirm().await, Err(ConfirmError::NoMajority));
         assert_eq!(
             (fleet.voters[lost].standing().applied, fleet.voters[lost].standing().seat),
