--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -66,7 +66,7 @@
     pub fn decided(&self) -> Option<(Standing, u64, Arc<State>)> {
         let record = self.record()?;
         let standing = record.watch().borrow().clone();
-        let (applied, state) = record.states().borrow().clone();
+        let (applied, state) = record.watch_state().borrow().clone();
         Some((standing, applied, state))
     }
 
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// How many entries are applied and what they come to, now and whenever that changes.
-    pub fn states(&self) -> watch::Receiver<Shown> {
+    pub fn watch_state(&self) -> watch::Receiver<Shown> {
         self.shared.state.clone()
     }
 
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -443,7 +443,7 @@
         }
         fleet.leader().await;
         for voter in fleet.voters.values() {
-            let mut states = voter.record.states();
+            let mut states = voter.record.watch_state();
             states.wait_for(|(_, state)| state.routes.table(30).is_some()).await.unwrap();
             assert!((1..=30).all(|version| voter.record.state().routes.table(version).is_some()));
         }
