--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -27,15 +27,15 @@
         name: String,
     },
     /// Heartbeats and elections that do not go together.
-    #[error("a heartbeat of {} ms with elections of {} to {} ms", heartbeat.as_millis(), least.as_millis(), most.as_millis())]
+    #[error("a heartbeat of {} ms with elections of {} to {} ms", heartbeat.as_millis(), min.as_millis(), max.as_millis())]
     #[diagnostic(help("let elections begin after at least 2 heartbeats, and differ: 100 ms with 400 to 800 ms is the default"))]
     Timing {
         /// Between heartbeats.
         heartbeat: Duration,
         /// The shortest wait.
-        least: Duration,
+        min: Duration,
         /// The longest wait.
-        most: Duration,
+        max: Duration,
     },
     /// The operator's folder cannot be used.
     #[error("the folder {}: {kind}", folder.display())]
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -119,7 +119,7 @@
         }
         let (heartbeat, (least, most)) = (self.heartbeat, self.election);
         if heartbeat.is_zero() || least < heartbeat * 2 || most.as_millis() <= least.as_millis() {
-            return Err(RecordError::Timing { heartbeat, least, most });
+            return Err(RecordError::Timing { heartbeat, min: least, max: most });
         }
         let ms = |time: Duration| time.as_millis() as u64;
         let config = Config {
@@ -136,7 +136,7 @@
             max_in_snapshot_log_to_keep: self.entries / 10,
             ..Config::default()
         };
-        config.validate().map_err(|_| RecordError::Timing { heartbeat, least, most })
+        config.validate().map_err(|_| RecordError::Timing { heartbeat, min: least, max: most })
     }
 }
 
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -269,7 +269,7 @@
             samples!(record::RecordError {
                 Voters { count: 2 },
                 NotAVoter { name: x() },
-                Timing { heartbeat: SECOND, least: SECOND, most: SECOND },
+                Timing { heartbeat: SECOND, min: SECOND, max: SECOND },
                 Folder { folder: x(), kind: KIND },
                 InUse { file: x() },
                 Corrupt { file: x(), reason: x() },
