--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,6 +1,7 @@
-//! What makes several matchers a fleet. Each part is a folder with its decisions, which do no I/O; [`link`] carries
-//! them out on a socket and a thread of its own. All of it is off unless the operator's file switches it on, and off in
-//! `run`: the platform allows no talk between instances.
+//! The fleet: membership, replicated route tables and experiments across several matchers. Most modules hold decisions
+//! that do no I/O. [`link`] carries the membership out on a UDP socket and a thread of its own, and [`driver`] carries
+//! out the rest on another thread. The fleet is off unless the settings switch it on, and always off in `run`, where the
+//! platform allows no communication between instances.
 
 pub mod chance;
 pub mod clock;
