--- a/src/fleet/record/disk.rs
+++ b/src/fleet/record/disk.rs
@@ -1,4 +1,5 @@
-//! What the store is kept on: files in the operator's folder, or a simulated disk that forgets what was not synced.
+//! The storage below the store: files in the operator's folder ([`Disk::Files`]), or a simulated disk that loses what
+//! was not synced ([`Disk::Simulated`]).
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions};
@@ -10,28 +11,28 @@
 
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
-/// A small file, read whole and written in places.
+/// A small file that is read as a whole and written at given offsets.
 pub trait SlotFile: Debug + Send + Sync {
-    /// Its first bytes, up to `most`.
-    fn read(&self, most: usize) -> Result<Vec<u8>>;
-    /// Writes at a place; not synced.
-    fn write(&self, bytes: &[u8], at: u64) -> Result<()>;
-    /// Its length from now on.
+    /// Reads the first bytes of the file, up to `max`.
+    fn read(&self, max: usize) -> Result<Vec<u8>>;
+    /// Writes at an offset without syncing.
+    fn write(&self, bytes: &[u8], offset: u64) -> Result<()>;
+    /// Sets the length of the file.
     fn resize(&self, length: u64) -> Result<()>;
-    /// All that was written is kept when it returns.
+    /// Syncs all earlier writes to the disk before it returns.
     fn sync(&self) -> Result<()>;
 }
 
 impl SlotFile for File {
-    fn read(&self, most: usize) -> Result<Vec<u8>> {
+    fn read(&self, max: usize) -> Result<Vec<u8>> {
         let mut bytes = Vec::new();
         let file = self;
-        file.take(most as u64).read_to_end(&mut bytes)?;
+        file.take(max as u64).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
-    fn write(&self, bytes: &[u8], at: u64) -> Result<()> {
-        self.write_all_at(bytes, at)
+    fn write(&self, bytes: &[u8], offset: u64) -> Result<()> {
+        self.write_all_at(bytes, offset)
     }
 
     fn resize(&self, length: u64) -> Result<()> {
@@ -43,39 +44,39 @@
     }
 }
 
-/// A disk that is simulated; errors are those of a file system.
+/// A simulated disk. Its errors have the kinds that a file system reports.
 pub trait SimulatedDisk: Debug + Send + Sync {
-    /// The length of a file; an error of kind `NotFound` without one.
+    /// Returns the length of a file, or an error of kind `NotFound` if there is no such file.
     fn length(&self, file: &Path) -> Result<u64>;
-    /// Takes a file away.
+    /// Removes a file.
     fn remove(&self, file: &Path) -> Result<()>;
-    /// Gives a file another name, in place of what had it.
+    /// Renames a file and replaces any file of the new name.
     fn rename(&self, from: &Path, to: &Path) -> Result<()>;
-    /// The names in a folder are kept when it returns.
+    /// Syncs the file names in a folder to the disk before it returns.
     fn sync(&self, folder: &Path) -> Result<()>;
-    /// A file as a database; made if it is `new`, an error if one is there then.
+    /// Opens a file as a database backend. With `new` it creates the file, and fails if the file exists.
     fn open_database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>>;
-    /// A file in slots; made empty if it is `new`.
+    /// Opens a slot file. With `new` the file is created, or emptied if it exists.
     fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>>;
-    /// How long the next call takes.
+    /// Draws how long the next call takes.
     fn call_duration(&self) -> Duration;
 }
 
-/// What a store is kept on.
+/// The disk that holds a store.
 #[derive(Clone, Debug, Default)]
 pub enum Disk {
-    /// Files; calls block, and have threads for that.
+    /// Files of the operating system. Calls block and run on threads of their own.
     #[default]
     Files,
-    /// None; calls are made where they are asked for, and time passes before and after.
+    /// A simulated disk. Calls run on the thread of the caller, with simulated time before and after.
     Simulated(Arc<dyn SimulatedDisk>),
 }
 
-/// A simulated file as redb takes one.
+/// A simulated file as a storage backend of redb.
 #[derive(Debug)]
-struct Boxed(Box<dyn StorageBackend>);
+struct SimulatedBackend(Box<dyn StorageBackend>);
 
-impl StorageBackend for Boxed {
+impl StorageBackend for SimulatedBackend {
     fn len(&self) -> Result<u64> {
         self.0.len()
     }
@@ -98,29 +99,32 @@
 }
 
 impl Disk {
-    /// Has something done that blocks; nothing if it panicked.
-    pub async fn run<T: Send + 'static>(&self, act: impl FnOnce() -> T + Send + 'static) -> Option<T> {
+    /// Runs a blocking operation without blocking the runtime. Returns `None` if the operation panicked.
+    pub async fn run_blocking<T: Send + 'static>(
+        &self,
+        operation: impl FnOnce() -> T + Send + 'static,
+    ) -> Option<T> {
         match self {
-            Self::Files => tokio::task::spawn_blocking(act).await.ok(),
+            Self::Files => tokio::task::spawn_blocking(operation).await.ok(),
             Self::Simulated(disk) => {
                 let (before, after) = (disk.call_duration(), disk.call_duration());
                 tokio::time::sleep(before).await;
-                let done = act();
+                let result = operation();
                 tokio::time::sleep(after).await;
-                Some(done)
+                Some(result)
             }
         }
     }
 
-    /// That a folder is there.
-    pub fn check(&self, folder: &Path) -> Result<()> {
+    /// Checks that a folder exists. A simulated disk has no folders and reports none as missing.
+    pub fn check_folder(&self, folder: &Path) -> Result<()> {
         match self {
             Self::Files if !std::fs::metadata(folder)?.is_dir() => Err(ErrorKind::NotADirectory.into()),
             _ => Ok(()),
         }
     }
 
-    /// The length of a file; an error of kind `NotFound` without one.
+    /// Returns the length of a file, or an error of kind `NotFound` if there is no such file.
     pub fn length(&self, file: &Path) -> Result<u64> {
         match self {
             Self::Files => Ok(std::fs::metadata(file)?.len()),
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Takes a file away.
+    /// Removes a file.
     pub fn remove(&self, file: &Path) -> Result<()> {
         match self {
             Self::Files => std::fs::remove_file(file),
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Gives a file another name, in place of what had it.
+    /// Renames a file and replaces any file of the new name.
     pub fn rename(&self, from: &Path, to: &Path) -> Result<()> {
         match self {
             Self::Files => std::fs::rename(from, to),
@@ -144,7 +148,7 @@
         }
     }
 
-    /// The names in a folder are kept when it returns.
+    /// Syncs the file names in a folder to the disk before it returns.
     pub fn sync(&self, folder: &Path) -> Result<()> {
         match self {
             Self::Files => File::open(folder)?.sync_all(),
@@ -152,26 +156,30 @@
         }
     }
 
-    /// A new database in a file that is not there yet.
+    /// Creates a database in a new file. It is an error if the file exists.
     pub fn create(&self, builder: &Builder, file: &Path) -> std::result::Result<Database, DatabaseError> {
         match self {
             Self::Files => {
                 drop(File::create_new(file)?);
                 builder.create(file)
             }
-            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.open_database(file, true)?)),
+            Self::Simulated(disk) => {
+                builder.create_with_backend(SimulatedBackend(disk.open_database(file, true)?))
+            }
         }
     }
 
-    /// The database in a file.
+    /// Opens the database in an existing file.
     pub fn open(&self, builder: &Builder, file: &Path) -> std::result::Result<Database, DatabaseError> {
         match self {
             Self::Files => builder.open(file),
-            Self::Simulated(disk) => builder.create_with_backend(Boxed(disk.open_database(file, false)?)),
+            Self::Simulated(disk) => {
+                builder.create_with_backend(SimulatedBackend(disk.open_database(file, false)?))
+            }
         }
     }
 
-    /// A file in slots; made empty if it is `new`.
+    /// Opens a slot file. With `new` the file is created, or emptied if it exists.
     pub fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>> {
         match self {
             Self::Files => {
--- a/src/fleet/record/election.rs
+++ b/src/fleet/record/election.rs
@@ -1,10 +1,10 @@
-//! When a voter stands for election again after an election that nobody won.
+//! Randomized retries of elections that nobody won.
 //!
-//! openraft draws a voter's election timeout once in its life, and compares it with the time on a tick of one and a half
-//! heartbeats. Two voters whose timeouts end in one tick stand together in every term: each votes for itself, and nobody
-//! is elected. Raft asks for a new draw in each election (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm", 2014, section 5.2), so a candidate's next attempt is drawn and timed here. The first attempt after a
-//! leader's silence stays openraft's.
+//! openraft draws a voter's election timeout once per process and compares it with the time on a tick of one and a half
+//! heartbeats. Two voters whose timeouts end in the same tick become candidates together in every term: each votes for
+//! itself, and nobody is elected. Raft requires a new random timeout for each election (Ongaro and Ousterhout, "In Search
+//! of an Understandable Consensus Algorithm", 2014, section 5.2), so [`retry_elections`] draws and times a candidate's
+//! next attempt. The first election after a leader became silent is still started by openraft.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,16 +20,16 @@
 
 type Metrics = watch::Receiver<RaftMetrics<NodeId, Voter>>;
 
-/// The last term in which another voter refused its vote because its log is longer. openraft lets this voter wait for
-/// longer then, so that the other one is elected.
+/// The last term in which another voter denied its vote because its own log is longer. openraft then makes this voter
+/// wait longer before its next attempt, so that the other voter is elected.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShorterLog {
     term: Arc<AtomicU64>,
 }
 
 impl ShorterLog {
-    /// A voter with a longer log refused its vote in `term`.
-    pub(super) fn refused_in(&self, term: u64) {
+    /// Records that a voter with a longer log denied its vote in `term`.
+    pub(super) fn vote_denied_in(&self, term: u64) {
         self.term.store(term, Ordering::Relaxed);
     }
 
@@ -38,47 +38,52 @@
     }
 }
 
-/// The range from which a candidate's next timeout is drawn: at least as wide as the longest timeout, however close the
-/// two of the settings are.
-fn range((least, most): (Duration, Duration)) -> Range<Duration> {
-    least..least + most
+/// Returns the range from which a candidate's next timeout is drawn. It is as wide as the longest configured timeout,
+/// however close the shortest one is to it.
+fn range((min, max): (Duration, Duration)) -> Range<Duration> {
+    min..min + max
 }
 
-/// A time in `range`, to the millisecond; its middle where the system has no random numbers.
+/// Draws a time from `range` in whole milliseconds, or takes its middle if the system has no random numbers.
 fn draw(range: Range<Duration>) -> Duration {
     let width = (range.end - range.start).as_millis() as u64;
     let offset = chance::number().map_or(width / 2, |number| number % width.max(1));
     range.start + Duration::from_millis(offset)
 }
 
-/// Waits until this voter is a candidate, and returns the term. None: the record was closed.
+/// Waits until this voter is a candidate, and returns the term. Returns `None` if the record was closed.
 async fn candidacy(metrics: &mut Metrics) -> Option<u64> {
-    let seen = metrics.wait_for(|seen| seen.state == ServerState::Candidate).await.ok()?;
-    Some(seen.current_term)
+    let candidate = metrics.wait_for(|current| current.state == ServerState::Candidate).await.ok()?;
+    Some(candidate.current_term)
 }
 
-/// Waits until this voter is no candidate of `term` any more. None: the record was closed.
+/// Waits until this voter is no longer a candidate in `term`. Returns `None` if the record was closed.
 async fn end_of_candidacy(metrics: &mut Metrics, term: u64) -> Option<()> {
-    let ended =
-        |seen: &RaftMetrics<NodeId, Voter>| seen.state != ServerState::Candidate || seen.current_term != term;
+    let ended = |current: &RaftMetrics<NodeId, Voter>| {
+        current.state != ServerState::Candidate || current.current_term != term
+    };
     metrics.wait_for(ended).await.ok().map(|_| ())
 }
 
-/// Stands again after a newly drawn time whenever an election comes to nothing, until the record is closed. For a record of
-/// several voters.
-pub(super) async fn stand_again(raft: Raft<Types>, election: (Duration, Duration), shorter_log: ShorterLog) {
+/// Starts a new election after a newly drawn time whenever an election ended without a leader. Returns when the record is
+/// closed. Only for a record with several voters.
+pub(super) async fn retry_elections(
+    raft: Raft<Types>,
+    election: (Duration, Duration),
+    shorter_log: ShorterLog,
+) {
     let mut metrics = raft.metrics();
     while let Some(term) = candidacy(&mut metrics).await {
         let wait = draw(range(election));
-        // openraft's own timer would stand at its fixed time.
+        // openraft's own timer would start an election at its fixed time.
         raft.runtime_config().elect(false);
         let ended = timeout(wait, end_of_candidacy(&mut metrics, term)).await;
         raft.runtime_config().elect(true);
         let nobody_was_elected = ended.is_err();
         if nobody_was_elected && !shorter_log.is_known_in(term) {
             let waited_ms = wait.as_millis() as u64;
-            tracing::info!(term, waited_ms, "routes: nobody was elected; stands again");
-            // The record has stopped, then the metrics end as well.
+            tracing::info!(term, waited_ms, "routes: no leader was elected; starting another election");
+            // An error means that the record has stopped; the metrics end then as well.
             let _ = raft.trigger().elect().await;
         }
         if end_of_candidacy(&mut metrics, term).await.is_none() {
--- a/src/fleet/record/error.rs
+++ b/src/fleet/record/error.rs
@@ -1,4 +1,5 @@
-//! What can be wrong with the record, and what an operator can do about it.
+//! Errors of the record, each with a help text for operators: [`RecordError`] from opening it, [`SubmitError`] from
+//! submitting an entry and [`ConfirmError`] from confirming the leadership.
 
 use std::io::ErrorKind;
 use std::path::PathBuf;
@@ -7,185 +8,185 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-use super::MOST_ENTRY;
+use super::MAX_ENTRY_BYTES;
 
-/// Why a voter has no record. Nothing is invented in its place.
+/// Why a voter cannot open or join the record. No other record is created in its place.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum RecordError {
-    /// A fleet has 3 or 5 voters, or 1 in a test.
-    #[error("{count} voters")]
+    /// The number of voters is not 3 or 5, or 1 in a test.
+    #[error("{count} different voters are named; 1, 3 or 5 are supported, each named once")]
     #[diagnostic(help("name 3 or 5 voters in `fleet.routes.voters`, or 1 for a test, each name once"))]
     Voters {
-        /// How many different names there are.
+        /// The number of different names.
         count: usize,
     },
-    /// This member is none of them.
+    /// This member is not one of the voters.
     #[error("{name} is not among the voters")]
     #[diagnostic(help("only voters keep a record: leave out `fleet.routes.folder` here, or add the member to `fleet.routes.voters` of all"))]
     NotAVoter {
-        /// Its name.
+        /// The name of this member.
         name: String,
     },
-    /// Heartbeats and elections that do not go together.
-    #[error("a heartbeat of {} ms with elections of {} to {} ms", heartbeat.as_millis(), min.as_millis(), max.as_millis())]
-    #[diagnostic(help("let elections begin after at least 2 heartbeats, and differ: 100 ms with 400 to 800 ms is the default"))]
+    /// The heartbeat interval and the election timeouts do not fit together.
+    #[error("a heartbeat interval of {} ms with election timeouts of {} to {} ms is not supported", heartbeat.as_millis(), min.as_millis(), max.as_millis())]
+    #[diagnostic(help("make the shortest election timeout at least 2 heartbeats and the longest one longer than that: 100 ms with 400 to 800 ms is the default"))]
     Timing {
-        /// Between heartbeats.
+        /// The heartbeat interval.
         heartbeat: Duration,
-        /// The shortest wait.
+        /// The shortest election timeout.
         min: Duration,
-        /// The longest wait.
+        /// The longest election timeout.
         max: Duration,
     },
     /// The operator's folder cannot be used.
-    #[error("the folder {}: {kind}", folder.display())]
-    #[diagnostic(help("see that the disk is mounted; a new voter's folder is made by hand, empty, and writable by this program"))]
+    #[error("cannot use the folder {}: {kind}", folder.display())]
+    #[diagnostic(help("check that the disk is mounted; for a new voter, create an empty folder that this program may write to"))]
     Folder {
-        /// Which.
+        /// The folder.
         folder: PathBuf,
-        /// What the system says.
+        /// The kind of the system's error.
         kind: ErrorKind,
     },
-    /// Another process has the store.
-    #[error("{} is held by another process", file.display())]
+    /// Another process has the store open.
+    #[error("{} is in use by another process", file.display())]
     #[diagnostic(help(
-        "wait until the process before this one has ended, or give each matcher a folder of its own"
+        "wait until the predecessor of this process has exited, or give each matcher a folder of its own"
     ))]
     InUse {
-        /// Which file.
+        /// The file of the store.
         file: PathBuf,
     },
-    /// The store is truncated, overwritten or no store.
-    #[error("{} is spoilt: {reason}", file.display())]
-    #[diagnostic(help("while a majority of the other voters runs: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted by `hopwalk fleet record admit NAME --admin ADDR`; never put back a copy"))]
+    /// The store or its mark is truncated, overwritten, missing or another file.
+    #[error("{} is corrupt: {reason}", file.display())]
+    #[diagnostic(help("while a majority of the voters runs without this one: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted with `hopwalk fleet record admit NAME --admin ADDR`; never restore a copy"))]
     Corrupt {
-        /// Which file.
+        /// The corrupt file.
         file: PathBuf,
-        /// How it shows.
+        /// What is wrong with it.
         reason: String,
     },
-    /// The store is whole, but older than what this voter promised others on it.
-    #[error("{} has write {found}, and write {acknowledged} was promised to others", file.display())]
-    #[diagnostic(help("it lost its last writes, or is an old copy. While a majority of the other voters runs: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted by `hopwalk fleet record admit NAME --admin ADDR`"))]
+    /// The store is valid, but older than what this voter has acknowledged to other voters.
+    #[error("{} ends with write {found}, but write {acknowledged} may have been acknowledged to other voters", file.display())]
+    #[diagnostic(help("the store lost its last writes or is an old copy. While a majority of the voters runs without this one: check the disk, stop this matcher, move all files out of the folder, start it, and have it admitted with `hopwalk fleet record admit NAME --admin ADDR`"))]
     Behind {
-        /// Which file.
+        /// The file of the store.
         file: PathBuf,
-        /// The last write that is there.
+        /// The number of the last write in the store.
         found: u64,
-        /// The last write that was promised.
+        /// The number of the last write that may have been acknowledged.
         acknowledged: u64,
     },
-    /// The store of another fleet or voter.
+    /// The store belongs to another fleet or voter.
     #[error("{} belongs to {name} of fleet {fleet}", file.display())]
     #[diagnostic(help(
         "correct `fleet.routes.folder` or the member's name; each voter has a folder of its own"
     ))]
     Foreign {
-        /// Which file.
+        /// The file of the store.
         file: PathBuf,
-        /// Whose fleet's.
+        /// The name of the fleet that it belongs to.
         fleet: String,
-        /// Whose.
+        /// The name of the voter that it belongs to.
         name: String,
     },
-    /// A store of another version of the program.
-    #[error("{} has format {found}", file.display())]
+    /// The store was written by another version of the program, in a format that this one does not read.
+    #[error("{} has the unknown format {found}", file.display())]
     #[diagnostic(help("run the version of hopwalk that wrote it"))]
     Format {
-        /// Which file.
+        /// The file of the store.
         file: PathBuf,
-        /// Its format.
+        /// The number of its format.
         found: u64,
     },
-    /// Reading or writing failed otherwise.
-    #[error("{}: {kind}", file.display())]
+    /// Reading or writing failed for another reason.
+    #[error("cannot read or write {}: {kind}", file.display())]
     #[diagnostic(help(
-        "see that the disk has room and is sound, and that this program may write there; then restart it"
+        "check that the disk has free space and no faults, and that this program may write to it; then restart it"
     ))]
     Io {
-        /// Which file.
+        /// The file.
         file: PathBuf,
-        /// What the system says.
+        /// The kind of the system's error.
         kind: ErrorKind,
     },
-    /// A store that is new beside a fleet that has a record: it does not vote.
-    #[error("{name} has a new store, and the fleet knows another one of it: it does not vote")]
-    #[diagnostic(help("if its folder was lost or emptied: `hopwalk fleet record admit {name} --admin ADDR`; else put the right folder in place"))]
+    /// The store is new, but the fleet's record has another store of this voter: this one does not vote.
+    #[error("{name} has a new store, but the fleet's record has another store of this voter: the new one does not vote")]
+    #[diagnostic(help("if the folder was lost or emptied: `hopwalk fleet record admit {name} --admin ADDR`; otherwise put the right folder in place"))]
     NotAdmitted {
         /// This voter's name.
         name: String,
     },
-    /// Voters do not name the same voters: no record begins.
+    /// The settings of two voters name different voters: no record can begin.
     #[error("the settings of {name} name other voters than those of this member")]
     #[diagnostic(help("give all voters the same `fleet.routes.voters`"))]
     VotersDiffer {
-        /// Whose settings.
+        /// The other voter.
         name: String,
     },
     /// The record has stopped.
     #[error("the record has stopped")]
-    #[diagnostic(help("the log tells why, such as a full disk: put it right, and restart this matcher"))]
+    #[diagnostic(help("the log shows the cause, such as a full disk: remove it and restart this matcher"))]
     Stopped,
 }
 
-/// Why an entry is not known to be in the log.
+/// Why an entry is not known to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum SubmitError {
-    /// Another one leads: nothing happened.
-    #[error("this member does not lead")]
-    #[diagnostic(help("ask the leader: `hopwalk fleet status` names it"))]
+    /// This member is not the leader. The entry was not submitted.
+    #[error("this member is not the leader")]
+    #[diagnostic(help("repeat this at the leader: `hopwalk fleet status` names it"))]
     NotLeader {
-        /// Who leads, as far as is known here.
+        /// The leader, if this member knows it.
         leader: Option<String>,
     },
-    /// Over the bound: nothing happened.
-    #[error("an entry of {bytes} bytes, over {MOST_ENTRY}")]
+    /// The entry is too long. It was not submitted.
+    #[error("the entry has {bytes} bytes; at most {MAX_ENTRY_BYTES} are allowed")]
     #[diagnostic(help("shorten the table or its names"))]
     TooLong {
-        /// Its length.
+        /// The length of the entry.
         bytes: usize,
     },
-    /// Too many wait: nothing happened.
-    #[error("too many entries wait for a majority")]
-    #[diagnostic(help("see that a majority of the voters runs, and repeat it then"))]
+    /// Too many entries are waiting. This one was not submitted.
+    #[error("too many entries are waiting for a majority")]
+    #[diagnostic(help("check that a majority of the voters runs, and repeat it then"))]
     Busy,
-    /// No majority answers: nothing happened.
-    #[error("no majority of the voters answers")]
+    /// No majority of the voters responds. The entry was not submitted.
+    #[error("no majority of the voters responds")]
     #[diagnostic(help(
-        "`hopwalk fleet status` shows the voters that are heard: a majority of them is needed"
+        "`hopwalk fleet status` shows the voters that respond: a majority of them is needed"
     ))]
     NoMajority,
-    /// It may yet be in the log, or not.
-    #[error("no majority took the entry in {} ms", timeout.as_millis())]
-    #[diagnostic(help("it may take effect yet: look at the state before you repeat it"))]
+    /// The wait timed out: the entry may still take effect, or not.
+    #[error("no majority accepted the entry within {} ms", timeout.as_millis())]
+    #[diagnostic(help("the entry may still take effect: check the state before you repeat it"))]
     OutcomeUnknown {
-        /// How long was waited.
+        /// The timeout.
         timeout: Duration,
     },
     /// The record has stopped.
     #[error("the record has stopped")]
-    #[diagnostic(help("the log of this matcher tells why: put it right, and restart it"))]
+    #[diagnostic(help("the log of this matcher shows the cause: remove it and restart this matcher"))]
     Stopped,
 }
 
-/// Why no majority is known to have answered.
+/// Why a leader could not confirm that it leads.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum ConfirmError {
-    /// Another one leads, or the term changed on the way.
-    #[error("this member does not lead")]
-    #[diagnostic(help("ask the leader: `hopwalk fleet status` names it"))]
+    /// This member is not the leader, or the term changed during the check.
+    #[error("this member is not the leader")]
+    #[diagnostic(help("repeat this at the leader: `hopwalk fleet status` names it"))]
     NotLeader {
-        /// Who leads, as far as is known here.
+        /// The leader, if this member knows it.
         leader: Option<String>,
     },
-    /// Too few answered in time.
-    #[error("no majority of the voters answers")]
+    /// No majority of the voters responded in time.
+    #[error("no majority of the voters responds")]
     #[diagnostic(help(
-        "`hopwalk fleet status` shows the voters that are heard: a majority of them is needed"
+        "`hopwalk fleet status` shows the voters that respond: a majority of them is needed"
     ))]
     NoMajority,
     /// The record has stopped.
     #[error("the record has stopped")]
-    #[diagnostic(help("the log of this matcher tells why: put it right, and restart it"))]
+    #[diagnostic(help("the log of this matcher shows the cause: remove it and restart this matcher"))]
     Stopped,
 }
--- a/src/fleet/record/log.rs
+++ b/src/fleet/record/log.rs
@@ -1,4 +1,5 @@
-//! The log and the state machine, as `openraft` wants them: the store's calls on threads that may block.
+//! The storage traits of `openraft` over the [`Store`], whose calls run on threads that may block: [`Log`] is the log,
+//! [`StateMachine`] the state that results from its entries, and [`SnapshotBuilder`] writes snapshots of that state.
 
 use std::io::Cursor;
 use std::ops::{Bound, RangeBounds};
@@ -12,36 +13,36 @@
 use tokio::sync::watch;
 
 use super::store::{Store, StoreError};
-use super::{MOST_SNAPSHOT, PAYLOAD};
+use super::{MAX_APPEND_BYTES, MAX_SNAPSHOT_BYTES};
 use crate::fleet::state_machine::State;
 use crate::fleet::wire::raft::{NodeId, Outcome, Types, Voter};
 
 type Result<T> = std::result::Result<T, StorageError<NodeId>>;
 
-fn wrong(
+fn storage_error(
     subject: ErrorSubject<NodeId>,
     verb: ErrorVerb,
     error: &(impl std::error::Error + 'static),
 ) -> StorageError<NodeId> {
-    tracing::error!(%error, "the record's store failed: this voter stops");
+    tracing::error!(%error, "the record's store failed; this voter stops");
     StorageIOError::new(subject, verb, AnyError::new(error)).into()
 }
 
-/// Has the store do something on a thread that may block.
-async fn blocking<T: Send + 'static>(
+/// Runs an operation of the store on a thread that may block.
+async fn run_blocking<T: Send + 'static>(
     store: &Arc<Store>,
     (subject, verb): (ErrorSubject<NodeId>, ErrorVerb),
-    act: impl FnOnce(&Store) -> std::result::Result<T, StoreError> + Send + 'static,
+    operation: impl FnOnce(&Store) -> std::result::Result<T, StoreError> + Send + 'static,
 ) -> Result<T> {
-    let held = store.clone();
-    match store.disk().run(move || act(&held)).await {
-        Some(Ok(done)) => Ok(done),
-        Some(Err(error)) => Err(wrong(subject, verb, &error)),
-        None => Err(wrong(subject, verb, &StoreError::Panicked)),
+    let shared_store = store.clone();
+    match store.disk().run_blocking(move || operation(&shared_store)).await {
+        Some(Ok(result)) => Ok(result),
+        Some(Err(error)) => Err(storage_error(subject, verb, &error)),
+        None => Err(storage_error(subject, verb, &StoreError::Panicked)),
     }
 }
 
-/// The log.
+/// The log of the store.
 #[derive(Clone)]
 pub struct Log(pub Arc<Store>);
 
@@ -61,13 +62,13 @@
             Bound::Unbounded => u64::MAX,
         };
         let (logs, read) = (ErrorSubject::Logs, ErrorVerb::Read);
-        blocking(&self.0, (logs, read), move |store| store.entries(from..to, usize::MAX)).await
+        run_blocking(&self.0, (logs, read), move |store| store.entries(from..to, usize::MAX)).await
     }
 
-    /// As many as a frame holds for certain.
+    /// Reads as many entries as are sure to fit into one frame.
     async fn limited_get_log_entries(&mut self, start: u64, end: u64) -> Result<Vec<Entry<Types>>> {
         let (logs, read) = (ErrorSubject::Logs, ErrorVerb::Read);
-        blocking(&self.0, (logs, read), move |store| store.entries(start..end, PAYLOAD)).await
+        run_blocking(&self.0, (logs, read), move |store| store.entries(start..end, MAX_APPEND_BYTES)).await
     }
 }
 
@@ -76,7 +77,7 @@
 
     async fn get_log_state(&mut self) -> Result<LogState<Types>> {
         let (last_purged_log_id, last_log_id) =
-            blocking(&self.0, (ErrorSubject::Logs, ErrorVerb::Read), Store::ends).await?;
+            run_blocking(&self.0, (ErrorSubject::Logs, ErrorVerb::Read), Store::log_ends).await?;
         Ok(LogState { last_purged_log_id, last_log_id })
     }
 
@@ -86,16 +87,18 @@
 
     async fn save_vote(&mut self, vote: &Vote<NodeId>) -> Result<()> {
         let vote = *vote;
-        blocking(&self.0, (ErrorSubject::Vote, ErrorVerb::Write), move |store| store.save_vote(&vote)).await
+        run_blocking(&self.0, (ErrorSubject::Vote, ErrorVerb::Write), move |store| store.save_vote(&vote))
+            .await
     }
 
     async fn read_vote(&mut self) -> Result<Option<Vote<NodeId>>> {
-        let vote = blocking(&self.0, (ErrorSubject::Vote, ErrorVerb::Read), Store::vote).await?;
-        // Asked once, at the start. openraft would have a voter that led lead on in its term; but a term's moments are on
-        // the clock of the life that was elected in it. So this life has to be elected again, in a later term.
-        let own = self.0.node();
-        Ok(vote.map(|vote| match vote.committed && vote.leader_id.voted_for() == Some(own) {
-            true => Vote::new(vote.leader_id.get_term(), own),
+        let vote = run_blocking(&self.0, (ErrorSubject::Vote, ErrorVerb::Read), Store::vote).await?;
+        // openraft reads the vote once, at the start. It would let a former leader continue to lead in its term. But the
+        // times of a term are on the clock of the process that was elected in it, so this process has to be elected
+        // again in a later term.
+        let own_node = self.0.node();
+        Ok(vote.map(|vote| match vote.committed && vote.leader_id.voted_for() == Some(own_node) {
+            true => Vote::new(vote.leader_id.get_term(), own_node),
             false => vote,
         }))
     }
@@ -115,70 +118,74 @@
         I::IntoIter: OptionalSend,
     {
         let entries: Vec<_> = entries.into_iter().collect();
-        let (logs, put) = (ErrorSubject::Logs, ErrorVerb::Write);
-        let done = blocking(&self.0, (logs, put), move |store| store.append(&entries)).await;
-        callback.log_io_completed(done.as_ref().map_err(|e| std::io::Error::other(e.to_string())).copied());
-        done
+        let (logs, write) = (ErrorSubject::Logs, ErrorVerb::Write);
+        let result = run_blocking(&self.0, (logs, write), move |store| store.append(&entries)).await;
+        callback.log_io_completed(result.as_ref().map_err(|e| std::io::Error::other(e.to_string())).copied());
+        result
     }
 
     async fn truncate(&mut self, log_id: LogId<NodeId>) -> Result<()> {
         let (logs, delete) = (ErrorSubject::Logs, ErrorVerb::Delete);
-        blocking(&self.0, (logs, delete), move |store| store.truncate(log_id.index)).await
+        run_blocking(&self.0, (logs, delete), move |store| store.truncate(log_id.index)).await
     }
 
     async fn purge(&mut self, log_id: LogId<NodeId>) -> Result<()> {
-        blocking(&self.0, (ErrorSubject::Logs, ErrorVerb::Delete), move |store| store.purge(log_id)).await
+        run_blocking(&self.0, (ErrorSubject::Logs, ErrorVerb::Delete), move |store| store.purge(log_id)).await
     }
 }
 
-/// How many entries are applied, and what they come to.
-pub type Shown = (u64, Arc<State>);
+/// The number of applied entries, and the resulting state.
+pub type AppliedState = (u64, Arc<State>);
 
-/// What the entries come to. It is not kept by itself: a restart takes the snapshot, and applies the log up to what was
-/// known to be committed.
-pub struct Machine {
+/// The state machine of the log. The store does not hold its state, only snapshots: a restart restores the last snapshot
+/// and applies the log up to the last entry that was known to be committed.
+pub struct StateMachine {
     store: Arc<Store>,
-    shown: watch::Sender<Shown>,
+    published: watch::Sender<AppliedState>,
     state: Arc<State>,
     applied: Option<LogId<NodeId>>,
     membership: StoredMembership<NodeId, Voter>,
 }
 
-impl Machine {
-    /// With the snapshot of the store. `shown` always has the newest state.
-    pub fn new(store: Arc<Store>, shown: watch::Sender<Shown>) -> std::result::Result<Self, StoreError> {
-        let kept = store.snapshot()?;
+impl StateMachine {
+    /// Restores the snapshot of the store. The newest state is always sent to `published`.
+    pub fn new(
+        store: Arc<Store>,
+        published: watch::Sender<AppliedState>,
+    ) -> std::result::Result<Self, StoreError> {
+        let snapshot = store.snapshot()?;
         let mut machine = Self {
             store,
-            shown,
+            published,
             state: Arc::default(),
             applied: None,
             membership: StoredMembership::default(),
         };
-        if let Some((meta, data)) = kept {
-            machine.take(&meta, state_of(&data)?);
+        if let Some((meta, data)) = snapshot {
+            machine.restore(&meta, decode_state(&data)?);
         }
         Ok(machine)
     }
 
-    fn show(&self) {
-        self.shown.send_replace((self.applied.map_or(0, |applied| applied.index + 1), self.state.clone()));
+    fn publish(&self) {
+        self.published
+            .send_replace((self.applied.map_or(0, |applied| applied.index + 1), self.state.clone()));
     }
 
-    fn take(&mut self, meta: &SnapshotMeta<NodeId, Voter>, state: State) {
+    fn restore(&mut self, meta: &SnapshotMeta<NodeId, Voter>, state: State) {
         self.state = Arc::new(state);
         (self.applied, self.membership) = (meta.last_log_id, meta.last_membership.clone());
-        self.show();
+        self.publish();
     }
 }
 
-fn state_of(data: &[u8]) -> std::result::Result<State, StoreError> {
+fn decode_state(data: &[u8]) -> std::result::Result<State, StoreError> {
     let state = postcard::take_from_bytes(data).ok().filter(|(_, rest)| rest.is_empty());
     state.map(|(state, _)| state).ok_or(StoreError::Unreadable("the snapshot"))
 }
 
-impl RaftStateMachine<Types> for Machine {
-    type SnapshotBuilder = Builder;
+impl RaftStateMachine<Types> for StateMachine {
+    type SnapshotBuilder = SnapshotBuilder;
 
     async fn applied_state(&mut self) -> Result<(Option<LogId<NodeId>>, StoredMembership<NodeId, Voter>)> {
         Ok((self.applied, self.membership.clone()))
@@ -194,9 +201,9 @@
             self.applied = Some(entry.log_id);
             outcomes.push(match entry.payload {
                 EntryPayload::Blank => None,
-                EntryPayload::Normal(decided) => {
-                    let fits = decided.fits(entry.log_id.leader_id.term);
-                    Some(fits.and_then(|()| Arc::make_mut(&mut self.state).apply(&decided)))
+                EntryPayload::Normal(fleet_entry) => {
+                    let checked = fleet_entry.check_term(entry.log_id.leader_id.term);
+                    Some(checked.and_then(|()| Arc::make_mut(&mut self.state).apply(&fleet_entry)))
                 }
                 EntryPayload::Membership(membership) => {
                     self.membership = StoredMembership::new(Some(entry.log_id), membership);
@@ -204,13 +211,13 @@
                 }
             });
         }
-        // Before openraft hears of it: whoever sees that an entry is applied sees its state.
-        self.show();
+        // Published before openraft counts the entries as applied, so that whoever sees the count sees the state.
+        self.publish();
         Ok(outcomes)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Builder {
-        Builder {
+    async fn get_snapshot_builder(&mut self) -> SnapshotBuilder {
+        SnapshotBuilder {
             store: self.store.clone(),
             state: self.state.clone(),
             applied: self.applied,
@@ -227,47 +234,48 @@
         meta: &SnapshotMeta<NodeId, Voter>,
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<()> {
-        let (kept, data) = (meta.clone(), snapshot.into_inner());
+        let (stored_meta, data) = (meta.clone(), snapshot.into_inner());
         let subject = (ErrorSubject::Snapshot(Some(meta.signature())), ErrorVerb::Write);
-        // Read before it is kept, and where it may take its time: a voter that hears nothing meanwhile stands for election.
-        let state = blocking(&self.store, subject, move |store| {
-            let state = state_of(&data)?;
-            store.save_snapshot(&kept, &data)?;
+        // Decoded before it is stored, and on a thread that may block: a voter that receives nothing for too long would
+        // start an election.
+        let state = run_blocking(&self.store, subject, move |store| {
+            let state = decode_state(&data)?;
+            store.save_snapshot(&stored_meta, &data)?;
             Ok(state)
         });
-        self.take(meta, state.await?);
+        self.restore(meta, state.await?);
         Ok(())
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<Types>>> {
         let subject = (ErrorSubject::Snapshot(None), ErrorVerb::Read);
-        let kept = blocking(&self.store, subject, Store::snapshot).await?;
-        Ok(kept.map(|(meta, data)| Snapshot { meta, snapshot: Box::new(Cursor::new(data)) }))
+        let stored = run_blocking(&self.store, subject, Store::snapshot).await?;
+        Ok(stored.map(|(meta, data)| Snapshot { meta, snapshot: Box::new(Cursor::new(data)) }))
     }
 }
 
-/// Writes a snapshot of one moment.
-pub struct Builder {
+/// Writes a snapshot of the state at the time when the builder was created.
+pub struct SnapshotBuilder {
     store: Arc<Store>,
     state: Arc<State>,
     applied: Option<LogId<NodeId>>,
     membership: StoredMembership<NodeId, Voter>,
 }
 
-impl RaftSnapshotBuilder<Types> for Builder {
+impl RaftSnapshotBuilder<Types> for SnapshotBuilder {
     async fn build_snapshot(&mut self) -> Result<Snapshot<Types>> {
         let (state, applied, membership) = (self.state.clone(), self.applied, self.membership.clone());
-        // Two snapshots with one name have the same bytes: the state follows from the log.
+        // Two snapshots with the same id have the same bytes, because the state follows from the log.
         let snapshot_id = applied.map_or_else(|| "0".to_string(), |applied| applied.to_string());
         let meta = SnapshotMeta { last_log_id: applied, last_membership: membership, snapshot_id };
-        let (kept, subject) =
+        let (stored_meta, subject) =
             (meta.clone(), (ErrorSubject::Snapshot(Some(meta.signature())), ErrorVerb::Write));
-        let data = blocking(&self.store, subject, move |store| {
+        let data = run_blocking(&self.store, subject, move |store| {
             let data = postcard::to_allocvec(&*state).map_err(|_| StoreError::Unreadable("the state"))?;
-            if data.len() > MOST_SNAPSHOT {
-                return Err(StoreError::Unreadable("a state over the bound of a snapshot"));
+            if data.len() > MAX_SNAPSHOT_BYTES {
+                return Err(StoreError::Unreadable("a state over the length limit of a snapshot"));
             }
-            store.save_snapshot(&kept, &data)?;
+            store.save_snapshot(&stored_meta, &data)?;
             Ok(data)
         })
         .await?;
--- a/src/fleet/record/mark.rs
+++ b/src/fleet/record/mark.rs
@@ -1,9 +1,11 @@
-//! How far the store has promised to others. `redb` goes back to the write before when the last one is spoilt, as it must
-//! after a crash: so what was acknowledged could be lost without a word, and a vote be given twice. The number of each
-//! write is kept beside the store, and a store that has less is refused.
+//! The high-water mark: a file beside the store with the number of the last write that may have been acknowledged to
+//! other voters. `redb` falls back to the previous write if the last one is damaged, as it must after a crash. Without
+//! the mark, acknowledged writes could be lost silently and a voter could vote twice in a term. A store whose last write
+//! has a lower number than its mark is rejected.
 //!
-//! Two slots in turn, each a number and a checksum, so that a torn write leaves the one before. The store has that write
-//! for certain: the mark is written after it, and before anything is acknowledged.
+//! The file has two slots that are written alternately, each with a number and its checksum, so that a torn write leaves
+//! the other slot intact. The store always holds the marked write, because the mark is written after the store and
+//! before anything is acknowledged.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -13,22 +15,22 @@
 use super::disk::{Disk, SlotFile};
 use crate::fleet::wire::raft::NodeId;
 
-/// Bytes of a slot: the number and its checksum.
+/// Length of a slot in bytes: the number and its checksum.
 const SLOT: usize = 16;
-/// SlotFile are this far apart, on sectors of their own.
-const APART: usize = 4096;
-/// Bytes of the file.
-const LENGTH: usize = APART + SLOT;
+/// Distance between the starts of the slots in bytes, so that each has a disk sector of its own.
+const SLOT_DISTANCE: usize = 4096;
+/// Length of the file in bytes.
+const FILE_BYTES: usize = SLOT_DISTANCE + SLOT;
 
-/// The file.
+/// The open mark file of a store.
 #[derive(Debug)]
 pub struct Mark {
     file: Box<dyn SlotFile>,
     node: NodeId,
-    write: u64,
+    last_write: u64,
 }
 
-fn slot(node: NodeId, write: u64) -> [u8; SLOT] {
+fn encode_slot(node: NodeId, write: u64) -> [u8; SLOT] {
     let sum = Sha256::new().chain_update(b"hopwalk mark").chain_update(node.to_be_bytes());
     let sum = sum.chain_update(write.to_be_bytes()).finalize();
     let mut slot = [0; SLOT];
@@ -37,43 +39,44 @@
     slot
 }
 
-fn place(write: u64) -> u64 {
-    (write % 2) * APART as u64
+fn slot_offset(write: u64) -> u64 {
+    (write % 2) * SLOT_DISTANCE as u64
 }
 
-/// What a file holds.
-pub enum Found {
-    /// The last write that was promised.
-    Mark(Mark),
-    /// No file.
-    Nothing,
-    /// No slot is whole, or they are of another store.
-    Spoilt,
+/// The result of opening the mark file of a store.
+pub enum OpenedMark {
+    /// The mark is valid.
+    Valid(Mark),
+    /// There is no file.
+    Missing,
+    /// Neither slot is valid, or the file belongs to another store.
+    Corrupt,
 }
 
 impl Mark {
-    /// Reads the file of a store.
-    pub fn open(disk: &Disk, path: &Path, node: NodeId) -> std::io::Result<Found> {
+    /// Opens the mark file of the store `node`.
+    pub fn open(disk: &Disk, path: &Path, node: NodeId) -> std::io::Result<OpenedMark> {
         let file = match disk.slot_file(path, false) {
             Ok(file) => file,
-            Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Found::Nothing),
+            Err(error) if error.kind() == ErrorKind::NotFound => return Ok(OpenedMark::Missing),
             Err(error) => return Err(error),
         };
-        let bytes = file.read(LENGTH)?;
-        let slots = [0, APART].into_iter().filter_map(|at| bytes.get(at..at + SLOT));
+        let bytes = file.read(FILE_BYTES)?;
+        let slots = [0, SLOT_DISTANCE].into_iter().filter_map(|offset| bytes.get(offset..offset + SLOT));
         let number = |slot: &[u8]| slot.first_chunk().map(|n| u64::from_be_bytes(*n));
-        let whole =
-            slots.filter_map(|found| number(found).filter(|write| slot(node, *write) == *found)).max();
-        Ok(whole.map_or(Found::Spoilt, |write| Found::Mark(Self { file, node, write })))
+        let last_write =
+            slots.filter_map(|slot| number(slot).filter(|write| encode_slot(node, *write) == *slot)).max();
+        Ok(last_write
+            .map_or(OpenedMark::Corrupt, |last_write| OpenedMark::Valid(Self { file, node, last_write })))
     }
 
-    /// A new file, that promises the write `write`. Made under another name first: one that a kill left half made
-    /// would look like one that was spoilt.
+    /// Creates the mark file of the store `node` with the write `write`. The file is created under a temporary name and
+    /// renamed: one that a kill left incomplete would otherwise look corrupt.
     pub fn create(disk: &Disk, path: &Path, node: NodeId, write: u64) -> std::io::Result<Self> {
         let new = path.with_extension("mark.new");
-        let mut mark = Self { file: disk.slot_file(&new, true)?, node, write: 0 };
-        mark.file.resize(LENGTH as u64)?;
-        mark.promise(write)?;
+        let mut mark = Self { file: disk.slot_file(&new, true)?, node, last_write: 0 };
+        mark.file.resize(FILE_BYTES as u64)?;
+        mark.advance_to(write)?;
         mark.file.sync()?;
         disk.rename(&new, path)?;
         if let Some(folder) = path.parent() {
@@ -82,19 +85,20 @@
         Ok(mark)
     }
 
-    /// The last write that was promised.
-    pub fn write(&self) -> u64 {
-        self.write
+    /// Returns the number of the last marked write.
+    pub fn last_write(&self) -> u64 {
+        self.last_write
     }
 
-    /// Promises a write that is in the store; synced when it returns. An earlier one is promised already.
-    pub fn promise(&mut self, write: u64) -> std::io::Result<()> {
-        if write <= self.write {
+    /// Marks a write that is in the store, and syncs the mark before it returns. Does nothing for a write that is not
+    /// later than the mark.
+    pub fn advance_to(&mut self, write: u64) -> std::io::Result<()> {
+        if write <= self.last_write {
             return Ok(());
         }
-        self.file.write(&slot(self.node, write), place(write))?;
+        self.file.write(&encode_slot(self.node, write), slot_offset(write))?;
         self.file.sync()?;
-        self.write = write;
+        self.last_write = write;
         Ok(())
     }
 }
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -1,9 +1,11 @@
-//! The fleet's replicated log, on the voters: `openraft` over [`wire`](super::wire), and a store of its own in the
-//! operator's folder, synced before anything is acknowledged. `docs/record.md` weighs the ways and has the operators'
-//! page. Call everything here within one tokio runtime; nothing in it blocks that.
+//! The record: the fleet's replicated log, which the voters keep. It runs `openraft` over [`wire`](super::wire) on a
+//! store in the operator's folder that is synced before anything is acknowledged. `docs/record.md` compares the
+//! alternatives and has the page for operators. [`Record`] is a voter's handle, [`Standing`] its view of leader and term,
+//! [`Seat`] its role and [`RecordError`] what can go wrong at its start. All of this must be called within one tokio
+//! runtime, which it never blocks.
 //!
-//! A store draws its number when it is made. A voter whose folder is gone comes back with another number, which is no
-//! voter until [`Record::admit`] puts it in the place of the old one: so it cannot vote twice in a term.
+//! A store gets a random number when it is created. A voter that lost its folder comes back with another number and
+//! does not vote until [`Record::admit`] replaces the earlier number: so no voter votes twice in a term.
 
 pub mod disk;
 mod election;
@@ -36,53 +38,54 @@
 use super::wire::Client;
 use disk::Disk;
 use election::ShorterLog;
-use log::{Log, Machine, Shown};
-use network::Ways;
+use log::{AppliedState, Log, StateMachine};
+use network::VoterNetwork;
 use store::Store;
 
-/// The longest entry, in bytes: the longest table, with room for names.
-pub const MOST_ENTRY: usize = 80 << 10;
-/// Bytes of entries that go into one message, unless one alone is longer.
-const PAYLOAD: usize = 512 << 10;
-/// The largest state, in bytes.
-pub const MOST_SNAPSHOT: usize = 32 << 20;
-/// Bytes of a snapshot in one message.
-const CHUNK: u64 = 256 << 10;
-/// Entries that wait for a majority at once.
-const MOST_SUBMITTED: usize = 64;
-/// How long an entry may take.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// How long an admission may take.
-const ADMISSION: Duration = Duration::from_millis(2500);
-/// How long a voter may take to say who it is.
-const HELLO: Duration = Duration::from_millis(500);
+/// Length limit of an entry in bytes: the longest table, with room for names.
+pub const MAX_ENTRY_BYTES: usize = 80 << 10;
+/// Bytes of entries that are sent in one message, unless a single entry is longer.
+const MAX_APPEND_BYTES: usize = 512 << 10;
+/// Length limit of a snapshot of the state in bytes.
+pub const MAX_SNAPSHOT_BYTES: usize = 32 << 20;
+/// Bytes of a snapshot that are sent in one message.
+const SNAPSHOT_CHUNK_BYTES: u64 = 256 << 10;
+/// Number of entries that may wait for a majority at once.
+const MAX_PENDING_ENTRIES: usize = 64;
+/// Timeout for a majority to accept an entry or to confirm the leader.
+const MAJORITY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of an admission.
+const ADMIT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout for a voter's reply to a hello request.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
 
-type Log0 = Raft<Types>;
+type RaftHandle = Raft<Types>;
 
-/// What a voter's record needs to know.
+/// Configuration of a voter's record.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The fleet's name.
     pub fleet: String,
-    /// This voter's name; among the voters.
+    /// This voter's name, which must be one of the voters.
     pub name: String,
-    /// The operator's folder: it exists, and holds nothing else.
+    /// The operator's folder, which must exist and hold nothing but the store.
     pub folder: PathBuf,
-    /// All voters, this one included.
+    /// Names and addresses of all voters, including this one.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Between two heartbeats of the leader.
+    /// Interval between two heartbeats of the leader.
     pub heartbeat: Duration,
-    /// Without a leader a voter stands for election after a time between these. After an election that nobody won it is
-    /// a time from the first to the sum of both.
+    /// The shortest and the longest election timeout: a voter that has no leader starts an election after a random time
+    /// between them. After an election that nobody won, the random time is between the shortest and the sum of both.
     pub election: (Duration, Duration),
-    /// A snapshot is made after so many entries; a tenth of them stays in the log, for voters that lag a little.
-    pub entries: u64,
-    /// What the folder is on.
+    /// Number of entries after which a snapshot is made. A tenth of them stays in the log for voters that lag a little.
+    pub snapshot_interval: u64,
+    /// The disk that holds the folder.
     pub disk: Disk,
 }
 
 impl Options {
-    /// Heartbeats of 100 ms, elections after 400 to 800 ms, a snapshot after 1,000 entries.
+    /// Returns options with heartbeats every 100 ms, election timeouts of 400 to 800 ms and a snapshot after 1,000
+    /// entries.
     pub fn new(
         fleet: impl Into<String>,
         name: impl Into<String>,
@@ -98,72 +101,74 @@
             voters,
             heartbeat,
             election,
-            entries: 1000,
+            snapshot_interval: 1000,
             disk: Disk::Files,
         }
     }
 
-    /// The names of the voters, sorted.
-    fn named(&self) -> Vec<String> {
+    /// Returns the names of the voters, sorted.
+    fn voter_names(&self) -> Vec<String> {
         let names: BTreeSet<_> = self.voters.iter().map(|(name, _)| name.clone()).collect();
         names.into_iter().collect()
     }
 
-    fn check(&self) -> Result<Config, RecordError> {
-        let names = self.named();
+    /// Checks the options and returns the configuration for openraft.
+    fn raft_config(&self) -> Result<Config, RecordError> {
+        let names = self.voter_names();
         if !matches!(names.len(), 1 | 3 | 5) || names.len() != self.voters.len() {
             return Err(RecordError::Voters { count: names.len() });
         }
         if !names.contains(&self.name) {
             return Err(RecordError::NotAVoter { name: self.name.clone() });
         }
-        let (heartbeat, (least, most)) = (self.heartbeat, self.election);
-        if heartbeat.is_zero() || least < heartbeat * 2 || most.as_millis() <= least.as_millis() {
-            return Err(RecordError::Timing { heartbeat, min: least, max: most });
+        let (heartbeat, (min, max)) = (self.heartbeat, self.election);
+        if heartbeat.is_zero() || min < heartbeat * 2 || max.as_millis() <= min.as_millis() {
+            return Err(RecordError::Timing { heartbeat, min, max });
         }
         let ms = |time: Duration| time.as_millis() as u64;
         let config = Config {
             cluster_name: self.fleet.clone(),
             heartbeat_interval: ms(heartbeat),
-            election_timeout_min: ms(least),
-            election_timeout_max: ms(most),
+            election_timeout_min: ms(min),
+            election_timeout_max: ms(max),
             install_snapshot_timeout: 1000,
-            // Bounded by bytes as well, in `Log::limited_get_log_entries`.
+            // `Log::limited_get_log_entries` limits the bytes as well.
             max_payload_entries: 64,
-            replication_lag_threshold: self.entries,
-            snapshot_policy: SnapshotPolicy::LogsSinceLast(self.entries),
-            snapshot_max_chunk_size: CHUNK,
-            max_in_snapshot_log_to_keep: self.entries / 10,
+            replication_lag_threshold: self.snapshot_interval,
+            snapshot_policy: SnapshotPolicy::LogsSinceLast(self.snapshot_interval),
+            snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES,
+            max_in_snapshot_log_to_keep: self.snapshot_interval / 10,
             ..Config::default()
         };
-        config.validate().map_err(|_| RecordError::Timing { heartbeat, min: least, max: most })
+        config.validate().map_err(|_| RecordError::Timing { heartbeat, min, max })
     }
 }
 
-/// How the record stands, as this voter sees it.
+/// The status of the record as this voter sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Standing {
-    /// The highest term that is known.
+    /// The highest term that this voter knows.
     pub term: u64,
-    /// Who leads in it, as far as is known.
+    /// The leader of that term, if this voter knows it.
     pub leader: Option<String>,
-    /// This voter leads, and has applied an entry of its own term: so it has all that was ever acknowledged. It may be cut
-    /// off, and another one elected: what must not be said then needs [`Record::confirm`].
+    /// Whether this voter is the leader and has applied an entry of its own term, and so has everything that was ever
+    /// acknowledged. It may be cut off while another voter has been elected: whatever must not be done then needs
+    /// [`Record::confirm`].
     pub leads: bool,
-    /// So many entries are applied, the log's own included.
+    /// The number of applied entries, including openraft's own entries.
     pub applied: u64,
-    /// This voter's part in it.
+    /// This voter's role in the record.
     pub seat: Seat,
 }
 
 struct Shared {
     options: Options,
-    raft: Log0,
+    raft: RaftHandle,
     store: Arc<Store>,
     clients: Arc<BTreeMap<String, Client>>,
     standing: watch::Receiver<Standing>,
-    state: watch::Receiver<Shown>,
-    submitted: Semaphore,
+    state: watch::Receiver<AppliedState>,
+    pending_entries: Semaphore,
     tasks: Vec<AbortHandle>,
 }
 
@@ -173,76 +178,90 @@
     }
 }
 
-/// A voter's part in the record; clones share it.
+/// A voter's handle to the record. Clones share it.
 #[derive(Clone)]
 pub struct Record {
     shared: Arc<Shared>,
 }
 
 impl Record {
-    /// Opens the voter's store, or makes one in an empty folder, and takes part. `clients` are the links to the other
-    /// voters, by name. Where no voter has a record yet, the one with the lowest name begins it, once all of them have
-    /// said so.
+    /// Opens the voter's store, or creates one in an empty folder, and joins the record. `clients` are the links to the
+    /// other voters by name. If no voter has a record yet, the voter with the lowest name begins one after all other
+    /// voters have answered with a new store.
     ///
     /// # Errors
-    /// [`RecordError`]. After [`RecordError::InUse`] a later try may go well: a process that hands over holds the store
-    /// until its [`Record::close`].
+    /// Returns a [`RecordError`]. After [`RecordError::InUse`] a later attempt may succeed: a predecessor keeps the store
+    /// open until its [`Record::close`].
     pub async fn open(options: Options, clients: BTreeMap<String, Client>) -> Result<Self, RecordError> {
-        let config = options.check()?;
+        let config = options.raft_config()?;
         let (folder, fleet, name) = (options.folder.clone(), options.fleet.clone(), options.name.clone());
-        let drawn = chance::number().ok_or(RecordError::Stopped)?;
+        let new_node = chance::number().ok_or(RecordError::Stopped)?;
         let disk = options.disk.clone();
-        let opened = options.disk.run(move || Store::open_on(&disk, &folder, &fleet, &name, drawn)).await;
+        let opened =
+            options.disk.run_blocking(move || Store::open_on(&disk, &folder, &fleet, &name, new_node)).await;
         let store = Arc::new(opened.ok_or(RecordError::Stopped)??);
         let clients = Arc::new(clients);
         let shorter_log = ShorterLog::default();
-        let ways =
-            Ways { clients: clients.clone(), heartbeat: options.heartbeat, shorter_log: shorter_log.clone() };
-        let (shown, state) = watch::channel(Shown::default());
+        let network = VoterNetwork {
+            clients: clients.clone(),
+            heartbeat: options.heartbeat,
+            shorter_log: shorter_log.clone(),
+        };
+        let (published, state) = watch::channel(AppliedState::default());
         let unreadable = |error: store::StoreError| {
-            let file = options.folder.join(store::STORE);
+            let file = options.folder.join(store::STORE_FILE);
             RecordError::Corrupt { file, reason: error.to_string() }
         };
-        let machine = Machine::new(store.clone(), shown).map_err(unreadable)?;
-        let raft = Raft::new(store.node(), Arc::new(config), ways, Log(store.clone()), machine).await;
+        let state_machine = StateMachine::new(store.clone(), published).map_err(unreadable)?;
+        let raft =
+            Raft::new(store.node(), Arc::new(config), network, Log(store.clone()), state_machine).await;
         let raft = raft.map_err(|error| RecordError::Corrupt {
-            file: options.folder.join(store::STORE),
+            file: options.folder.join(store::STORE_FILE),
             reason: error.to_string(),
         })?;
         let (seats, seat) = watch::channel(Seat::Forming);
         let first = standing(&raft.metrics().borrow(), Seat::Forming);
         let (standings, standing) = watch::channel(first);
         let mut tasks = vec![
-            tokio::spawn(seat::take(options.clone(), raft.clone(), store.node(), clients.clone(), seats)),
-            tokio::spawn(stand(raft.metrics(), seat, standings)),
+            tokio::spawn(seat::maintain(options.clone(), raft.clone(), store.node(), clients.clone(), seats)),
+            tokio::spawn(publish_standing(raft.metrics(), seat, standings)),
         ];
-        // A voter that is alone always wins.
+        // A single voter wins every election.
         if options.voters.len() > 1 {
-            tasks.push(tokio::spawn(election::stand_again(raft.clone(), options.election, shorter_log)));
+            tasks.push(tokio::spawn(election::retry_elections(raft.clone(), options.election, shorter_log)));
         }
         let tasks = tasks.iter().map(JoinHandle::abort_handle).collect();
-        let submitted = Semaphore::new(MOST_SUBMITTED);
+        let pending_entries = Semaphore::new(MAX_PENDING_ENTRIES);
         Ok(Self {
-            shared: Arc::new(Shared { options, raft, store, clients, standing, state, submitted, tasks }),
+            shared: Arc::new(Shared {
+                options,
+                raft,
+                store,
+                clients,
+                standing,
+                state,
+                pending_entries,
+                tasks,
+            }),
         })
     }
 
-    /// How it stands, now and whenever that changes.
+    /// Returns a receiver of this voter's [`Standing`] and of all its changes.
     pub fn watch(&self) -> watch::Receiver<Standing> {
         self.shared.standing.clone()
     }
 
-    /// What was decided, with all that [`Standing::applied`] counts.
+    /// Returns the current state. It includes at least the entries that [`Standing::applied`] counts.
     pub fn state(&self) -> Arc<State> {
         self.shared.state.borrow().1.clone()
     }
 
-    /// How many entries are applied and what they come to, now and whenever that changes.
-    pub fn watch_state(&self) -> watch::Receiver<Shown> {
+    /// Returns a receiver of the number of applied entries with the resulting state, and of all changes.
+    pub fn watch_state(&self) -> watch::Receiver<AppliedState> {
         self.shared.state.clone()
     }
 
-    /// The number of this voter's store.
+    /// Returns the number of this voter's store.
     pub fn node(&self) -> NodeId {
         self.shared.store.node()
     }
@@ -251,56 +270,59 @@
         self.shared.standing.borrow().leader.clone()
     }
 
-    /// Puts an entry into the log, and waits until a majority has it and it is applied here. The inner result is what it
-    /// did. An entry that is put twice is refused the second time, or does nothing ([`State::apply`]).
+    /// Appends an entry to the log, and waits until a majority has it and it is applied here. The inner result is the
+    /// effect of the entry. An entry that is submitted twice is rejected the second time or has no further effect (see
+    /// [`State::apply`]).
     ///
     /// # Errors
-    /// [`SubmitError`]: only after [`SubmitError::OutcomeUnknown`] it may yet take effect.
+    /// Returns a [`SubmitError`]. The entry may still take effect only after [`SubmitError::OutcomeUnknown`].
     pub async fn submit(&self, entry: Entry) -> Result<Result<Applied, Rejection>, SubmitError> {
         let bytes = postcard::experimental::serialized_size(&entry).unwrap_or(usize::MAX);
-        if bytes > MOST_ENTRY {
+        if bytes > MAX_ENTRY_BYTES {
             return Err(SubmitError::TooLong { bytes });
         }
-        let Ok(_slot) = self.shared.submitted.try_acquire() else { return Err(SubmitError::Busy) };
-        // A leader that is cut off would pile up entries without end: it does not step down by itself.
-        let alone = self.shared.raft.metrics().borrow().millis_since_quorum_ack;
-        if alone.is_some_and(|ms| u128::from(ms) > (self.shared.options.election.1 * 2).as_millis()) {
+        let Ok(_slot) = self.shared.pending_entries.try_acquire() else { return Err(SubmitError::Busy) };
+        // A leader that is cut off does not step down by itself and would accumulate entries without limit.
+        let since_majority_ms = self.shared.raft.metrics().borrow().millis_since_quorum_ack;
+        if since_majority_ms
+            .is_some_and(|ms| u128::from(ms) > (self.shared.options.election.1 * 2).as_millis())
+        {
             return Err(SubmitError::NoMajority);
         }
-        match timeout(PATIENCE, self.shared.raft.client_write(entry)).await {
+        match timeout(MAJORITY_TIMEOUT, self.shared.raft.client_write(entry)).await {
             Ok(Ok(written)) => written.data.ok_or(SubmitError::Stopped),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
-                Err(SubmitError::NotLeader { leader: self.named(&to) })
+                Err(SubmitError::NotLeader { leader: self.leader_name(&to) })
             }
             Ok(Err(_)) => Err(SubmitError::Stopped),
-            Err(_) => Err(SubmitError::OutcomeUnknown { timeout: PATIENCE }),
+            Err(_) => Err(SubmitError::OutcomeUnknown { timeout: MAJORITY_TIMEOUT }),
         }
     }
 
-    fn named(&self, to: &ForwardToLeader<NodeId, Voter>) -> Option<String> {
+    fn leader_name(&self, to: &ForwardToLeader<NodeId, Voter>) -> Option<String> {
         to.leader_node.as_ref().map(|voter| voter.name.clone()).or_else(|| self.leader())
     }
 
-    /// Returns the term in which this voter leads, once a majority of the voters, this one included, has answered
-    /// something that was sent after the call began. So no other leader had been elected when it began.
+    /// Returns the term in which this voter is the leader, once a majority of the voters, including this one, has
+    /// answered a message that was sent after the call began. So no other leader had been elected when the call began.
     ///
-    /// It relies on openraft 0.9's `handle_check_is_leader_request` (core/raft_core.rs), behind `get_read_log_id`: the core
-    /// takes the request from its queue, sends each other voter an empty AppendEntries under its own vote, on a client of
-    /// its own and not from a cache or lease, and replies once the voters that answered, other than by a higher vote, are
-    /// a quorum of the effective membership (of both in a joint one). Who answers has not seen a higher vote by then; a
-    /// later leader needs the vote of one of them. Each message names the store that is meant, so that a new store does
-    /// not answer for a lost one. The vote is looked at before and after, in the same queue: votes only grow, so the
-    /// check was made under that vote. With one voter there is nobody to ask.
+    /// This relies on `handle_check_is_leader_request` of openraft 0.9 (core/raft_core.rs), behind `get_read_log_id`. The
+    /// core takes the request from its queue and sends each other voter an empty AppendEntries under its own vote, on a
+    /// client of its own and not from a cache or lease. It replies once the voters that answered, other than with a
+    /// higher vote, are a quorum of the effective membership (of both in a joint one). A voter that answers has not seen
+    /// a higher vote by then, and a later leader needs the vote of one of them. Each message names the store that it is
+    /// for, so that a new store does not answer for a lost one. The vote is read before and after through the same queue:
+    /// votes only grow, so an equal vote means that the check was made under it. A single voter has no other to ask.
     ///
     /// # Errors
-    /// [`ConfirmError`].
+    /// Returns a [`ConfirmError`].
     pub async fn confirm(&self) -> Result<u64, ConfirmError> {
-        // Each message has a heartbeat's time by itself; the store can hold up the core for longer.
-        timeout(PATIENCE, self.confirmed()).await.unwrap_or(Err(ConfirmError::NoMajority))
+        // Each message times out after one heartbeat interval, but the store can delay the core for longer.
+        timeout(MAJORITY_TIMEOUT, self.confirm_leadership()).await.unwrap_or(Err(ConfirmError::NoMajority))
     }
 
-    async fn confirmed(&self) -> Result<u64, ConfirmError> {
-        let lost = |leader| ConfirmError::NotLeader { leader };
+    async fn confirm_leadership(&self) -> Result<u64, ConfirmError> {
+        let not_leader = |leader| ConfirmError::NotLeader { leader };
         let vote = || async {
             self.shared
                 .raft
@@ -312,7 +334,7 @@
         match self.shared.raft.get_read_log_id().await {
             Ok(_) => {}
             Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(to))) => {
-                return Err(lost(self.named(&to)))
+                return Err(not_leader(self.leader_name(&to)))
             }
             Err(RaftError::APIError(CheckIsLeaderError::QuorumNotEnough(_))) => {
                 return Err(ConfirmError::NoMajority)
@@ -321,16 +343,16 @@
         }
         let own = before.committed && before.leader_id.voted_for() == Some(self.node());
         if !own || vote().await? != before {
-            return Err(lost(self.leader()));
+            return Err(not_leader(self.leader()));
         }
         Ok(before.leader_id.get_term())
     }
 
-    /// Answers another voter's message to the store `to`.
+    /// Handles another voter's message to the store `to`, and returns the response.
     pub async fn serve(&self, to: NodeId, request: RaftRequest) -> RaftResponse {
-        let (raft, here) = (&self.shared.raft, self.node());
-        if to != here {
-            return RaftResponse::Refused(RaftRefusal::OtherStore { asked: to, here });
+        let (raft, own_node) = (&self.shared.raft, self.node());
+        if to != own_node {
+            return RaftResponse::Refused(RaftRefusal::OtherStore { asked: to, here: own_node });
         }
         let stopped = RaftResponse::Refused(RaftRefusal::Stopped);
         match request {
@@ -340,8 +362,8 @@
             RaftRequest::Vote(request) => raft.vote(request).await.map_or(stopped, RaftResponse::Vote),
             RaftRequest::Snapshot(request) => {
                 let offset = request.offset;
-                // openraft writes each part where it says: the bound is ours.
-                if offset.saturating_add(request.data.len() as u64) > MOST_SNAPSHOT as u64 {
+                // openraft writes each part at its offset without a limit.
+                if offset.saturating_add(request.data.len() as u64) > MAX_SNAPSHOT_BYTES as u64 {
                     return RaftResponse::Refused(RaftRefusal::Part { offset });
                 }
                 match raft.install_snapshot(request).await {
@@ -353,24 +375,24 @@
         }
     }
 
-    /// Who this voter is.
+    /// Returns this voter's reply to a hello request: its store, its settings and what it knows of the record.
     pub async fn hello(&self) -> Hello {
         let known = self.shared.raft.with_raft_state(|state| {
             let voters: Vec<_> = state.membership_state.effective().membership().voter_ids().collect();
             (state.vote_ref().leader_id.get_term(), voters)
         });
         let (term, voters) = known.await.unwrap_or_default();
-        // A record that has stopped says that there is one: nobody begins another beside it.
+        // A stopped record counts as initialized, so that no voter begins another one beside it.
         let initialized = self.shared.raft.is_initialized().await.unwrap_or(true);
-        let named = self.shared.options.named();
+        let named = self.shared.options.voter_names();
         Hello { node: Some(self.node()), initialized, voters, named, term, leader: self.leader() }
     }
 
-    /// Puts the store that voter `name` has now in the place of its earlier one. Only at the leader; to admit twice does no
-    /// harm, and finishes an admission that was cut short.
+    /// Replaces the earlier store of the voter `name` by the one that it has now. Only the leader can do this. Admitting
+    /// the same store again is harmless and completes an interrupted admission.
     ///
     /// # Errors
-    /// [`AdmitError`].
+    /// Returns an [`AdmitError`].
     pub async fn admit(&self, name: &str) -> Result<(), AdmitError> {
         let named = || name.to_string();
         if !self.shared.options.voters.iter().any(|(voter, _)| voter == name) {
@@ -382,56 +404,56 @@
         if name == self.shared.options.name {
             return Ok(());
         }
-        let until = Instant::now() + ADMISSION;
+        let deadline = Instant::now() + ADMIT_TIMEOUT;
         let client = self.shared.clients.get(name).ok_or_else(|| AdmitError::Unknown { name: named() })?;
-        let hello = match client.request(&Request::Hello, HELLO).await {
+        let hello = match client.request(&Request::Hello, HELLO_TIMEOUT).await {
             Ok(Response::Hello(hello)) => hello,
             _ => return Err(AdmitError::Silent { name: named() }),
         };
-        let new = hello.node.ok_or_else(|| AdmitError::Silent { name: named() })?;
+        let new_node = hello.node.ok_or_else(|| AdmitError::Silent { name: named() })?;
         let raft = &self.shared.raft;
         let membership = raft.metrics().borrow().membership_config.clone();
         let membership = membership.membership();
-        let known = membership.get_node(&new);
-        // A store that an earlier admission reached has part of this record: it names a store that votes in it. Numbers are
-        // drawn from 64 bits, so no other record has the same.
+        let known = membership.get_node(&new_node);
+        // A store that an interrupted admission has reached holds a part of this record and names a store that votes in
+        // it. Store numbers are random 64-bit numbers, so no other record has the same.
         let related = hello.voters.iter().any(|id| membership.get_node(id).is_some());
         if hello.initialized && known.is_none() && !related {
             return Err(AdmitError::OtherRecord { name: named() });
         }
         let failed = |error| match error {
             RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => {
-                AdmitError::NotLeader { leader: self.named(&to) }
+                AdmitError::NotLeader { leader: self.leader_name(&to) }
             }
             _ => AdmitError::NoMajority,
         };
         let late = |_| AdmitError::NoMajority;
         if known.is_none() {
-            let added = raft.add_learner(new, Voter { name: named() }, true);
-            timeout_at(until, added).await.map_err(late)?.map_err(failed)?;
+            let added = raft.add_learner(new_node, Voter { name: named() }, true);
+            timeout_at(deadline, added).await.map_err(late)?.map_err(failed)?;
         }
-        // The newest of the two configurations, if a change was cut short.
-        let last = membership.get_joint_config().last().cloned().unwrap_or_default();
-        let is_old = |id: &NodeId| membership.get_node(id).is_some_and(|voter| voter.name == name);
-        let mut voters: BTreeSet<_> = last.into_iter().filter(|id| !is_old(id)).collect();
-        voters.insert(new);
+        // The newer one of the two configurations if an earlier change was interrupted.
+        let newest = membership.get_joint_config().last().cloned().unwrap_or_default();
+        let is_earlier_store = |id: &NodeId| membership.get_node(id).is_some_and(|voter| voter.name == name);
+        let mut voters: BTreeSet<_> = newest.into_iter().filter(|id| !is_earlier_store(id)).collect();
+        voters.insert(new_node);
         if membership.get_joint_config().len() == 1
             && membership.voter_ids().collect::<BTreeSet<_>>() == voters
         {
             return Ok(());
         }
         let changed = raft.change_membership(voters, false);
-        timeout_at(until, changed).await.map_err(late)?.map_err(failed)?;
-        tracing::info!(voter = name, store = new, "a voter's new store was admitted");
+        timeout_at(deadline, changed).await.map_err(late)?.map_err(failed)?;
+        tracing::info!(voter = name, store = new_node, "a voter's new store was admitted");
         Ok(())
     }
 
-    /// Takes no part any more, and releases the store.
+    /// Leaves the record and closes the store.
     pub async fn close(&self) {
         self.shared.tasks.iter().for_each(AbortHandle::abort);
         let _ = self.shared.raft.shutdown().await;
         let store = self.shared.store.clone();
-        let _ = self.shared.store.disk().run(move || store.close()).await;
+        let _ = self.shared.store.disk().run_blocking(move || store.close()).await;
     }
 }
 
@@ -451,8 +473,8 @@
     }
 }
 
-/// Tells how the record stands, as openraft and the seat change.
-async fn stand(
+/// Publishes the [`Standing`] whenever openraft's metrics or the seat change.
+async fn publish_standing(
     mut metrics: watch::Receiver<RaftMetrics<NodeId, Voter>>,
     mut seat: watch::Receiver<Seat>,
     standings: watch::Sender<Standing>,
@@ -460,7 +482,7 @@
     loop {
         let now = standing(&metrics.borrow_and_update(), *seat.borrow_and_update());
         if now.seat == Seat::Stopped && standings.borrow().seat != Seat::Stopped {
-            tracing::error!(error = %RecordError::Stopped, "this voter takes no part any more");
+            tracing::error!(error = %RecordError::Stopped, "this voter no longer takes part in the record");
         }
         standings.send_if_modified(|last| {
             let changed = *last != now;
--- a/src/fleet/record/network.rs
+++ b/src/fleet/record/network.rs
@@ -1,4 +1,5 @@
-//! `openraft`'s way to the other voters: a request on the link to the name that the log gives a store.
+//! The network layer for `openraft`: [`VoterNetwork`] opens a [`VoterConnection`] for each store of another voter. A
+//! message goes over the link to the voter whose name the log gives for the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,54 +22,55 @@
 use crate::fleet::wire::raft::{NodeId, RaftRefusal, RaftRequest, RaftResponse, Types, Voter};
 use crate::fleet::wire::{Client, WireError};
 
-/// The links to the other voters, by name.
+/// The factory of connections to the other voters.
 #[derive(Clone)]
-pub struct Ways {
+pub struct VoterNetwork {
+    /// The links to the other voters by name.
     pub clients: Arc<BTreeMap<String, Client>>,
     pub heartbeat: Duration,
     pub shorter_log: ShorterLog,
 }
 
-impl RaftNetworkFactory<Types> for Ways {
-    type Network = Way;
+impl RaftNetworkFactory<Types> for VoterNetwork {
+    type Network = VoterConnection;
 
-    async fn new_client(&mut self, target: NodeId, node: &Voter) -> Way {
-        Way {
+    async fn new_client(&mut self, target: NodeId, node: &Voter) -> VoterConnection {
+        VoterConnection {
             target,
             name: node.name.clone(),
             client: self.clients.get(&node.name).cloned(),
-            pause: self.heartbeat,
+            retry_interval: self.heartbeat,
             shorter_log: self.shorter_log.clone(),
         }
     }
 }
 
-/// The way to one store.
-pub struct Way {
+/// The connection to one store of another voter.
+pub struct VoterConnection {
     target: NodeId,
     name: String,
     client: Option<Client>,
-    pause: Duration,
+    retry_interval: Duration,
     shorter_log: ShorterLog,
 }
 
-/// Why there is no answer of the store that was meant.
+/// Why the target store did not answer a message.
 #[derive(Debug, Error)]
-enum WayError {
-    #[error("{0} is no voter in the settings of this member")]
-    Unknown(String),
-    #[error("{0} answered something else")]
-    Other(String),
+enum CallError {
+    #[error("{0} is not a voter in the settings of this member")]
+    NotAVoter(String),
+    #[error("{0} sent an unexpected response")]
+    UnexpectedResponse(String),
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error(transparent)]
     Refused(#[from] RaftRefusal),
 }
 
-impl WayError {
-    fn rpc<E: std::error::Error>(self) -> RPCError<NodeId, Voter, E> {
+impl CallError {
+    fn into_rpc_error<E: std::error::Error>(self) -> RPCError<NodeId, Voter, E> {
         match &self {
-            // The request is at most on its way: openraft repeats it with its next heartbeat.
+            // The request may have been delivered: openraft repeats it with its next heartbeat.
             Self::Wire(WireError::Closed { .. } | WireError::Silent { .. }) => {
                 NetworkError::new(&self).into()
             }
@@ -77,35 +79,39 @@
     }
 }
 
-impl Way {
-    async fn ask(&self, request: RaftRequest, patience: Duration) -> Result<RaftResponse, WayError> {
-        let client = self.client.as_ref().ok_or_else(|| WayError::Unknown(self.name.clone()))?;
+impl VoterConnection {
+    async fn call(&self, request: RaftRequest, timeout: Duration) -> Result<RaftResponse, CallError> {
+        let client = self.client.as_ref().ok_or_else(|| CallError::NotAVoter(self.name.clone()))?;
         let request = Request::Raft { to: self.target, request: Box::new(request) };
-        match client.request(&request, patience).await? {
+        match client.request(&request, timeout).await? {
             Response::Raft(response) => match *response {
                 RaftResponse::Refused(refusal) => Err(refusal.into()),
                 response => Ok(response),
             },
-            _ => Err(self.other()),
+            _ => Err(self.unexpected_response()),
         }
     }
 
-    fn other(&self) -> WayError {
-        WayError::Other(self.name.clone())
+    fn unexpected_response(&self) -> CallError {
+        CallError::UnexpectedResponse(self.name.clone())
     }
 }
 
-type Answer<T, E = RaftError<NodeId>> = Result<T, RPCError<NodeId, Voter, E>>;
+type RpcResult<T, E = RaftError<NodeId>> = Result<T, RPCError<NodeId, Voter, E>>;
 
-impl RaftNetwork<Types> for Way {
+impl RaftNetwork<Types> for VoterConnection {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> Answer<AppendEntriesResponse<NodeId>> {
-        match self.ask(RaftRequest::Append(rpc), option.hard_ttl()).await.map_err(WayError::rpc)? {
+    ) -> RpcResult<AppendEntriesResponse<NodeId>> {
+        match self
+            .call(RaftRequest::Append(rpc), option.hard_ttl())
+            .await
+            .map_err(CallError::into_rpc_error)?
+        {
             RaftResponse::Append(response) => Ok(response),
-            _ => Err(self.other().rpc()),
+            _ => Err(self.unexpected_response().into_rpc_error()),
         }
     }
 
@@ -113,39 +119,39 @@
         &mut self,
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> Answer<InstallSnapshotResponse<NodeId>, RaftError<NodeId, InstallSnapshotError>> {
+    ) -> RpcResult<InstallSnapshotResponse<NodeId>, RaftError<NodeId, InstallSnapshotError>> {
         let (id, offset) = (rpc.meta.snapshot_id.clone(), rpc.offset);
-        match self.ask(RaftRequest::Snapshot(rpc), option.hard_ttl()).await {
+        match self.call(RaftRequest::Snapshot(rpc), option.hard_ttl()).await {
             Ok(RaftResponse::Snapshot(response)) => Ok(response),
-            // openraft begins the snapshot anew.
-            Err(WayError::Refused(RaftRefusal::Part { .. })) => {
+            // openraft starts the snapshot again from its beginning.
+            Err(CallError::Refused(RaftRefusal::Part { .. })) => {
                 let expect = SnapshotSegmentId { id: id.clone(), offset: 0 };
                 let mismatch = SnapshotMismatch { expect, got: SnapshotSegmentId { id, offset } };
                 let error = RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch));
                 Err(RemoteError::new(self.target, error).into())
             }
-            Err(WayError::Refused(RaftRefusal::Stopped)) => {
+            Err(CallError::Refused(RaftRefusal::Stopped)) => {
                 Err(RemoteError::new(self.target, RaftError::Fatal(Fatal::Stopped)).into())
             }
-            Ok(_) => Err(self.other().rpc()),
-            Err(error) => Err(error.rpc()),
+            Ok(_) => Err(self.unexpected_response().into_rpc_error()),
+            Err(error) => Err(error.into_rpc_error()),
         }
     }
 
-    async fn vote(&mut self, rpc: VoteRequest<NodeId>, option: RPCOption) -> Answer<VoteResponse<NodeId>> {
+    async fn vote(&mut self, rpc: VoteRequest<NodeId>, option: RPCOption) -> RpcResult<VoteResponse<NodeId>> {
         let (term, last_log) = (rpc.vote.leader_id.get_term(), rpc.last_log_id);
-        match self.ask(RaftRequest::Vote(rpc), option.hard_ttl()).await.map_err(WayError::rpc)? {
+        match self.call(RaftRequest::Vote(rpc), option.hard_ttl()).await.map_err(CallError::into_rpc_error)? {
             RaftResponse::Vote(response) => {
                 if !response.vote_granted && response.last_log_id > last_log {
-                    self.shorter_log.refused_in(term);
+                    self.shorter_log.vote_denied_in(term);
                 }
                 Ok(response)
             }
-            _ => Err(self.other().rpc()),
+            _ => Err(self.unexpected_response().into_rpc_error()),
         }
     }
 
     fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(self.pause))
+        Backoff::new(std::iter::repeat(self.retry_interval))
     }
 }
--- a/src/fleet/record/seat.rs
+++ b/src/fleet/record/seat.rs
@@ -1,4 +1,5 @@
-//! A voter's part in the record, and how a record begins.
+//! A voter's role in the record ([`Seat`]), and how the voters initialize a new record. [`maintain`] joins the record
+//! and publishes the seat; [`next_step`] decides for a new store and does no I/O.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,88 +10,88 @@
 use tokio::task::JoinSet;
 
 use super::error::RecordError;
-use super::{Options, HELLO};
+use super::{Options, HELLO_TIMEOUT};
 use crate::fleet::wire::message::{Hello, Request, Response};
 use crate::fleet::wire::raft::{NodeId, Types, Voter};
 use crate::fleet::wire::Client;
 
-/// A voter's part.
+/// A voter's role in the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seat {
-    /// It waits for all voters, so that a record can begin, or for the first word of the one that began it.
+    /// It waits for all voters so that a record can begin, or for the first message of the voter that began it.
     Forming,
     /// Its store votes.
     Voter,
-    /// Its store is new, and the fleet knows another one of it: it does not vote until it is admitted.
+    /// Its store is new, but the record has another store of this voter: it does not vote until it is admitted.
     Stranger,
-    /// Its store is being admitted, or was replaced by another one.
+    /// Its store is being admitted, or has been replaced by another one.
     Learner,
-    /// It stopped, for its store failed or it was closed.
+    /// It has stopped because its store failed or because it was closed.
     Stopped,
 }
 
-/// What the other voters say about a store that is new.
+/// What a voter with a new store does next, given the hello replies of the other voters.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Advice {
-    /// Not all have answered, or the record is on its way here.
+pub(super) enum NextStep {
+    /// Wait: not all voters have answered, or the record's first message is still to come.
     Wait,
-    /// There is a record, and this store has no part in it.
-    Stranger,
+    /// Wait for an operator: there is a record that does not have this store.
+    AwaitAdmission,
     /// This voter's settings name other voters than this member's.
-    OtherList(String),
-    /// There is none, and it is up to this voter to begin it, with these stores.
-    Begin(BTreeMap<NodeId, Voter>),
+    VotersDiffer(String),
+    /// Initialize a record with these stores: there is none, and this voter has the lowest name.
+    Initialize(BTreeMap<NodeId, Voter>),
 }
 
-/// Decides it; no I/O. `answers` are those of the other voters.
-pub(super) fn advise(options: &Options, own: NodeId, answers: &[(String, Hello)]) -> Advice {
+/// Decides the next step of a voter with the new store `own_node`. `answers` are the hello replies of the other voters.
+pub(super) fn next_step(options: &Options, own_node: NodeId, answers: &[(String, Hello)]) -> NextStep {
     let initialized = || answers.iter().filter(|(_, hello)| hello.initialized);
-    if initialized().any(|(_, hello)| !hello.voters.is_empty() && !hello.voters.contains(&own)) {
-        return Advice::Stranger;
+    if initialized().any(|(_, hello)| !hello.voters.is_empty() && !hello.voters.contains(&own_node)) {
+        return NextStep::AwaitAdmission;
     }
-    let named = options.named();
+    let named = options.voter_names();
     if named.first() != Some(&options.name) || initialized().next().is_some() {
-        return Advice::Wait;
+        return NextStep::Wait;
     }
-    // With other lists two voters could begin two records, of which one voter is in both. Who has yet to open its store
-    // names nobody.
+    // If their lists differed, two voters could begin two records that have a voter in common. A voter that has not
+    // opened its store yet names no voters.
     if let Some((name, _)) = answers.iter().find(|(_, hello)| !hello.named.is_empty() && hello.named != named)
     {
-        return Advice::OtherList(name.clone());
+        return NextStep::VotersDiffer(name.clone());
     }
     let stores = answers.iter().filter_map(|(name, hello)| Some((hello.node?, Voter { name: name.clone() })));
     let mut stores: BTreeMap<_, _> = stores.collect();
-    stores.insert(own, Voter { name: options.name.clone() });
-    // All voters, each with a store of its own.
+    stores.insert(own_node, Voter { name: options.name.clone() });
+    // All voters have answered, each with a store of its own.
     match stores.len() == options.voters.len() {
-        true => Advice::Begin(stores),
-        false => Advice::Wait,
+        true => NextStep::Initialize(stores),
+        false => NextStep::Wait,
     }
 }
 
-async fn ask(clients: &BTreeMap<String, Client>) -> Vec<(String, Hello)> {
-    let mut asking = JoinSet::new();
+async fn request_hellos(clients: &BTreeMap<String, Client>) -> Vec<(String, Hello)> {
+    let mut requests = JoinSet::new();
     for (name, client) in clients.clone() {
-        asking.spawn(async move {
-            match client.request(&Request::Hello, HELLO).await {
+        requests.spawn(async move {
+            match client.request(&Request::Hello, HELLO_TIMEOUT).await {
                 Ok(Response::Hello(hello)) => Some((name, hello)),
                 _ => None,
             }
         });
     }
-    asking.join_all().await.into_iter().flatten().collect()
+    requests.join_all().await.into_iter().flatten().collect()
 }
 
-fn report(error: &RecordError, what: &str) {
+fn log_error(error: &RecordError, message: &str) {
     let help = error.help().map(|help| help.to_string()).unwrap_or_default();
-    tracing::error!(%error, help, "{what}");
+    tracing::error!(%error, help, "{message}");
 }
 
-/// Takes the voter's seat, and tells which it is.
-pub(super) async fn take(
+/// Joins or initializes the record, and publishes the voter's seat in `seats` until the record is closed.
+pub(super) async fn maintain(
     options: Options,
     raft: Raft<Types>,
-    own: NodeId,
+    own_node: NodeId,
     clients: Arc<BTreeMap<String, Client>>,
     seats: watch::Sender<Seat>,
 ) {
@@ -100,29 +101,29 @@
         .filter(|(name, _)| *name != options.name)
         .filter_map(|(name, _)| Some((name.clone(), clients.get(name)?.clone())))
         .collect();
-    let tell = |seat| {
+    let set_seat = |seat| {
         let changed = seats.send_if_modified(|last| std::mem::replace(last, seat) != seat);
         if changed && seat == Seat::Stranger {
             let error = RecordError::NotAdmitted { name: options.name.clone() };
-            report(&error, "this voter has no part in the record");
+            log_error(&error, "this voter does not take part in the record");
         }
     };
     let mut warned = None;
-    // Until the store has a part in a record.
+    // Repeats until the store belongs to a record.
     while let Ok(false) = raft.is_initialized().await {
-        match advise(&options, own, &ask(&clients).await) {
-            Advice::Wait => {}
-            Advice::Stranger => tell(Seat::Stranger),
-            Advice::OtherList(name) => {
+        match next_step(&options, own_node, &request_hellos(&clients).await) {
+            NextStep::Wait => {}
+            NextStep::AwaitAdmission => set_seat(Seat::Stranger),
+            NextStep::VotersDiffer(name) => {
                 if warned.as_ref() != Some(&name) {
                     let error = RecordError::VotersDiffer { name: name.clone() };
-                    report(&error, "the fleet's record cannot begin");
+                    log_error(&error, "the fleet's record cannot begin");
                 }
                 warned = Some(name);
             }
-            Advice::Begin(stores) => match raft.initialize(stores).await {
-                Ok(()) => tracing::info!("the fleet's record begins"),
-                Err(error) => tracing::warn!(%error, "the fleet's record could not begin"),
+            NextStep::Initialize(stores) => match raft.initialize(stores).await {
+                Ok(()) => tracing::info!("initialized the fleet's record"),
+                Err(error) => tracing::warn!(%error, "the fleet's record could not be initialized"),
             },
         }
         tokio::time::sleep(options.heartbeat).await;
@@ -130,10 +131,10 @@
     let mut metrics = raft.metrics();
     loop {
         let membership = metrics.borrow_and_update().membership_config.clone();
-        if membership.voter_ids().any(|id| id == own) {
-            tell(Seat::Voter);
-        } else if membership.membership().get_node(&own).is_some() || *seats.borrow() == Seat::Voter {
-            tell(Seat::Learner);
+        if membership.voter_ids().any(|id| id == own_node) {
+            set_seat(Seat::Voter);
+        } else if membership.membership().get_node(&own_node).is_some() || *seats.borrow() == Seat::Voter {
+            set_seat(Seat::Learner);
         }
         if metrics.changed().await.is_err() {
             return;
@@ -156,33 +157,34 @@
     }
 
     #[test]
-    fn a_record_begins_at_the_lowest_name_once_all_are_new() {
+    fn the_voter_with_the_lowest_name_initializes_the_record_once_all_have_new_stores() {
         let (own, all) = (options("a"), [new("b", 2), new("c", 3)]);
         let voter = |name: &str| Voter { name: name.into() };
         let stores = BTreeMap::from([(1, voter("a")), (2, voter("b")), (3, voter("c"))]);
-        assert_eq!(advise(&own, 1, &all), Advice::Begin(stores));
-        assert_eq!(advise(&own, 1, &all[..1]), Advice::Wait);
-        assert_eq!(advise(&options("b"), 2, &[new("a", 1), new("c", 3)]), Advice::Wait);
-        // One store under two names is a wrong address.
-        assert_eq!(advise(&own, 1, &[new("b", 2), new("c", 2)]), Advice::Wait);
+        assert_eq!(next_step(&own, 1, &all), NextStep::Initialize(stores));
+        assert_eq!(next_step(&own, 1, &all[..1]), NextStep::Wait);
+        assert_eq!(next_step(&options("b"), 2, &[new("a", 1), new("c", 3)]), NextStep::Wait);
+        // One store under two names means that an address is wrong.
+        assert_eq!(next_step(&own, 1, &[new("b", 2), new("c", 2)]), NextStep::Wait);
         let opening = ("c".into(), Hello::default());
-        assert_eq!(advise(&own, 1, &[new("b", 2), opening]), Advice::Wait);
+        assert_eq!(next_step(&own, 1, &[new("b", 2), opening]), NextStep::Wait);
         let mut other = new("c", 3);
         other.1.named.push("d".into());
-        assert_eq!(advise(&own, 1, &[new("b", 2), other]), Advice::OtherList("c".into()));
+        assert_eq!(next_step(&own, 1, &[new("b", 2), other]), NextStep::VotersDiffer("c".into()));
     }
 
     #[test]
-    fn a_store_beside_a_record_without_it_is_a_stranger() {
-        let begun = |voters: &[NodeId]| {
+    fn a_store_that_is_not_in_an_existing_record_awaits_admission() {
+        let initialized = |voters: &[NodeId]| {
             let (name, hello) = new("b", 2);
             (name, Hello { initialized: true, voters: voters.to_vec(), ..hello })
         };
         for name in ["a", "c"] {
-            assert_eq!(advise(&options(name), 1, &[begun(&[9, 2, 3])]), Advice::Stranger);
-            // It voted, and has no log yet; or the record has this store, and its first word is on the way.
-            assert_eq!(advise(&options(name), 1, &[begun(&[]), new("c", 3)]), Advice::Wait);
-            assert_eq!(advise(&options(name), 1, &[begun(&[1, 2, 3]), new("c", 3)]), Advice::Wait);
+            assert_eq!(next_step(&options(name), 1, &[initialized(&[9, 2, 3])]), NextStep::AwaitAdmission);
+            // The other voter has voted and has no log yet, or the record has this store and its first message is still
+            // to come.
+            assert_eq!(next_step(&options(name), 1, &[initialized(&[]), new("c", 3)]), NextStep::Wait);
+            assert_eq!(next_step(&options(name), 1, &[initialized(&[1, 2, 3]), new("c", 3)]), NextStep::Wait);
         }
     }
 }
--- a/src/fleet/state_machine.rs
+++ b/src/fleet/state_machine.rs
@@ -1,5 +1,6 @@
-//! All that the fleet decides, in the order of one log: route tables and their activations, experiments and their ends.
-//! [`State::apply`] is deterministic and does no I/O, so every voter that applied the same entries holds the same state.
+//! The state machine of the fleet's replicated log: route tables with their activations, and experiments with their
+//! verdicts. An [`Entry`] is one command in the log and [`State`] the result of all entries. [`State::apply`] is
+//! deterministic and does no I/O, so all voters that applied the same entries hold the same state.
 
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
@@ -11,31 +12,32 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// About tables and activations.
+    /// Changes route tables or activations.
     Routes(routes::Entry),
-    /// About experiments.
+    /// Changes experiments.
     Experiment(experiment::record::Entry),
 }
 
 impl Entry {
-    /// Whether an order is within the record's bounds, before it comes into the log.
+    /// Checks the length limits of an entry before it is submitted to the log.
     ///
     /// # Errors
-    /// [`Rejection`].
+    /// Returns a [`Rejection`] for an entry over a limit.
     pub fn check_bounds(&self) -> Result<(), Rejection> {
         match self {
             Self::Routes(entry) => entry.bounded().map_err(Rejection::Routes),
-            // They are looked at as they are applied.
+            // `State::apply` checks these.
             Self::Experiment(_) => Ok(()),
         }
     }
 
-    /// Whether it may be in the log of this term. A moment is on the clock of the leader of one term: where that one led
-    /// again, in a later term, before its entry came into the log, nobody knows what leases were granted since.
+    /// Checks that the entry may be applied in the term in which it was appended to the log. The time in a commit is on
+    /// the clock of the leader of one term. If the same voter became the leader of a later term before the entry was in
+    /// the log, the leases that were granted in between are unknown.
     ///
     /// # Errors
-    /// [`Rejection`].
-    pub fn fits(&self, term: u64) -> Result<(), Rejection> {
+    /// Returns a [`Rejection`] for a commit that was stamped in another term.
+    pub fn check_term(&self, term: u64) -> Result<(), Rejection> {
         match self {
             Self::Routes(routes::Entry::Commit { at, .. }) if at.term != term => {
                 Err(routes::RecordError::OtherTerm { stamped: at.term, term }.into())
@@ -45,42 +47,42 @@
     }
 }
 
-/// What an entry did.
+/// The effect of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Applied {
-    /// To tables and activations.
+    /// The effect on route tables and activations.
     Routes(routes::Applied),
-    /// To experiments.
+    /// The effect on experiments.
     Experiment(experiment::record::Applied),
 }
 
-/// Why an entry changed nothing.
+/// Why an entry was rejected. A rejected entry changes nothing.
 #[derive(Clone, Debug, PartialEq, Error, Diagnostic, Serialize, Deserialize)]
 pub enum Rejection {
-    /// Of tables and activations.
+    /// Rejected by the state of route tables and activations.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Routes(#[from] routes::RecordError),
-    /// Of experiments.
+    /// Rejected by the state of experiments.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Experiment(#[from] experiment::record::RecordError),
 }
 
-/// What all entries come to.
+/// The state that results from all applied entries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// Tables and activations.
+    /// Route tables and activations.
     pub routes: routes::State,
     /// Experiments.
     pub experiments: experiment::record::State,
 }
 
 impl State {
-    /// Takes the next entry of the log.
+    /// Applies the next entry of the log.
     ///
     /// # Errors
-    /// [`Rejection`] for an entry that does not fit what was decided before; nothing is changed then.
+    /// Returns a [`Rejection`] for an entry that conflicts with the current state, which stays unchanged then.
     pub fn apply(&mut self, entry: &Entry) -> Result<Applied, Rejection> {
         match entry {
             Entry::Routes(entry) => Ok(Applied::Routes(self.routes.apply(entry)?)),
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -11,7 +11,8 @@
 
 use hopwalk::fleet::record::store::Store;
 use hopwalk::fleet::record::{
-    ConfirmError, Options, Record, RecordError, Seat, Standing, SubmitError, MOST_ENTRY, MOST_SNAPSHOT,
+    ConfirmError, Options, Record, RecordError, Seat, Standing, SubmitError, MAX_ENTRY_BYTES,
+    MAX_SNAPSHOT_BYTES,
 };
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
@@ -122,7 +123,8 @@
         let clients =
             clients.map(|(n, at)| (n.clone(), Client::start(Local::new("f", name), n, *at, None))).collect();
         let mut options = Options::new("f", name, self.base.join(name), self.addresses.clone());
-        (options.heartbeat, options.election, options.entries) = (ms(100), self.election, self.entries);
+        (options.heartbeat, options.election, options.snapshot_interval) =
+            (ms(100), self.election, self.entries);
         let record = Record::open(options, clients).await.unwrap();
         let (served, vote_delay) = (record.clone(), self.vote_delay);
         let handler = move |_: Arc<Caller>, request: Request| -> Answering {
@@ -249,8 +251,9 @@
         let leader = &fleet.voters[first].record;
         let term = leader.confirm().await.unwrap();
         assert_eq!(term, leader.watch().borrow().term);
-        let long = leader.submit(Entry::Routes(routes::Entry::Rollback { by: "x".repeat(MOST_ENTRY) })).await;
-        assert!(matches!(long, Err(SubmitError::TooLong { bytes }) if bytes > MOST_ENTRY), "{long:?}");
+        let long =
+            leader.submit(Entry::Routes(routes::Entry::Rollback { by: "x".repeat(MAX_ENTRY_BYTES) })).await;
+        assert!(matches!(long, Err(SubmitError::TooLong { bytes }) if bytes > MAX_ENTRY_BYTES), "{long:?}");
 
         fleet.stop(first).await;
         let since = Instant::now();
@@ -437,7 +440,7 @@
             // All purged their logs, so the one that was away can only have it from a snapshot.
             let store = Store::open(&fleet.base.join(name), "f", name, 0).unwrap();
             let (_, data) = store.snapshot().unwrap().unwrap();
-            assert!(store.ends().unwrap().0.is_some() && data.len() > 256 << 10, "{} bytes", data.len());
+            assert!(store.log_ends().unwrap().0.is_some() && data.len() > 256 << 10, "{} bytes", data.len());
             drop(store);
             fleet.start(name).await;
         }
@@ -488,7 +491,7 @@
         assert_eq!(state.routes.tables().count(), routes::MOST_TABLES);
         assert_eq!(state.routes.history().count(), routes::MOST_HISTORY);
         let bytes = postcard::experimental::serialized_size(&*state).unwrap();
-        println!("the largest record, without experiments: {bytes} bytes of {MOST_SNAPSHOT}");
+        println!("the largest record, without experiments: {bytes} bytes of {MAX_SNAPSHOT_BYTES}");
         assert!(bytes > routes::MOST_TABLES * MOST_BYTES && bytes < 5 << 20, "{bytes}");
         let since = Instant::now();
         fleet.start(away).await;
@@ -499,7 +502,7 @@
         // Its log was purged up to what it never had: it has that from the snapshot.
         let store = Store::open(&fleet.base.join(away), "f", away, 0).unwrap();
         let (_, data) = store.snapshot().unwrap().unwrap();
-        assert!(store.ends().unwrap().0.is_some() && data.len() > 4 << 20, "{} bytes", data.len());
+        assert!(store.log_ends().unwrap().0.is_some() && data.len() > 4 << 20, "{} bytes", data.len());
     });
 }
 
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -4,7 +4,7 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-use hopwalk::fleet::record::store::{Store, MARK, STORE};
+use hopwalk::fleet::record::store::{Store, MARK_FILE, STORE_FILE};
 use hopwalk::fleet::record::RecordError;
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::state_machine;
@@ -32,7 +32,7 @@
     /// The files as they are at this moment, as after a kill.
     fn copy(&self, name: &str) -> Self {
         let copy = Self::new(name);
-        for file in [STORE, MARK] {
+        for file in [STORE_FILE, MARK_FILE] {
             fs::copy(self.0.join(file), copy.0.join(file)).unwrap();
         }
         copy
@@ -72,7 +72,7 @@
 fn state(store: &Store) -> State {
     let entries = store.entries(0..u64::MAX, usize::MAX).unwrap();
     let bytes = entries.iter().map(|entry| postcard::to_allocvec(entry).unwrap()).collect();
-    (store.vote().unwrap(), bytes, store.ends().unwrap().1)
+    (store.vote().unwrap(), bytes, store.log_ends().unwrap().1)
 }
 
 #[test]
@@ -106,17 +106,17 @@
 ) -> [usize; 2] {
     let good = from.copy(&format!("{name}-good"));
     let expected = state(&good.open().unwrap());
-    let bytes = fs::read(from.0.join(STORE)).unwrap();
+    let bytes = fs::read(from.0.join(STORE_FILE)).unwrap();
     let (mut errors, mut behind) = (0, 0);
     for at in at.iter().copied().filter(|at| *at < bytes.len()) {
         let copy = from.copy(&format!("{name}-{at}"));
         let mut spoilt = bytes.clone();
         change(&mut spoilt, at);
-        fs::write(copy.0.join(STORE), spoilt).unwrap();
+        fs::write(copy.0.join(STORE_FILE), spoilt).unwrap();
         match copy.open() {
             Ok(store) => assert_eq!(state(&store), expected, "{name}: {what} at {at}"),
             Err(error) => {
-                assert!(error.to_string().contains(STORE) && error.help().is_some(), "{error:?}");
+                assert!(error.to_string().contains(STORE_FILE) && error.help().is_some(), "{error:?}");
                 let kind = matches!(error, RecordError::Corrupt { .. } | RecordError::Behind { .. });
                 assert!(
                     kind || matches!(error, RecordError::Format { .. }),
@@ -138,7 +138,7 @@
     let killed = folder.copy("spoilt-killed");
     store.close();
     for (name, folder) in [("closed", &folder), ("killed", &killed)] {
-        let length = fs::metadata(folder.0.join(STORE)).unwrap().len() as usize;
+        let length = fs::metadata(folder.0.join(STORE_FILE)).unwrap().len() as usize;
         let pages = length / 4096;
         let spread: Vec<usize> = (0..pages).step_by((pages / 12).max(1)).map(|page| page * 4096).collect();
         let cuts: Vec<usize> = [0, 1, 9, 64, 320, 512].into_iter().chain(spread.iter().copied()).collect();
@@ -164,13 +164,13 @@
     let old = folder.copy("behind-old");
     store.save_vote(&Vote::new(2, NODE)).unwrap();
     store.close();
-    fs::copy(old.0.join(STORE), folder.0.join(STORE)).unwrap();
+    fs::copy(old.0.join(STORE_FILE), folder.0.join(STORE_FILE)).unwrap();
     for _ in 0..2 {
         let error = folder.open().unwrap_err();
         assert!(matches!(error, RecordError::Behind { found: 2, acknowledged: 3, .. }), "{error:?}");
     }
     // A torn mark has the slot before; one without a whole slot is an error, and so is none.
-    let mark = folder.0.join(MARK);
+    let mark = folder.0.join(MARK_FILE);
     let torn = |file: &Path, at: usize| {
         let mut bytes = fs::read(file).unwrap();
         bytes[at] ^= 1;
@@ -196,7 +196,7 @@
 
     let store = folder.open().unwrap();
     let held = folder.open().unwrap_err();
-    assert!(matches!(&held, RecordError::InUse { file } if *file == folder.0.join(STORE)), "{held:?}");
+    assert!(matches!(&held, RecordError::InUse { file } if *file == folder.0.join(STORE_FILE)), "{held:?}");
     store.close();
     assert!(store.vote().is_err() && store.save_vote(&Vote::new(1, NODE)).is_err());
 
@@ -206,17 +206,17 @@
         assert!(foreign.to_string().contains("a of fleet f"), "{foreign}");
     }
     // A store that was killed while it was made is made anew, and one that was made is not.
-    fs::remove_file(folder.0.join(MARK)).unwrap();
+    fs::remove_file(folder.0.join(MARK_FILE)).unwrap();
     fs::write(folder.0.join("record.mark.new"), "half").unwrap();
     assert_eq!(Store::open(&folder.0, "f", "a", 5).unwrap().node(), NODE);
-    assert!(folder.0.join(MARK).exists() && !folder.0.join("record.mark.new").exists());
-    fs::remove_file(folder.0.join(STORE)).unwrap();
+    assert!(folder.0.join(MARK_FILE).exists() && !folder.0.join("record.mark.new").exists());
+    fs::remove_file(folder.0.join(STORE_FILE)).unwrap();
     assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
-    fs::remove_file(folder.0.join(MARK)).unwrap();
+    fs::remove_file(folder.0.join(MARK_FILE)).unwrap();
     fs::write(folder.0.join("record.new"), "half").unwrap();
     assert_eq!(Store::open(&folder.0, "f", "a", 5).unwrap().node(), 5);
-    fs::write(folder.0.join(STORE), "").unwrap();
+    fs::write(folder.0.join(STORE_FILE), "").unwrap();
     assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
-    fs::write(folder.0.join(STORE), "no store at all").unwrap();
+    fs::write(folder.0.join(STORE_FILE), "no store at all").unwrap();
     assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { .. }));
 }
--- a/tests/sweep.rs
+++ b/tests/sweep.rs
@@ -12,7 +12,7 @@
 use std::sync::{mpsc, Mutex};
 use std::time::{Duration, Instant};
 
-use hopwalk::fleet::record::store::{Kept, Store, MARK, STORE};
+use hopwalk::fleet::record::store::{Store, StoredSnapshot, MARK_FILE, STORE_FILE};
 use hopwalk::fleet::record::RecordError;
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::state_machine;
@@ -44,7 +44,7 @@
 
 type Files = [Vec<u8>; 2];
 /// All that a voter's promises stand on: vote, entries, ends, snapshot.
-type State = (Option<Vote<NodeId>>, Vec<Vec<u8>>, [Option<LogId<NodeId>>; 2], Option<Kept>);
+type State = (Option<Vote<NodeId>>, Vec<Vec<u8>>, [Option<LogId<NodeId>>; 2], Option<StoredSnapshot>);
 type Open<'a> = &'a (dyn Fn(&Path) -> Result<Store, RecordError> + Sync);
 
 /// A moment after a write was acknowledged.
@@ -66,7 +66,7 @@
     let told = |error: &dyn std::fmt::Display| error.to_string();
     let entries = store.entries(0..u64::MAX, usize::MAX).map_err(|e| told(&e))?;
     let entries = entries.iter().map(|entry| postcard::to_allocvec(entry).unwrap()).collect();
-    let (purged, last) = store.ends().map_err(|e| told(&e))?;
+    let (purged, last) = store.log_ends().map_err(|e| told(&e))?;
     let snapshot = store.snapshot().map_err(|e| told(&e))?;
     Ok((store.vote().map_err(|e| told(&e))?, entries, [purged, last], snapshot))
 }
@@ -83,7 +83,7 @@
     }
 
     fn put(&self, files: &Files) {
-        for (name, bytes) in [STORE, MARK].iter().zip(files) {
+        for (name, bytes) in [STORE_FILE, MARK_FILE].iter().zip(files) {
             let file = OpenOptions::new().write(true).create(true).truncate(false).open(self.0.join(name));
             let file = file.unwrap();
             file.set_len(bytes.len() as u64).unwrap();
@@ -92,7 +92,7 @@
     }
 
     fn files(&self) -> Files {
-        [STORE, MARK].map(|name| fs::read(self.0.join(name)).unwrap())
+        [STORE_FILE, MARK_FILE].map(|name| fs::read(self.0.join(name)).unwrap())
     }
 }
 
@@ -279,7 +279,7 @@
     // What it showed it has promised: others may count on it without a further write.
     store.close();
     if newest {
-        fs::write(folder.0.join(STORE), &before.files[0]).unwrap();
+        fs::write(folder.0.join(STORE_FILE), &before.files[0]).unwrap();
         match open(&folder.0) {
             Err(RecordError::Behind { .. }) => {}
             other => return Err(format!("it was shown, and then the write before it was: {other:?}")),
@@ -486,18 +486,18 @@
     let (moments, _) = moments("planted", false);
     let first = &moments[0].files[1];
     let unmarked = |folder: &Path| {
-        fs::write(folder.join(MARK), first).unwrap();
+        fs::write(folder.join(MARK_FILE), first).unwrap();
         open(folder)
     };
     let unpromised = |folder: &Path| {
-        let mark = fs::read(folder.join(MARK)).unwrap();
+        let mark = fs::read(folder.join(MARK_FILE)).unwrap();
         let opened = open(folder);
-        fs::write(folder.join(MARK), mark).unwrap();
+        fs::write(folder.join(MARK_FILE), mark).unwrap();
         opened
     };
     let anew = |folder: &Path| {
         open(folder).or_else(|_| {
-            for file in [STORE, MARK] {
+            for file in [STORE_FILE, MARK_FILE] {
                 fs::remove_file(folder.join(file)).unwrap();
             }
             open(folder)
