--- a/src/fleet/record/network.rs
+++ b/src/fleet/record/network.rs
@@ -97,14 +97,14 @@
     }
 }
 
-type RpcResult<T, E = RaftError<NodeId>> = Result<T, RPCError<NodeId, Voter, E>>;
+type RpcReply<T, E = RaftError<NodeId>> = Result<T, RPCError<NodeId, Voter, E>>;
 
 impl RaftNetwork<Types> for VoterConnection {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> RpcResult<AppendEntriesResponse<NodeId>> {
+    ) -> RpcReply<AppendEntriesResponse<NodeId>> {
         match self
             .call(RaftRequest::Append(rpc), option.hard_ttl())
             .await
@@ -119,7 +119,7 @@
         &mut self,
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> RpcResult<InstallSnapshotResponse<NodeId>, RaftError<NodeId, InstallSnapshotError>> {
+    ) -> RpcReply<InstallSnapshotResponse<NodeId>, RaftError<NodeId, InstallSnapshotError>> {
         let (id, offset) = (rpc.meta.snapshot_id.clone(), rpc.offset);
         match self.call(RaftRequest::Snapshot(rpc), option.hard_ttl()).await {
             Ok(RaftResponse::Snapshot(response)) => Ok(response),
@@ -138,7 +138,7 @@
         }
     }
 
-    async fn vote(&mut self, rpc: VoteRequest<NodeId>, option: RPCOption) -> RpcResult<VoteResponse<NodeId>> {
+    async fn vote(&mut self, rpc: VoteRequest<NodeId>, option: RPCOption) -> RpcReply<VoteResponse<NodeId>> {
         let (term, last_log) = (rpc.vote.leader_id.get_term(), rpc.last_log_id);
         match self.call(RaftRequest::Vote(rpc), option.hard_ttl()).await.map_err(CallError::into_rpc_error)? {
             RaftResponse::Vote(response) => {
