--- a/tests/record.rs
+++ b/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record of a fleet: voters over loopback that lose their leader, their processes and their folders.
+//! The record of a fleet, with voters over loopback that lose their leader, their processes or their folders.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -34,12 +34,12 @@
     run_within(Duration::from_secs(60), test)
 }
 
-fn run_within<T>(most: Duration, test: impl Future<Output = T>) -> T {
+fn run_within<T>(limit: Duration, test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(most, test).await.expect("the test hangs") })
+    runtime.block_on(async { tokio::time::timeout(limit, test).await.expect("the test timed out") })
 }
 
-/// A table of about `bytes` bytes, another one for each number.
+/// A table of about `bytes` bytes that differs for each number.
 fn table(number: usize, bytes: usize) -> String {
     let pools: Vec<_> = (0..1 + bytes / 80)
         .map(|i| format!(r#""p{i}-{number}":[{{"address":"127.0.0.1:{}","weight":1}}]"#, 1000 + i))
@@ -52,18 +52,18 @@
     Entry::Routes(routes::Entry::Propose { table: table(number, bytes), by: "o".into() })
 }
 
-/// A table of [`MOST_BYTES`] in its canonical form, another one for each number.
+/// A table of [`MOST_BYTES`] in its canonical form that differs for each number.
 fn longest_table(number: u64) -> String {
     let pool = r#"[{"address":"127.0.0.1:1","weight":1}]"#;
-    let with = |room: usize| {
-        let name = format!("{number:0>room$}");
+    let with_name_length = |length: usize| {
+        let name = format!("{number:0>length$}");
         let route = r#"{"class":"c","pool":"a","timeout_ms":5,"tries":1,"without":false}"#;
         format!(r#"{{"pools":{{"a":{pool},"{name}":{pool}}},"routes":[{route}]}}"#)
     };
-    with(10 + MOST_BYTES - with(10).len())
+    with_name_length(10 + MOST_BYTES - with_name_length(10).len())
 }
 
-/// One process of a voter.
+/// A running process of a voter.
 struct Voter {
     record: Record,
     server: Server,
@@ -74,24 +74,24 @@
         self.record.watch().borrow().clone()
     }
 
-    async fn until(&self, what: &str, met: impl Fn(&Standing) -> bool) -> Standing {
+    async fn wait_until(&self, expected: &str, condition: impl Fn(&Standing) -> bool) -> Standing {
         let mut watch = self.record.watch();
-        let standing = tokio::time::timeout(Duration::from_secs(20), watch.wait_for(|s| met(s))).await;
-        let standing = standing.unwrap_or_else(|_| panic!("{what}: {:?}", self.standing())).unwrap();
+        let standing = tokio::time::timeout(Duration::from_secs(20), watch.wait_for(|s| condition(s))).await;
+        let standing = standing.unwrap_or_else(|_| panic!("{expected}: {:?}", self.standing())).unwrap();
         standing.clone()
     }
 }
 
-/// Folders and addresses of voters, and the processes that are there now.
+/// Folders and addresses of the voters, and the voters that are running.
 struct Fleet {
     base: PathBuf,
-    /// Held while voters come and go on them.
+    /// Reserved while voters stop and start on them.
     _ports: Vec<ReservedPort>,
     addresses: Vec<(String, SocketAddr)>,
     voters: BTreeMap<&'static str, Voter>,
-    entries: u64,
+    snapshot_interval: u64,
     election: (Duration, Duration),
-    /// Each request for a vote is on its way for so long.
+    /// Delay of each vote request.
     vote_delay: Duration,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Fleet {
-    fn new(names: &[&'static str], entries: u64) -> Self {
+    fn new(names: &[&'static str], snapshot_interval: u64) -> Self {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let base = std::env::temp_dir().join(format!("hopwalk-record-{}-{number}", std::process::id()));
@@ -115,7 +115,15 @@
             ports.push(port);
         }
         let (election, vote_delay) = ((ms(500), ms(1000)), Duration::ZERO);
-        Self { base, _ports: ports, addresses, voters: BTreeMap::new(), entries, election, vote_delay }
+        Self {
+            base,
+            _ports: ports,
+            addresses,
+            voters: BTreeMap::new(),
+            snapshot_interval,
+            election,
+            vote_delay,
+        }
     }
 
     async fn start(&mut self, name: &'static str) -> &Voter {
@@ -124,11 +132,11 @@
             clients.map(|(n, at)| (n.clone(), Client::start(Local::new("f", name), n, *at, None))).collect();
         let mut options = Options::new("f", name, self.base.join(name), self.addresses.clone());
         (options.heartbeat, options.election, options.snapshot_interval) =
-            (ms(100), self.election, self.entries);
+            (ms(100), self.election, self.snapshot_interval);
         let record = Record::open(options, clients).await.unwrap();
-        let (served, vote_delay) = (record.clone(), self.vote_delay);
+        let (handler_record, vote_delay) = (record.clone(), self.vote_delay);
         let handler = move |_: Arc<Caller>, request: Request| -> Answering {
-            let record = served.clone();
+            let record = handler_record.clone();
             Box::pin(async move {
                 match request {
                     Request::Hello => Response::Hello(record.hello().await),
@@ -148,8 +156,8 @@
         &self.voters[name]
     }
 
-    async fn all(names: &[&'static str], entries: u64) -> Self {
-        let mut fleet = Self::new(names, entries);
+    async fn start_all(names: &[&'static str], snapshot_interval: u64) -> Self {
+        let mut fleet = Self::new(names, snapshot_interval);
         for name in names {
             fleet.start(name).await;
         }
@@ -162,7 +170,7 @@
         voter.record.close().await;
     }
 
-    /// Waits until one of the voters that run leads, and all of them know it.
+    /// Waits until one of the running voters is the leader and all of them know it. Returns its name.
     async fn leader(&self) -> &'static str {
         loop {
             for (name, voter) in &self.voters {
@@ -170,7 +178,7 @@
                 if standing.leads {
                     let follows = |s: &Standing| s.term > standing.term || s.leader.as_deref() == Some(name);
                     for other in self.voters.values().filter(|v| v.standing().seat != Seat::Stranger) {
-                        other.until("follows", follows).await;
+                        other.wait_until("follows", follows).await;
                     }
                     if voter.standing() == standing {
                         return name;
@@ -185,18 +193,18 @@
         self.voters.keys().copied().filter(|n| *n != name).collect()
     }
 
-    /// Puts an entry into the log, whoever leads.
+    /// Submits an entry to the current leader until it is applied or rejected.
     async fn submit(&self, entry: Entry) -> Result<Applied, Rejection> {
         loop {
             match self.voters[self.leader().await].record.submit(entry.clone()).await {
                 Ok(outcome) => return outcome,
-                // A machine under load makes it wait: the same entry once more does no harm.
+                // This happens on a machine under load. Submitting the same entry again is harmless.
                 Err(
                     SubmitError::NotLeader { .. }
                     | SubmitError::NoMajority
                     | SubmitError::OutcomeUnknown { .. },
                 ) => {
-                    // One that is told at once would ask again without end, and hold up all that it waits for.
+                    // Without a pause, attempts that fail at once would keep the runtime busy and delay the election.
                     tokio::time::sleep(ms(5)).await;
                 }
                 Err(error) => panic!("{error:?}"),
@@ -204,8 +212,8 @@
         }
     }
 
-    /// Waits until all that run have come to the same.
-    async fn same(&self) {
+    /// Waits until all running voters have the same state.
+    async fn wait_until_equal(&self) {
         let state = |voter: &Voter| (voter.record.state(), voter.standing().applied);
         let differs = || {
             let mut states = self.voters.values().map(state);
@@ -223,51 +231,54 @@
 }
 
 #[test]
-fn voters_elect_and_go_on_without_their_leader_and_lose_nothing() {
+fn voters_elect_a_new_leader_after_one_stops_and_lose_no_entry() {
     run(async {
         let since = Instant::now();
-        let mut fleet = Fleet::all(&NAMES, 1000).await;
+        let mut fleet = Fleet::start_all(&NAMES, 1000).await;
         let first = fleet.leader().await;
         println!("from three empty folders to a leader: {} ms", since.elapsed().as_millis());
-        let mut took = Vec::new();
+        let mut durations = Vec::new();
         for n in 1..=50 {
             let since = Instant::now();
             assert_eq!(fleet.submit(propose(n.min(5), 0)).await, proposed(n.min(5) as u64));
-            took.push(since.elapsed());
+            durations.push(since.elapsed());
         }
-        took.sort();
-        println!("an entry on two disks: 50th {:?}, 99th percentile {:?}", took[25], took[49]);
-        // What does not fit is refused by the log, and one table put twice is one version.
+        durations.sort();
+        println!("an entry on two disks: 50th {:?}, 99th percentile {:?}", durations[25], durations[49]);
+        // An invalid entry is rejected when it is applied, and a table proposed twice is one version.
         let unknown = Entry::Routes(routes::Entry::Prepare { version: 9, by: "o".into() });
-        let refused = routes::RecordError::UnknownVersion { version: 9 };
-        assert_eq!(fleet.submit(unknown).await, Err(Rejection::Routes(refused)));
+        let rejected = routes::RecordError::UnknownVersion { version: 9 };
+        assert_eq!(fleet.submit(unknown).await, Err(Rejection::Routes(rejected)));
         assert_eq!(fleet.submit(propose(5, 0)).await, proposed(5));
-        fleet.same().await;
+        fleet.wait_until_equal().await;
 
         let follower = &fleet.voters[fleet.others(first)[0]].record;
-        let not = follower.submit(propose(6, 0)).await;
-        assert_eq!(not, Err(SubmitError::NotLeader { leader: Some(first.into()) }));
+        let at_follower = follower.submit(propose(6, 0)).await;
+        assert_eq!(at_follower, Err(SubmitError::NotLeader { leader: Some(first.into()) }));
         assert_eq!(follower.confirm().await, Err(ConfirmError::NotLeader { leader: Some(first.into()) }));
         let leader = &fleet.voters[first].record;
         let term = leader.confirm().await.unwrap();
         assert_eq!(term, leader.watch().borrow().term);
-        let long =
+        let too_long =
             leader.submit(Entry::Routes(routes::Entry::Rollback { by: "x".repeat(MAX_ENTRY_BYTES) })).await;
-        assert!(matches!(long, Err(SubmitError::TooLong { bytes }) if bytes > MAX_ENTRY_BYTES), "{long:?}");
+        assert!(
+            matches!(too_long, Err(SubmitError::TooLong { bytes }) if bytes > MAX_ENTRY_BYTES),
+            "{too_long:?}"
+        );
 
         fleet.stop(first).await;
         let since = Instant::now();
         let second = fleet.leader().await;
-        println!("from a leader's end to the next one: {} ms", since.elapsed().as_millis());
+        println!("from the stop of a leader to the next one: {} ms", since.elapsed().as_millis());
         assert!(fleet.voters[second].record.confirm().await.unwrap() > term);
         assert!(fleet.voters[second].record.state().routes.table(5).is_some());
         assert_eq!(fleet.submit(propose(6, 0)).await, proposed(6));
-        // Back from the same folder, and all of them once more.
+        // The first leader restarts on the same folder, and then all voters do.
         assert_eq!(
-            fleet.start(first).await.until("has its seat", |s| s.seat == Seat::Voter).await.seat,
+            fleet.start(first).await.wait_until("is a voter", |s| s.seat == Seat::Voter).await.seat,
             Seat::Voter
         );
-        fleet.same().await;
+        fleet.wait_until_equal().await;
         for name in NAMES {
             fleet.stop(name).await;
         }
@@ -279,25 +290,27 @@
 }
 
 #[test]
-fn two_voters_with_one_election_timeout_elect_a_leader() {
+fn two_voters_with_the_same_election_timeout_elect_a_leader() {
     run(async {
         let mut fleet = Fleet::new(&NAMES, 1000);
-        // Both stand within a tick of openraft (150 ms), before either hears of the other, in each term.
+        // In each term both become candidates within one tick of openraft (150 ms), before either receives the other's
+        // vote request.
         (fleet.election, fleet.vote_delay) = ((ms(500), ms(501)), ms(160));
         for name in NAMES {
             fleet.start(name).await;
         }
         let first = fleet.leader().await;
         fleet.stop(first).await;
-        let rest = fleet.others(first);
-        let left = &fleet.voters[rest[0]];
-        let next = left.until("a leader", |s| s.leader.as_ref().is_some_and(|name| name != first)).await;
-        assert!(rest.contains(&next.leader.unwrap().as_str()));
+        let remaining = fleet.others(first);
+        let voter = &fleet.voters[remaining[0]];
+        let next =
+            voter.wait_until("a leader", |s| s.leader.as_ref().is_some_and(|name| name != first)).await;
+        assert!(remaining.contains(&next.leader.unwrap().as_str()));
     });
 }
 
 #[test]
-fn the_voter_with_the_longer_log_is_elected_beside_one_that_stands_first() {
+fn the_voter_with_the_longer_log_is_elected_though_another_becomes_a_candidate_first() {
     run(async {
         let mut fleet = Fleet::new(&NAMES, 1000);
         (fleet.election, fleet.vote_delay) = ((ms(500), ms(501)), ms(160));
@@ -305,44 +318,45 @@
             fleet.start(name).await;
         }
         let first = fleet.leader().await;
-        let rest = fleet.others(first);
-        let (shorter, longer) = (rest[0], rest[1]);
+        let remaining = fleet.others(first);
+        let (shorter, longer) = (remaining[0], remaining[1]);
         fleet.stop(shorter).await;
         assert_eq!(fleet.submit(propose(1, 0)).await, proposed(1));
-        fleet.same().await;
+        fleet.wait_until_equal().await;
         fleet.stop(first).await;
-        // It knows of no leader in its life, so it stands before the other one's lease is over.
-        let left = fleet.start(shorter).await;
+        // Its new process knows of no leader, so it becomes a candidate before the other voter's leader lease expires.
+        let restarted = fleet.start(shorter).await;
         let elected = |s: &Standing| s.leader.as_deref() == Some(longer);
-        left.until("the voter with the longer log leads", elected).await;
+        restarted.wait_until("the voter with the longer log leads", elected).await;
         assert_eq!(fleet.submit(propose(2, 0)).await, proposed(2));
     });
 }
 
 #[test]
-fn a_leader_that_is_started_again_at_once_leads_in_no_term_of_its_earlier_process() {
+fn a_leader_that_restarts_at_once_leads_in_no_term_of_its_earlier_process() {
     run(async {
         for names in [&NAMES[..], &NAMES[..1]] {
-            let mut fleet = Fleet::all(names, 1000).await;
+            let mut fleet = Fleet::start_all(names, 1000).await;
             for version in 1..=3 {
                 let leader = fleet.leader().await;
                 let term = fleet.voters[leader].standing().term;
                 assert_eq!(fleet.submit(propose(version as usize, 100)).await, proposed(version));
                 fleet.stop(leader).await;
-                let again = fleet.start(leader).await;
-                let standing =
-                    again.until("a leader", |s| s.leads || s.leader.is_some() && s.term > term).await;
+                let restarted = fleet.start(leader).await;
+                let standing = restarted
+                    .wait_until("a leader", |s| s.leads || s.leader.is_some() && s.term > term)
+                    .await;
                 assert!(standing.term > term, "{standing:?} after term {term} of {leader}");
             }
-            fleet.same().await;
+            fleet.wait_until_equal().await;
         }
     });
 }
 
 #[test]
-fn a_leader_without_a_majority_confirms_and_takes_nothing() {
+fn a_leader_without_a_majority_confirms_nothing_and_commits_nothing() {
     run(async {
-        let mut fleet = Fleet::all(&NAMES, 1000).await;
+        let mut fleet = Fleet::start_all(&NAMES, 1000).await;
         let leader = fleet.leader().await;
         for name in fleet.others(leader) {
             fleet.stop(name).await;
@@ -357,7 +371,8 @@
             }
         }
         assert!(record.state().routes.table(1).is_none());
-        // It is taken once a majority is back, or another leader wrote over it; what follows is in order.
+        // Once a majority is back, the entry is committed or has been overwritten by another leader; the next proposal
+        // gets the next version.
         for name in NAMES {
             if name != leader {
                 fleet.start(name).await;
@@ -369,27 +384,27 @@
 }
 
 #[test]
-fn a_voter_whose_folder_is_gone_does_not_count_until_it_is_admitted() {
+fn a_voter_that_lost_its_folder_does_not_count_until_it_is_admitted() {
     run(async {
-        let mut fleet = Fleet::all(&NAMES, 1000).await;
+        let mut fleet = Fleet::start_all(&NAMES, 1000).await;
         let leader = fleet.leader().await;
         assert_eq!(fleet.submit(propose(1, 0)).await, proposed(1));
         let lost = fleet.others(leader)[0];
-        let before = fleet.voters[lost].record.node();
+        let earlier_node = fleet.voters[lost].record.node();
         fleet.stop(lost).await;
         fs::remove_dir_all(fleet.base.join(lost)).unwrap();
         fs::create_dir_all(fleet.base.join(lost)).unwrap();
-        fleet.start(lost).await.until("is a stranger", |s| s.seat == Seat::Stranger).await;
-        assert_ne!(fleet.voters[lost].record.node(), before);
-        // Beside it one voter is no majority: it neither votes nor takes entries.
+        fleet.start(lost).await.wait_until("is a stranger", |s| s.seat == Seat::Stranger).await;
+        assert_ne!(fleet.voters[lost].record.node(), earlier_node);
+        // It neither votes nor accepts entries, so one other voter together with it is no majority.
         let leader = fleet.leader().await;
         let other = fleet.others(leader).into_iter().find(|name| *name != lost).unwrap();
         fleet.stop(other).await;
         let record = &fleet.voters[leader].record;
-        let alone = record.submit(propose(2, 0)).await;
+        let submitted = record.submit(propose(2, 0)).await;
         assert!(
-            matches!(alone, Err(SubmitError::OutcomeUnknown { .. } | SubmitError::NoMajority)),
-            "{alone:?}"
+            matches!(submitted, Err(SubmitError::OutcomeUnknown { .. } | SubmitError::NoMajority)),
+            "{submitted:?}"
         );
         assert_eq!(record.confirm().await, Err(ConfirmError::NoMajority));
         assert_eq!(
@@ -399,8 +414,8 @@
         assert_eq!(record.admit("x").await, Err(AdmitError::Unknown { name: "x".into() }));
         assert_eq!(record.admit(lost).await, Err(AdmitError::NoMajority));
         assert_eq!(record.admit(other).await, Err(AdmitError::Silent { name: other.into() }));
-        let not = fleet.voters[lost].record.admit(lost).await;
-        assert!(matches!(not, Err(AdmitError::NotLeader { .. })), "{not:?}");
+        let not_leader = fleet.voters[lost].record.admit(lost).await;
+        assert!(matches!(not_leader, Err(AdmitError::NotLeader { .. })), "{not_leader:?}");
 
         fleet.start(other).await;
         loop {
@@ -411,33 +426,33 @@
                 Err(error) => panic!("{error:?}"),
             }
         }
-        fleet.voters[lost].until("is a voter", |s| s.seat == Seat::Voter).await;
+        fleet.voters[lost].wait_until("is a voter", |s| s.seat == Seat::Voter).await;
         let leader = fleet.leader().await;
         assert_eq!(fleet.voters[leader].record.admit(lost).await, Ok(()));
         fleet.stop(if leader == lost { other } else { leader }).await;
-        // It counts: with one more of the three there is a majority.
+        // It counts now: together with one of the other two voters it is a majority.
         let version = fleet.submit(propose(9, 0)).await;
         assert!(matches!(version, Ok(Applied::Routes(routes::Applied::Proposed(2..)))), "{version:?}");
-        fleet.same().await;
+        fleet.wait_until_equal().await;
     });
 }
 
 #[test]
-fn a_voter_that_lags_takes_a_snapshot_in_parts() {
+fn a_lagging_voter_installs_a_snapshot_that_is_sent_in_parts() {
     run(async {
-        let mut fleet = Fleet::all(&NAMES, 20).await;
+        let mut fleet = Fleet::start_all(&NAMES, 20).await;
         let leader = fleet.leader().await;
-        let away = fleet.others(leader)[0];
-        fleet.stop(away).await;
-        // More than a part of a snapshot, and more entries than are kept.
+        let absent = fleet.others(leader)[0];
+        fleet.stop(absent).await;
+        // More bytes than one part of a snapshot has, and more entries than stay in the log.
         for n in 1..=30 {
             assert_eq!(fleet.submit(propose(n, 40_000)).await, proposed(n as u64));
         }
-        fleet.start(away).await;
-        fleet.same().await;
+        fleet.start(absent).await;
+        fleet.wait_until_equal().await;
         for name in NAMES {
             fleet.stop(name).await;
-            // All purged their logs, so the one that was away can only have it from a snapshot.
+            // All voters have purged their logs, so the absent voter can have its state only from a snapshot.
             let store = Store::open(&fleet.base.join(name), "f", name, 0).unwrap();
             let (_, data) = store.snapshot().unwrap().unwrap();
             assert!(store.log_ends().unwrap().0.is_some() && data.len() > 256 << 10, "{} bytes", data.len());
@@ -453,7 +468,7 @@
     });
 }
 
-/// An abort with the longest reason that a leader puts into the log.
+/// An abort with the longest reason that a leader submits.
 fn longest_abort(turn: u64) -> Entry {
     let life = Life { name: "m".repeat(64), incarnation: u64::MAX };
     let name = || "x".repeat(MOST_BYTES);
@@ -463,12 +478,12 @@
 }
 
 #[test]
-fn the_largest_record_makes_a_snapshot_and_installs_it() {
+fn the_largest_state_fits_into_a_snapshot_that_a_voter_installs() {
     run_within(Duration::from_secs(120), async {
-        let mut fleet = Fleet::all(&NAMES, 300).await;
-        let away = fleet.others(fleet.leader().await)[0];
-        fleet.stop(away).await;
-        // Each as long as a table may be, and more of them than are kept.
+        let mut fleet = Fleet::start_all(&NAMES, 300).await;
+        let absent = fleet.others(fleet.leader().await)[0];
+        fleet.stop(absent).await;
+        // Tables of the maximum length, and more of them than the state retains.
         for n in 1..=routes::MOST_TABLES as u64 + 4 {
             let entry = routes::Entry::Propose { table: longest_table(n), by: "o".repeat(routes::MOST_BY) };
             assert_eq!(entry.bounded(), Ok(()));
@@ -478,15 +493,15 @@
             let by = format!("{turn:0>width$}", width = routes::MOST_BY);
             let begin = routes::Entry::Prepare { version: 10, by };
             assert_eq!(begin.bounded(), Ok(()));
-            // On a machine under load one may be put twice, and is refused the second time.
+            // On a machine under load an entry may be submitted twice, and is rejected the second time.
             let _ = fleet.submit(Entry::Routes(begin)).await;
             let _ = fleet.submit(longest_abort(turn)).await;
         }
-        // Until a snapshot was made of all of it.
+        // Enough further entries that a snapshot includes all of it.
         for n in 0..40 {
             let _ = fleet.submit(Entry::Routes(routes::Entry::Rollback { by: n.to_string() })).await;
         }
-        fleet.same().await;
+        fleet.wait_until_equal().await;
         let state = fleet.voters[fleet.leader().await].record.state();
         assert_eq!(state.routes.tables().count(), routes::MOST_TABLES);
         assert_eq!(state.routes.history().count(), routes::MOST_HISTORY);
@@ -494,27 +509,27 @@
         println!("the largest record, without experiments: {bytes} bytes of {MAX_SNAPSHOT_BYTES}");
         assert!(bytes > routes::MOST_TABLES * MOST_BYTES && bytes < 5 << 20, "{bytes}");
         let since = Instant::now();
-        fleet.start(away).await;
-        fleet.same().await;
+        fleet.start(absent).await;
+        fleet.wait_until_equal().await;
         println!("installed after {} ms", since.elapsed().as_millis());
-        assert_eq!(*fleet.voters[away].record.state(), *state);
-        fleet.stop(away).await;
-        // Its log was purged up to what it never had: it has that from the snapshot.
-        let store = Store::open(&fleet.base.join(away), "f", away, 0).unwrap();
+        assert_eq!(*fleet.voters[absent].record.state(), *state);
+        fleet.stop(absent).await;
+        // Its log is purged beyond the entries that it received, so it can have that state only from the snapshot.
+        let store = Store::open(&fleet.base.join(absent), "f", absent, 0).unwrap();
         let (_, data) = store.snapshot().unwrap().unwrap();
         assert!(store.log_ends().unwrap().0.is_some() && data.len() > 4 << 20, "{} bytes", data.len());
     });
 }
 
 #[test]
-fn one_voter_is_a_record_of_its_own_and_its_folder_is_held() {
+fn a_single_voter_keeps_a_record_and_locks_its_folder() {
     run(async {
-        let mut fleet = Fleet::all(&["a"], 1000).await;
+        let mut fleet = Fleet::start_all(&["a"], 1000).await;
         assert_eq!(fleet.submit(propose(1, 0)).await, proposed(1));
         assert!(fleet.voters["a"].record.confirm().await.is_ok());
         let options = Options::new("f", "a", fleet.base.join("a"), fleet.addresses.clone());
-        let held = Record::open(options.clone(), BTreeMap::new()).await.err().unwrap();
-        assert!(matches!(held, RecordError::InUse { .. }), "{held:?}");
+        let in_use = Record::open(options.clone(), BTreeMap::new()).await.err().unwrap();
+        assert!(matches!(in_use, RecordError::InUse { .. }), "{in_use:?}");
         let record = fleet.voters["a"].record.clone();
         fleet.stop("a").await;
         assert_eq!(record.submit(propose(2, 0)).await, Err(SubmitError::Stopped));
@@ -523,13 +538,13 @@
         fleet.start("a").await;
         assert_eq!(fleet.submit(propose(2, 0)).await, proposed(2));
 
-        let two = Options {
+        let two_voters = Options {
             voters: vec![fleet.addresses[0].clone(), ("b".into(), fleet.addresses[0].1)],
             ..options.clone()
         };
-        let none = Options { name: "z".into(), ..options.clone() };
-        let pace = Options { heartbeat: ms(300), ..options };
-        for options in [two, none, pace] {
+        let not_a_voter = Options { name: "z".into(), ..options.clone() };
+        let slow_heartbeat = Options { heartbeat: ms(300), ..options };
+        for options in [two_voters, not_a_voter, slow_heartbeat] {
             let error = Record::open(options, BTreeMap::new()).await.err().unwrap();
             assert!(error.help().is_some(), "{error:?}");
         }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,4 +1,5 @@
-//! The record's file: what is torn, spoilt, foreign or old is an error that names it, and never another state.
+//! The store of the record: a torn, corrupt, foreign or outdated store is an error that names the file, and is never
+//! opened with another state.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -14,7 +15,7 @@
 
 const NODE: NodeId = 77;
 
-/// A folder that goes away with the test.
+/// A temporary folder that is removed after the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -29,7 +30,7 @@
         Store::open(&self.0, "f", "a", NODE)
     }
 
-    /// The files as they are at this moment, as after a kill.
+    /// Copies the files as they are now, which is what a kill would leave.
     fn copy(&self, name: &str) -> Self {
         let copy = Self::new(name);
         for file in [STORE_FILE, MARK_FILE] {
@@ -54,7 +55,7 @@
     Entry { log_id: id(term, index), payload: EntryPayload::Normal(state_machine::Entry::Routes(propose)) }
 }
 
-/// A store with a vote, entries 0 to 29 and the vote of a later term.
+/// Writes a vote, entries 0 to 29 and the vote of a later term.
 fn fill(store: &Store) {
     store.save_vote(&Vote::new_committed(1, NODE)).unwrap();
     for index in 0..30 {
@@ -66,7 +67,7 @@
     store.save_vote(&Vote::new(3, NODE)).unwrap();
 }
 
-/// The vote, the entries in their bytes, and the last one: all that a voter's promises stand on.
+/// The vote, the encoded entries and the id of the last one: what a voter acknowledges to others.
 type State = (Option<Vote<NodeId>>, Vec<Vec<u8>>, Option<LogId<NodeId>>);
 
 fn state(store: &Store) -> State {
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_store_has_what_was_written_after_it_was_closed_and_after_a_kill() {
+fn a_store_keeps_what_was_written_after_it_was_closed_and_after_a_kill() {
     let folder = Folder::new("whole");
     let store = folder.open().unwrap();
     fill(&store);
@@ -89,38 +90,39 @@
     let killed = folder.copy("killed");
     store.close();
     for folder in [folder, killed] {
-        let again = folder.open().unwrap();
-        assert_eq!((state(&again), again.node()), ((vote, entries.clone(), last), NODE));
-        assert_eq!(again.committed(), Some(id(1, 29)));
-        again.purge(id(1, 10)).unwrap_or_else(|e| panic!("{e}"));
+        let reopened = folder.open().unwrap();
+        assert_eq!((state(&reopened), reopened.node()), ((vote, entries.clone(), last), NODE));
+        assert_eq!(reopened.committed(), Some(id(1, 29)));
+        reopened.purge(id(1, 10)).unwrap_or_else(|e| panic!("{e}"));
     }
 }
 
-/// Opens it with each change: an error with its file and help, or the very same state.
-fn spoil(
-    from: &Folder,
+/// Opens copies of the store, each with the change at one of the offsets. Each must give an error with the file and a
+/// help, or exactly the same state. Returns the number of errors, and how many of them are `Behind`.
+fn open_corrupted(
+    original: &Folder,
     name: &str,
-    what: &str,
+    change_name: &str,
     change: impl Fn(&mut Vec<u8>, usize),
-    at: &[usize],
+    offsets: &[usize],
 ) -> [usize; 2] {
-    let good = from.copy(&format!("{name}-good"));
+    let good = original.copy(&format!("{name}-good"));
     let expected = state(&good.open().unwrap());
-    let bytes = fs::read(from.0.join(STORE_FILE)).unwrap();
+    let bytes = fs::read(original.0.join(STORE_FILE)).unwrap();
     let (mut errors, mut behind) = (0, 0);
-    for at in at.iter().copied().filter(|at| *at < bytes.len()) {
-        let copy = from.copy(&format!("{name}-{at}"));
-        let mut spoilt = bytes.clone();
-        change(&mut spoilt, at);
-        fs::write(copy.0.join(STORE_FILE), spoilt).unwrap();
+    for offset in offsets.iter().copied().filter(|offset| *offset < bytes.len()) {
+        let copy = original.copy(&format!("{name}-{offset}"));
+        let mut corrupted = bytes.clone();
+        change(&mut corrupted, offset);
+        fs::write(copy.0.join(STORE_FILE), corrupted).unwrap();
         match copy.open() {
-            Ok(store) => assert_eq!(state(&store), expected, "{name}: {what} at {at}"),
+            Ok(store) => assert_eq!(state(&store), expected, "{name}: {change_name} at {offset}"),
             Err(error) => {
                 assert!(error.to_string().contains(STORE_FILE) && error.help().is_some(), "{error:?}");
                 let kind = matches!(error, RecordError::Corrupt { .. } | RecordError::Behind { .. });
                 assert!(
                     kind || matches!(error, RecordError::Format { .. }),
-                    "{name}: {what} at {at}: {error:?}"
+                    "{name}: {change_name} at {offset}: {error:?}"
                 );
                 errors += 1;
                 behind += usize::from(matches!(error, RecordError::Behind { .. }));
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn a_torn_or_spoilt_store_is_an_error_and_no_other_state() {
+fn a_torn_or_corrupt_store_is_an_error_or_has_the_same_state() {
     let folder = Folder::new("spoilt");
     let store = folder.open().unwrap();
     fill(&store);
@@ -140,24 +142,30 @@
     for (name, folder) in [("closed", &folder), ("killed", &killed)] {
         let length = fs::metadata(folder.0.join(STORE_FILE)).unwrap().len() as usize;
         let pages = length / 4096;
-        let spread: Vec<usize> = (0..pages).step_by((pages / 12).max(1)).map(|page| page * 4096).collect();
-        let cuts: Vec<usize> = [0, 1, 9, 64, 320, 512].into_iter().chain(spread.iter().copied()).collect();
-        let cut = spoil(folder, name, "cut", |bytes, at| bytes.truncate(at), &cuts);
+        let page_starts: Vec<usize> =
+            (0..pages).step_by((pages / 12).max(1)).map(|page| page * 4096).collect();
+        let cuts: Vec<usize> =
+            [0, 1, 9, 64, 320, 512].into_iter().chain(page_starts.iter().copied()).collect();
+        let cut = open_corrupted(folder, name, "cut", |bytes, offset| bytes.truncate(offset), &cuts);
         assert_eq!(cut[0], cuts.len());
-        let mut at: Vec<usize> = (0..320).step_by(13).collect();
-        at.extend(spread.iter().flat_map(|page| [page + 7, page + 700]));
-        let flips = spoil(folder, name, "flip", |bytes, at| bytes[at] ^= 0x15, &at);
-        let zeroed =
-            |bytes: &mut Vec<u8>, at: usize| bytes.iter_mut().skip(at).take(4096).for_each(|b| *b = 0);
-        let holes = spoil(folder, name, "hole", zeroed, &spread);
-        let of = [cuts.len(), at.len(), spread.len()];
-        println!("{name}: {length} bytes; errors, those behind: {cut:?}, {flips:?}, {holes:?} of {of:?}");
+        let mut flip_offsets: Vec<usize> = (0..320).step_by(13).collect();
+        flip_offsets.extend(page_starts.iter().flat_map(|page| [page + 7, page + 700]));
+        let flips =
+            open_corrupted(folder, name, "flip", |bytes, offset| bytes[offset] ^= 0x15, &flip_offsets);
+        let zero_page = |bytes: &mut Vec<u8>, offset: usize| {
+            bytes.iter_mut().skip(offset).take(4096).for_each(|b| *b = 0)
+        };
+        let holes = open_corrupted(folder, name, "hole", zero_page, &page_starts);
+        let tried = [cuts.len(), flip_offsets.len(), page_starts.len()];
+        println!(
+            "{name}: {length} bytes; errors, Behind among them: {cut:?}, {flips:?}, {holes:?} of {tried:?}"
+        );
         assert!(flips[0] > 0 && holes[0] > 0);
     }
 }
 
 #[test]
-fn a_store_that_lost_its_last_writes_is_behind_its_mark() {
+fn a_store_that_lost_its_last_write_is_behind_its_mark() {
     let folder = Folder::new("behind");
     let store = folder.open().unwrap();
     store.save_vote(&Vote::new(1, NODE)).unwrap();
@@ -169,34 +177,40 @@
         let error = folder.open().unwrap_err();
         assert!(matches!(error, RecordError::Behind { found: 2, acknowledged: 3, .. }), "{error:?}");
     }
-    // A torn mark has the slot before; one without a whole slot is an error, and so is none.
+    // A torn mark still has its other slot. A mark without a valid slot is an error, and so is a missing mark.
     let mark = folder.0.join(MARK_FILE);
-    let torn = |file: &Path, at: usize| {
+    let flip_bit = |file: &Path, offset: usize| {
         let mut bytes = fs::read(file).unwrap();
-        bytes[at] ^= 1;
+        bytes[offset] ^= 1;
         fs::write(file, bytes).unwrap();
     };
-    torn(&mark, 4096 + 9);
+    flip_bit(&mark, 4096 + 9);
     drop(folder.open().unwrap());
-    torn(&mark, 9);
+    flip_bit(&mark, 9);
     assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { file, .. } if file == mark));
     fs::remove_file(&mark).unwrap();
     assert!(matches!(folder.open().unwrap_err(), RecordError::Corrupt { file, .. } if file == mark));
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
+fn an_error_names_the_folder_or_file_that_cannot_be_used() {
     let folder = Folder::new("named");
     let missing = Store::open(&folder.0.join("none"), "f", "a", NODE).unwrap_err();
     assert!(matches!(missing, RecordError::Folder { kind: ErrorKind::NotFound, .. }), "{missing:?}");
     let file = folder.0.join("file");
     fs::write(&file, "x").unwrap();
-    let no_folder = Store::open(&file, "f", "a", NODE).unwrap_err();
-    assert!(matches!(no_folder, RecordError::Folder { kind: ErrorKind::NotADirectory, .. }), "{no_folder:?}");
+    let not_a_folder = Store::open(&file, "f", "a", NODE).unwrap_err();
+    assert!(
+        matches!(not_a_folder, RecordError::Folder { kind: ErrorKind::NotADirectory, .. }),
+        "{not_a_folder:?}"
+    );
 
     let store = folder.open().unwrap();
-    let held = folder.open().unwrap_err();
-    assert!(matches!(&held, RecordError::InUse { file } if *file == folder.0.join(STORE_FILE)), "{held:?}");
+    let in_use = folder.open().unwrap_err();
+    assert!(
+        matches!(&in_use, RecordError::InUse { file } if *file == folder.0.join(STORE_FILE)),
+        "{in_use:?}"
+    );
     store.close();
     assert!(store.vote().is_err() && store.save_vote(&Vote::new(1, NODE)).is_err());
 
@@ -205,7 +219,7 @@
         assert!(matches!(foreign, RecordError::Foreign { .. }), "{foreign:?}");
         assert!(foreign.to_string().contains("a of fleet f"), "{foreign}");
     }
-    // A store that was killed while it was made is made anew, and one that was made is not.
+    // A store whose creation was interrupted by a kill is created again, and one that was created is not.
     fs::remove_file(folder.0.join(MARK_FILE)).unwrap();
     fs::write(folder.0.join("record.mark.new"), "half").unwrap();
     assert_eq!(Store::open(&folder.0, "f", "a", 5).unwrap().node(), NODE);
