--- a/tests/sweep.rs
+++ b/tests/sweep.rs
@@ -1,6 +1,5 @@
-//! The record's files, cut and spoilt at every offset and then started: a state that was acknowledged and is
-//! not older than what was promised, or a typed error with its help. `STORE_SWEEP=all` tries every offset, and
-//! else it is a seeded part.
+//! The record's files, cut or corrupted at every offset and then opened. Opening must give either the last acknowledged
+//! state or a typed error with a help. `STORE_SWEEP=all` tries every offset; otherwise a fixed part of them is tried.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,32 +22,33 @@
 use rand::{RngExt, SeedableRng};
 
 const NODE: NodeId = 77;
-/// Most threads.
-const THREADS: usize = 6;
-/// One opening takes milliseconds: this long is a hang.
-const HANG: Duration = Duration::from_secs(60);
-/// Each so many-th offset of the seeded part, a prime; and which of them is first.
+/// Maximum number of threads.
+const MAX_THREADS: usize = 6;
+/// Opening a store takes milliseconds; after this time it counts as hung.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
+/// Distance between the offsets of a partial sweep, a prime. The first one is [`FIRST_OFFSET`].
 const STRIDE: usize = 2503;
-/// The same within the first page, of which redb's header and the mark's slots are tried whole.
+/// The distance within the first page, where redb's header and the mark's slots are tried at every offset.
 const PAGE_STRIDE: usize = 61;
-const SEED: usize = 27;
-/// Bytes of redb's header, of the page that it is in, and of a slot of the mark.
-const HEADER: usize = 320;
-const PAGE: usize = 4096;
-const SLOT: usize = 16;
-/// A disk writes so much whole; so many draws of what it has written.
-const SECTOR: usize = 512;
+const FIRST_OFFSET: usize = 27;
+/// Lengths in bytes of redb's header, of the page that it is in, and of a slot of the mark.
+const HEADER_BYTES: usize = 320;
+const PAGE_BYTES: usize = 4096;
+const SLOT_BYTES: usize = 16;
+/// Bytes that a disk writes atomically, and the number of random mixes of written and unwritten sectors.
+const SECTOR_BYTES: usize = 512;
 const MIXES: usize = 128;
-/// Beyond slots, each so many-th opening is followed by further ones; in redb's header each 4th.
-const DEEP: usize = 16;
+/// Distance between the offsets at which the store is also written to and opened again. In redb's header the distance
+/// is 4, and in the mark's slots every offset is checked so.
+const DEEP_STRIDE: usize = 16;
 
 type Files = [Vec<u8>; 2];
-/// All that a voter's promises stand on: vote, entries, ends, snapshot.
+/// What a voter acknowledges to others: vote, entries, ends of the log and snapshot.
 type State = (Option<Vote<NodeId>>, Vec<Vec<u8>>, [Option<LogId<NodeId>>; 2], Option<StoredSnapshot>);
-type Open<'a> = &'a (dyn Fn(&Path) -> Result<Store, RecordError> + Sync);
+type OpenStore<'a> = &'a (dyn Fn(&Path) -> Result<Store, RecordError> + Sync);
 
-/// A moment after a write was acknowledged.
-struct Moment {
+/// The files and the state after an acknowledged write.
+struct Capture {
     files: Files,
     state: State,
 }
@@ -63,15 +63,15 @@
 }
 
 fn state(store: &Store) -> Result<State, String> {
-    let told = |error: &dyn std::fmt::Display| error.to_string();
-    let entries = store.entries(0..u64::MAX, usize::MAX).map_err(|e| told(&e))?;
+    let text = |error: &dyn std::fmt::Display| error.to_string();
+    let entries = store.entries(0..u64::MAX, usize::MAX).map_err(|e| text(&e))?;
     let entries = entries.iter().map(|entry| postcard::to_allocvec(entry).unwrap()).collect();
-    let (purged, last) = store.log_ends().map_err(|e| told(&e))?;
-    let snapshot = store.snapshot().map_err(|e| told(&e))?;
-    Ok((store.vote().map_err(|e| told(&e))?, entries, [purged, last], snapshot))
+    let (purged, last) = store.log_ends().map_err(|e| text(&e))?;
+    let snapshot = store.snapshot().map_err(|e| text(&e))?;
+    Ok((store.vote().map_err(|e| text(&e))?, entries, [purged, last], snapshot))
 }
 
-/// A folder that goes away with the test.
+/// A temporary folder that is removed after the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -106,20 +106,20 @@
     Store::open(folder, "f", "a", NODE)
 }
 
-/// What was acknowledged, write by write, as a kill leaves it; and the last one once more, closed. `grown`:
-/// with a snapshot at the end that makes the file longer.
-fn moments(name: &str, grown: bool) -> (Vec<Moment>, Moment) {
+/// Returns a capture after each write, as a kill leaves the files, and one after the store was closed. With
+/// `long_snapshot` the last write is a snapshot that makes the file longer.
+fn captures(name: &str, long_snapshot: bool) -> (Vec<Capture>, Capture) {
     let folder = Folder::new(name);
     let store = open(&folder.0).unwrap();
-    let mut moments = vec![];
-    let mut note = || moments.push(Moment { files: folder.files(), state: state(&store).unwrap() });
-    note();
+    let mut captures = vec![];
+    let mut capture = || captures.push(Capture { files: folder.files(), state: state(&store).unwrap() });
+    capture();
     store.save_vote(&Vote::new_committed(1, NODE)).unwrap();
-    note();
+    capture();
     for index in 0..12 {
         store.append(&[entry(1, index)]).unwrap();
         store.save_committed(Some(id(1, index)));
-        note();
+        capture();
     }
     let meta = SnapshotMeta {
         last_log_id: Some(id(1, 7)),
@@ -127,80 +127,80 @@
         snapshot_id: "7".into(),
     };
     store.save_snapshot(&meta, &[7; 900]).unwrap();
-    note();
+    capture();
     store.purge(id(1, 5)).unwrap();
-    note();
+    capture();
     store.append(&[entry(1, 12), entry(1, 13)]).unwrap();
-    note();
+    capture();
     store.truncate(13).unwrap();
-    note();
+    capture();
     store.save_vote(&Vote::new(3, NODE)).unwrap();
-    note();
-    if grown {
+    capture();
+    if long_snapshot {
         let meta = SnapshotMeta { last_log_id: Some(id(1, 12)), ..meta };
         store.save_snapshot(&meta, &[9; 60_000]).unwrap();
-        note();
+        capture();
     }
     let last = state(&store).unwrap();
     store.close();
-    (moments, Moment { files: folder.files(), state: last })
+    (captures, Capture { files: folder.files(), state: last })
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Change {
-    /// It ends there.
+    /// The file ends at the offset.
     Cut,
-    /// All bits of a byte.
+    /// All bits of the byte are flipped.
     Flip,
-    /// One bit of it.
+    /// One bit of the byte is flipped.
     Bit,
-    /// Zeros from there on.
+    /// Zeros from the offset on.
     Zeros,
-    /// The last write up to there, and what was before from there on.
+    /// The bytes of the last write before the offset, and those of the previous write from it on.
     Head,
-    /// What was before up to there, and the last write from there on.
+    /// The bytes of the previous write before the offset, and those of the last write from it on.
     Tail,
-    /// Of each sector what was before or the last write, drawn with the offset as the seed.
+    /// Each sector is that of the previous or the last write at random, with the offset as the seed.
     Mix,
 }
 
-const SPOILT: &[Change] =
+const CORRUPTIONS: &[Change] =
     &[Change::Cut, Change::Flip, Change::Bit, Change::Zeros, Change::Head, Change::Tail];
-/// What a crash can do.
-const TORN: &[Change] = &[Change::Head, Change::Tail, Change::Mix];
+/// Changes that a crash can leave behind.
+const TORN_WRITES: &[Change] = &[Change::Head, Change::Tail, Change::Mix];
 
 impl Change {
-    /// The spoilt bytes, unless they are those of the offset before.
-    fn make(self, old: &[u8], new: &[u8], at: usize) -> Option<Vec<u8>> {
-        let same = at > 0 && old.get(at - 1) == new.get(at - 1);
+    /// Returns the changed bytes, or `None` if they are the same as those at the previous offset.
+    fn apply(self, old: &[u8], new: &[u8], offset: usize) -> Option<Vec<u8>> {
+        let same = offset > 0 && old.get(offset - 1) == new.get(offset - 1);
         match self {
-            Self::Zeros if at > 0 && new[at - 1] == 0 => return None,
+            Self::Zeros if offset > 0 && new[offset - 1] == 0 => return None,
             Self::Head | Self::Tail if same => return None,
             _ => {}
         }
         let mut bytes = new.to_vec();
         match self {
-            Self::Cut => bytes.truncate(at),
-            Self::Flip => bytes[at] ^= 0xff,
-            Self::Bit => bytes[at] ^= 1 << (at % 8),
-            Self::Zeros => bytes[at..].fill(0),
-            // redb sets the length before it writes.
-            Self::Head if at < old.len() => {
-                bytes[at..].fill(0);
-                let of = old.len().min(new.len()).max(at);
-                bytes[at..of].copy_from_slice(&old[at..of]);
+            Self::Cut => bytes.truncate(offset),
+            Self::Flip => bytes[offset] ^= 0xff,
+            Self::Bit => bytes[offset] ^= 1 << (offset % 8),
+            Self::Zeros => bytes[offset..].fill(0),
+            // redb sets the length of the file before it writes.
+            Self::Head if offset < old.len() => {
+                bytes[offset..].fill(0);
+                let end = old.len().min(new.len()).max(offset);
+                bytes[offset..end].copy_from_slice(&old[offset..end]);
             }
-            Self::Head => bytes[at..].fill(0),
+            Self::Head => bytes[offset..].fill(0),
             Self::Tail => {
-                let of = at.min(old.len());
-                bytes[..of].copy_from_slice(&old[..of]);
+                let end = offset.min(old.len());
+                bytes[..end].copy_from_slice(&old[..end]);
             }
             Self::Mix => {
-                let mut rng = SmallRng::seed_from_u64(at as u64);
-                for (to, from) in bytes.chunks_mut(SECTOR).zip(old.chunks(SECTOR)) {
+                let mut rng = SmallRng::seed_from_u64(offset as u64);
+                for (to, from) in bytes.chunks_mut(SECTOR_BYTES).zip(old.chunks(SECTOR_BYTES)) {
                     if rng.random() {
-                        let of = to.len().min(from.len());
-                        to[..of].copy_from_slice(&from[..of]);
+                        let length = to.len().min(from.len());
+                        to[..length].copy_from_slice(&from[..length]);
                     }
                 }
             }
@@ -209,19 +209,19 @@
     }
 }
 
-/// What is spoilt, of which moments.
+/// Which file of which captures is changed, and how.
 struct Plan<'a> {
     name: &'static str,
-    moments: &'a [Moment],
-    /// The last one that was acknowledged.
-    last: &'a Moment,
-    /// 0 the store, 1 its mark.
-    spoilt: usize,
-    /// The store's last write is there, and its mark is that of the write before: it was never acknowledged.
-    early: bool,
+    captures: &'a [Capture],
+    /// The capture that is changed.
+    last: &'a Capture,
+    /// The changed file: 0 for the store, 1 for its mark.
+    changed_file: usize,
+    /// The store has its last write, but the mark is that of the previous one: the last write was never acknowledged.
+    mark_behind: bool,
     changes: &'static [Change],
-    /// Offsets.
-    at: Vec<usize>,
+    /// The offsets at which the file is changed.
+    offsets: Vec<usize>,
 }
 
 #[derive(Default)]
@@ -231,92 +231,100 @@
     refused: BTreeMap<String, usize>,
     panics: usize,
     same: usize,
-    wrong: Vec<String>,
+    failures: Vec<String>,
     longest: Duration,
 }
 
 thread_local! {
-    /// The last panic of this thread, which the store may catch.
+    /// The message of the last panic of this thread. The store may have caught the panic.
     static PANICKED: RefCell<Option<String>> = const { RefCell::new(None) };
 }
 
-/// What an opening must be: the newest promised state, or the one after it that is not promised yet, or an
-/// error.
-fn judge(
+/// Opens changed files and checks the result: the last acknowledged state, the one after it that is not acknowledged
+/// yet, or an error with a help, whose variant is returned. With `deep` the store is also opened again and written to.
+fn check_opening(
     folder: &Folder,
     plan: &Plan,
     files: &Files,
     deep: bool,
-    open: Open,
+    open: OpenStore,
 ) -> Result<Option<String>, String> {
     folder.put(files);
-    let before = &plan.moments[plan.moments.len() - 2];
+    let before = &plan.captures[plan.captures.len() - 2];
     let store = match open(&folder.0) {
         Ok(store) => store,
         Err(error) => {
             let kind = format!("{error:?}").split([' ', '{']).next().unwrap_or_default().to_string();
             return match error.help() {
                 Some(_) if matches!(kind.as_str(), "Corrupt" | "Behind" | "Format") => Ok(Some(kind)),
-                _ => Err(format!("an error that does not fit: {error:?}")),
+                _ => Err(format!("an unexpected error: {error:?}")),
             };
         }
     };
     let found = state(&store)?;
-    let promised = if plan.early { before } else { plan.last };
-    let [(vote, _, ends, _), (least, _, ends_least, _)] = [&found, &promised.state];
+    let acknowledged = if plan.mark_behind { before } else { plan.last };
+    let [(vote, _, ends, _), (min_vote, _, ends_min, _)] = [&found, &acknowledged.state];
     let newest = found == plan.last.state;
-    // The last write may take entries away.
-    if !newest && (vote < least || ends[1] < ends_least[1]) {
-        let (end, end_least) = (ends[1], ends_least[1]);
-        return Err(format!("older: vote {vote:?} and end {end:?}, less than {least:?} and {end_least:?}"));
+    // The last write may remove entries.
+    if !newest && (vote < min_vote || ends[1] < ends_min[1]) {
+        let (end, end_min) = (ends[1], ends_min[1]);
+        return Err(format!(
+            "older: vote {vote:?} and log end {end:?}, expected at least {min_vote:?} and {end_min:?}"
+        ));
     }
-    if !(newest || plan.early && found == before.state) {
-        return Err("a state that never was, or is not the last".into());
+    if !(newest || plan.mark_behind && found == before.state) {
+        return Err("a state that never existed or is not the last one".into());
     }
     if !deep {
         return Ok(None);
     }
-    // What it showed it has promised: others may count on it without a further write.
+    // Opening has marked the state as acknowledged, because other voters may rely on it without a further write.
     store.close();
     if newest {
         fs::write(folder.0.join(STORE_FILE), &before.files[0]).unwrap();
         match open(&folder.0) {
             Err(RecordError::Behind { .. }) => {}
-            other => return Err(format!("it was shown, and then the write before it was: {other:?}")),
+            other => {
+                return Err(format!(
+                    "opening it did not exclude its previous write: {other:?}"
+                ))
+            }
         }
         folder.put(files);
     }
-    // And it takes a write that lasts.
-    let store = open(&folder.0).map_err(|e| format!("the second time: {e}"))?;
+    // The store accepts a further write and keeps it.
+    let store = open(&folder.0).map_err(|e| format!("on the second opening: {e}"))?;
     store.save_vote(&Vote::new(9, NODE)).map_err(|e| format!("the next write: {e}"))?;
     drop(store);
     let store = open(&folder.0).map_err(|e| format!("after the next write: {e}"))?;
     let expected = (Some(Vote::new(9, NODE)), found.1, found.2, found.3);
-    (state(&store)? == expected).then_some(None).ok_or_else(|| "another state after the next write".into())
+    (state(&store)? == expected)
+        .then_some(None)
+        .ok_or_else(|| "a different state after the next write".into())
 }
 
-/// Tries all offsets of a plan over several threads.
-fn sweep(plan: &Plan, open: Open) -> BTreeMap<Change, Tally> {
-    let before = &plan.moments[plan.moments.len() - 2];
-    let (old, new) = (&before.files[plan.spoilt], &plan.last.files[plan.spoilt]);
+/// Tries all changes of a plan at all its offsets on several threads.
+fn sweep(plan: &Plan, open: OpenStore) -> BTreeMap<Change, Tally> {
+    let before = &plan.captures[plan.captures.len() - 2];
+    let (old, new) = (&before.files[plan.changed_file], &plan.last.files[plan.changed_file]);
     let mut base = plan.last.files.clone();
-    if plan.early {
+    if plan.mark_behind {
         base[1].clone_from(&before.files[1]);
     }
-    let work = plan.changes.iter().flat_map(|c| plan.at.iter().map(|at| (*c, *at)));
-    let mixes = if all() { MIXES } else { MIXES / 16 };
-    let work: Vec<_> = work.filter(|(change, at)| *change != Change::Mix || *at < mixes).collect();
+    let work = plan.changes.iter().flat_map(|c| plan.offsets.iter().map(|offset| (*c, *offset)));
+    let mixes = if full_sweep() { MIXES } else { MIXES / 16 };
+    let work: Vec<_> = work.filter(|(change, offset)| *change != Change::Mix || *offset < mixes).collect();
     let (next, tallies) = (AtomicUsize::new(0), Mutex::new(BTreeMap::<Change, Tally>::new()));
-    let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(THREADS));
+    let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(MAX_THREADS));
     let busy: Vec<Mutex<Option<(Instant, Change, usize)>>> = (0..threads).map(|_| Mutex::default()).collect();
     let (ended, end) = mpsc::channel::<()>();
     std::thread::scope(|scope| {
         let busy = &busy;
         scope.spawn(move || {
             while end.recv_timeout(Duration::from_secs(1)) == Err(mpsc::RecvTimeoutError::Timeout) {
-                for (since, change, at) in busy.iter().filter_map(|busy| *busy.lock().unwrap()) {
-                    if since.elapsed() > HANG {
-                        eprintln!("{}: {change:?} at {at} hangs", plan.name);
+                for (since, change, offset) in busy.iter().filter_map(|busy| *busy.lock().unwrap()) {
+                    if since.elapsed() > HANG_TIMEOUT {
+                        eprintln!("{}: {change:?} at {offset} hangs", plan.name);
                         std::process::exit(101);
                     }
                 }
@@ -327,17 +335,18 @@
             let run = move || {
                 let _ended = ended;
                 let folder = Folder::new(&format!("{}-{thread}", plan.name));
-                while let Some((change, at)) = work.get(next.fetch_add(1, Ordering::Relaxed)).copied() {
+                while let Some((change, offset)) = work.get(next.fetch_add(1, Ordering::Relaxed)).copied() {
                     let began = Instant::now();
-                    *busy.lock().unwrap() = Some((began, change, at));
-                    let slot = plan.spoilt == 1 && !(SLOT..PAGE).contains(&at);
-                    let deep = slot || at % DEEP == 0 || (at < HEADER && at % 4 == 0);
-                    let outcome = change.make(old, new, at).map(|bytes| {
+                    *busy.lock().unwrap() = Some((began, change, offset));
+                    let slot = plan.changed_file == 1 && !(SLOT_BYTES..PAGE_BYTES).contains(&offset);
+                    let deep =
+                        slot || offset % DEEP_STRIDE == 0 || (offset < HEADER_BYTES && offset % 4 == 0);
+                    let outcome = change.apply(old, new, offset).map(|bytes| {
                         let mut files = base.clone();
-                        files[plan.spoilt] = bytes;
+                        files[plan.changed_file] = bytes;
                         PANICKED.take();
-                        let judged = || judge(&folder, plan, &files, deep, open);
-                        catch_unwind(AssertUnwindSafe(judged)).unwrap_or_else(|_| Err("it panicked".into()))
+                        let checked = || check_opening(&folder, plan, &files, deep, open);
+                        catch_unwind(AssertUnwindSafe(checked)).unwrap_or_else(|_| Err("it panicked".into()))
                     });
                     *busy.lock().unwrap() = None;
                     let panicked = PANICKED.take();
@@ -349,16 +358,16 @@
                     match outcome {
                         None => tally.same += 1,
                         Some(Ok(None)) => tally.opened += 1,
-                        // A crash alone needs no operator.
-                        Some(Ok(Some(kind))) if plan.early && TORN.contains(&change) => {
-                            tally.wrong.push(format!("{}: {change:?} at {at}: {kind}", plan.name));
+                        // A crash alone must not require an operator.
+                        Some(Ok(Some(kind))) if plan.mark_behind && TORN_WRITES.contains(&change) => {
+                            tally.failures.push(format!("{}: {change:?} at {offset}: {kind}", plan.name));
                         }
                         Some(Ok(Some(kind))) => *tally.refused.entry(kind).or_default() += 1,
-                        Some(Err(wrong)) => {
+                        Some(Err(failure)) => {
                             let panicked = panicked.unwrap_or_default();
                             tally
-                                .wrong
-                                .push(format!("{}: {change:?} at {at}: {wrong} {panicked}", plan.name));
+                                .failures
+                                .push(format!("{}: {change:?} at {offset}: {failure} {panicked}", plan.name));
                         }
                     }
                 }
@@ -370,26 +379,28 @@
     tallies.into_inner().unwrap()
 }
 
-/// Panics that the store catches are counted, not printed.
-fn quiet() {
-    let before = std::panic::take_hook();
+/// Stores the panic messages of the sweep's threads instead of printing them: the store may catch the panics.
+fn catch_panic_messages() {
+    let previous = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| match std::thread::current().name() {
         Some("sweep") => PANICKED.set(Some(info.to_string())),
-        _ => before(info),
+        _ => previous(info),
     }));
 }
 
-fn all() -> bool {
+fn full_sweep() -> bool {
     std::env::var("STORE_SWEEP").is_ok_and(|which| which == "all")
 }
 
-/// All offsets, or a part: the first `whole` bytes and the last ones, of the rest of the first page each so
-/// many-th, and a few beyond.
-fn offsets(length: usize, whole: usize) -> Vec<usize> {
-    let all = all();
-    let stride = |at: usize| if at < PAGE { PAGE_STRIDE } else { STRIDE };
-    let in_part = |at: &usize| *at < whole || *at + SLOT >= length || at % stride(*at) == SEED;
-    (0..length).filter(|at| all || in_part(at)).collect()
+/// Returns all offsets in a full sweep. A partial sweep has the first `whole` bytes, the last ones, and the offsets at
+/// the strides of the first page and of the rest.
+fn select_offsets(length: usize, whole: usize) -> Vec<usize> {
+    let full = full_sweep();
+    let stride = |offset: usize| if offset < PAGE_BYTES { PAGE_STRIDE } else { STRIDE };
+    let in_part = |offset: &usize| {
+        *offset < whole || *offset + SLOT_BYTES >= length || offset % stride(*offset) == FIRST_OFFSET
+    };
+    (0..length).filter(|offset| full || in_part(offset)).collect()
 }
 
 impl Tally {
@@ -400,13 +411,13 @@
         self.same += other.same;
         self.longest = self.longest.max(other.longest);
         other.refused.into_iter().for_each(|(kind, count)| *self.refused.entry(kind).or_default() += count);
-        self.wrong.extend(other.wrong);
+        self.failures.extend(other.failures);
     }
 }
 
-/// Sweeps plans of one name, and tells what came of them.
-fn check(plans: &[Plan]) {
-    quiet();
+/// Sweeps plans that have one name, prints the results and fails on any failure.
+fn sweep_and_report(plans: &[Plan]) {
+    catch_panic_messages();
     let (began, mut tallies) = (Instant::now(), BTreeMap::<Change, Tally>::new());
     for plan in plans {
         for (change, tally) in sweep(plan, &open) {
@@ -414,88 +425,96 @@
         }
     }
     println!("{}, {:.1} s:", plans[0].name, began.elapsed().as_secs_f64());
-    let mut wrong = vec![];
+    let mut failures = vec![];
     for (change, tally) in tallies {
-        let Tally { offsets, opened, refused, panics, same, wrong: found, longest } = tally;
+        let Tally { offsets, opened, refused, panics, same, failures: found, longest } = tally;
         println!(
-            "  {change:?}: {offsets} offsets, {same} as the one before, {opened} opened, \
-             refused {refused:?}, {panics} panics caught, {} wrong, longest {} ms",
+            "  {change:?}: {offsets} offsets, {same} the same as the previous one, {opened} opened, \
+             refused {refused:?}, {panics} panics caught, {} failures, longest {} ms",
             found.len(),
             longest.as_millis()
         );
-        wrong.extend(found.into_iter().take(5));
+        failures.extend(found.into_iter().take(5));
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
-fn a_store_spoilt_at_any_offset_has_what_was_acknowledged_or_is_refused() {
-    let (moments, closed) = moments("store", false);
-    let killed = moments.last().unwrap();
-    let plan = |name, last, early, whole| {
-        let last: &Moment = last;
-        let at = offsets(last.files[0].len(), whole);
-        Plan { name, moments: &moments, last, spoilt: 0, early, changes: SPOILT, at }
+fn a_store_corrupted_at_any_offset_has_what_was_acknowledged_or_is_rejected() {
+    let (captures, closed) = captures("store", false);
+    let killed = captures.last().unwrap();
+    let plan = |name, last, mark_behind, whole| {
+        let last: &Capture = last;
+        let offsets = select_offsets(last.files[0].len(), whole);
+        Plan { name, captures: &captures, last, changed_file: 0, mark_behind, changes: CORRUPTIONS, offsets }
     };
-    check(&[plan("killed", killed, false, HEADER)]);
-    check(&[plan("closed", &closed, false, HEADER)]);
-    check(&[plan("early", killed, true, HEADER)]);
+    sweep_and_report(&[plan("killed", killed, false, HEADER_BYTES)]);
+    sweep_and_report(&[plan("closed", &closed, false, HEADER_BYTES)]);
+    sweep_and_report(&[plan("early", killed, true, HEADER_BYTES)]);
 }
 
-/// Each write in turn, the last of which makes the file longer: whatever a crash leaves of it opens.
+/// Tears each write in turn, the last of which makes the file longer: whatever a crash leaves of a write opens.
 #[test]
-fn a_write_that_is_torn_was_made_or_was_not() {
-    let (moments, _) = moments("torn", true);
-    let plans = (1..moments.len()).map(|last| {
-        let (moments, last) = (&moments[..=last], &moments[last]);
-        let at = offsets(last.files[0].len(), SLOT);
-        Plan { name: "torn", moments, last, spoilt: 0, early: true, changes: TORN, at }
+fn a_torn_write_takes_effect_completely_or_not_at_all() {
+    let (captures, _) = captures("torn", true);
+    let plans = (1..captures.len()).map(|last| {
+        let (captures, last) = (&captures[..=last], &captures[last]);
+        let offsets = select_offsets(last.files[0].len(), SLOT_BYTES);
+        Plan {
+            name: "torn",
+            captures,
+            last,
+            changed_file: 0,
+            mark_behind: true,
+            changes: TORN_WRITES,
+            offsets,
+        }
     });
     let plans: Vec<_> = plans.collect();
-    check(&plans);
-    // A file system that kept the new header and not the new length: no other state either.
+    sweep_and_report(&plans);
+    // A file system that kept the new header but not the new length must not lead to another state either.
     let plan = plans.last().unwrap();
-    let [old, new] = [&plan.moments[plan.moments.len() - 2].files, &plan.last.files];
+    let [old, new] = [&plan.captures[plan.captures.len() - 2].files, &plan.last.files];
     assert!(old[0].len() < new[0].len());
     let files = [new[0][..old[0].len()].to_vec(), old[1].clone()];
     println!(
         "without its new length: {:?}",
-        judge(&Folder::new("short"), plan, &files, true, &open).unwrap()
+        check_opening(&Folder::new("short"), plan, &files, true, &open).unwrap()
     );
 }
 
 #[test]
-fn a_mark_spoilt_at_any_offset_loses_nothing_that_was_shown() {
-    let (moments, _) = moments("mark", false);
-    let plan = |name, moments, whole| {
-        let moments: &[Moment] = moments;
-        let last = moments.last().unwrap();
-        let at = offsets(last.files[1].len(), whole);
-        Plan { name, moments, last, spoilt: 1, early: false, changes: SPOILT, at }
+fn a_mark_corrupted_at_any_offset_loses_nothing_that_was_acknowledged() {
+    let (captures, _) = captures("mark", false);
+    let plan = |name, captures, whole| {
+        let captures: &[Capture] = captures;
+        let last = captures.last().unwrap();
+        let offsets = select_offsets(last.files[1].len(), whole);
+        Plan { name, captures, last, changed_file: 1, mark_behind: false, changes: CORRUPTIONS, offsets }
     };
-    let other = &moments[..moments.len() - 1];
-    check(&[plan("mark in one slot", &moments, SLOT)]);
-    check(&[plan("mark in the other", other, SLOT)]);
+    let other = &captures[..captures.len() - 1];
+    sweep_and_report(&[plan("mark in one slot", &captures, SLOT_BYTES)]);
+    sweep_and_report(&[plan("mark in the other", other, SLOT_BYTES)]);
 }
 
-/// The sweep finds a store that forgets its mark, one that shows what it has not promised, one that begins
-/// anew, and one that panics.
+/// The sweep finds a store that loses its mark, one that is opened without advancing its mark, one that is created again
+/// in place of a corrupt one, and one that panics.
 #[test]
 fn planted_defects_are_found() {
-    quiet();
-    let (moments, _) = moments("planted", false);
-    let first = &moments[0].files[1];
-    let unmarked = |folder: &Path| {
+    catch_panic_messages();
+    let (captures, _) = captures("planted", false);
+    let first = &captures[0].files[1];
+    let resets_mark = |folder: &Path| {
         fs::write(folder.join(MARK_FILE), first).unwrap();
         open(folder)
     };
-    let unpromised = |folder: &Path| {
+    let restores_mark = |folder: &Path| {
         let mark = fs::read(folder.join(MARK_FILE)).unwrap();
         let opened = open(folder);
         fs::write(folder.join(MARK_FILE), mark).unwrap();
         opened
     };
-    let anew = |folder: &Path| {
+    let recreates = |folder: &Path| {
         open(folder).or_else(|_| {
             for file in [STORE_FILE, MARK_FILE] {
                 fs::remove_file(folder.join(file)).unwrap();
@@ -504,25 +523,25 @@
         })
     };
     let panics = |folder: &Path| Ok(open(folder).unwrap());
-    let planted: [(_, _, Open); 4] = [
-        ("older", false, &unmarked),
-        ("shown, and the", true, &unpromised),
-        ("vote None", false, &anew),
+    let planted: [(_, _, OpenStore); 4] = [
+        ("older", false, &resets_mark),
+        ("did not exclude its previous write", true, &restores_mark),
+        ("vote None", false, &recreates),
         ("it panicked", false, &panics),
     ];
-    for (sign, early, open) in planted {
-        let at = (0..HEADER).step_by(4).collect();
+    for (expected, mark_behind, open) in planted {
+        let offsets = (0..HEADER_BYTES).step_by(4).collect();
         let plan = Plan {
             name: "planted",
-            moments: &moments,
-            last: moments.last().unwrap(),
-            spoilt: 0,
-            early,
-            changes: SPOILT,
-            at,
+            captures: &captures,
+            last: captures.last().unwrap(),
+            changed_file: 0,
+            mark_behind,
+            changes: CORRUPTIONS,
+            offsets,
         };
-        let wrong: Vec<_> = sweep(&plan, open).into_values().flat_map(|tally| tally.wrong).collect();
-        println!("planted, {sign}: {} found, such as {:?}", wrong.len(), wrong.first());
-        assert!(wrong.iter().any(|wrong| wrong.contains(sign)), "{sign}: {wrong:?}");
+        let failures: Vec<_> = sweep(&plan, open).into_values().flat_map(|tally| tally.failures).collect();
+        println!("planted, {expected}: {} found, such as {:?}", failures.len(), failures.first());
+        assert!(failures.iter().any(|failure| failure.contains(expected)), "{expected}: {failures:?}");
     }
 }
