--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -275,13 +275,13 @@
     /// [`State::apply`]).
     ///
     /// # Errors
-    /// Returns a [`SubmitError`]. The entry may still take effect only after [`SubmitError::OutcomeUnknown`].
+    /// Returns a [`SubmitError`]. Only after [`SubmitError::OutcomeUnknown`] may the entry still take effect.
     pub async fn submit(&self, entry: Entry) -> Result<Result<Applied, Rejection>, SubmitError> {
         let bytes = postcard::experimental::serialized_size(&entry).unwrap_or(usize::MAX);
         if bytes > MAX_ENTRY_BYTES {
             return Err(SubmitError::TooLong { bytes });
         }
-        let Ok(_slot) = self.shared.pending_entries.try_acquire() else { return Err(SubmitError::Busy) };
+        let Ok(_permit) = self.shared.pending_entries.try_acquire() else { return Err(SubmitError::Busy) };
         // A leader that is cut off does not step down by itself and would accumulate entries without limit.
         let since_majority_ms = self.shared.raft.metrics().borrow().millis_since_quorum_ack;
         if since_majority_ms
@@ -330,7 +330,7 @@
                 .await
                 .map_err(|_| ConfirmError::Stopped)
         };
-        let before = vote().await?;
+        let vote_before = vote().await?;
         match self.shared.raft.get_read_log_id().await {
             Ok(_) => {}
             Err(RaftError::APIError(CheckIsLeaderError::ForwardToLeader(to))) => {
@@ -341,11 +341,11 @@
             }
             Err(RaftError::Fatal(_)) => return Err(ConfirmError::Stopped),
         }
-        let own = before.committed && before.leader_id.voted_for() == Some(self.node());
-        if !own || vote().await? != before {
+        let is_own_vote = vote_before.committed && vote_before.leader_id.voted_for() == Some(self.node());
+        if !is_own_vote || vote().await? != vote_before {
             return Err(not_leader(self.leader()));
         }
-        Ok(before.leader_id.get_term())
+        Ok(vote_before.leader_id.get_term())
     }
 
     /// Handles another voter's message to the store `to`, and returns the response.
@@ -394,9 +394,9 @@
     /// # Errors
     /// Returns an [`AdmitError`].
     pub async fn admit(&self, name: &str) -> Result<(), AdmitError> {
-        let named = || name.to_string();
+        let owned_name = || name.to_string();
         if !self.shared.options.voters.iter().any(|(voter, _)| voter == name) {
-            return Err(AdmitError::Unknown { name: named() });
+            return Err(AdmitError::Unknown { name: owned_name() });
         }
         if !self.shared.standing.borrow().leads {
             return Err(AdmitError::NotLeader { leader: self.leader() });
@@ -405,12 +405,13 @@
             return Ok(());
         }
         let deadline = Instant::now() + ADMIT_TIMEOUT;
-        let client = self.shared.clients.get(name).ok_or_else(|| AdmitError::Unknown { name: named() })?;
+        let client =
+            self.shared.clients.get(name).ok_or_else(|| AdmitError::Unknown { name: owned_name() })?;
         let hello = match client.request(&Request::Hello, HELLO_TIMEOUT).await {
             Ok(Response::Hello(hello)) => hello,
-            _ => return Err(AdmitError::Silent { name: named() }),
+            _ => return Err(AdmitError::Silent { name: owned_name() }),
         };
-        let new_node = hello.node.ok_or_else(|| AdmitError::Silent { name: named() })?;
+        let new_node = hello.node.ok_or_else(|| AdmitError::Silent { name: owned_name() })?;
         let raft = &self.shared.raft;
         let membership = raft.metrics().borrow().membership_config.clone();
         let membership = membership.membership();
@@ -419,18 +420,18 @@
         // it. Store numbers are random 64-bit numbers, so no other record has the same.
         let related = hello.voters.iter().any(|id| membership.get_node(id).is_some());
         if hello.initialized && known.is_none() && !related {
-            return Err(AdmitError::OtherRecord { name: named() });
+            return Err(AdmitError::OtherRecord { name: owned_name() });
         }
-        let failed = |error| match error {
+        let admit_error = |error| match error {
             RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => {
                 AdmitError::NotLeader { leader: self.leader_name(&to) }
             }
             _ => AdmitError::NoMajority,
         };
-        let late = |_| AdmitError::NoMajority;
+        let timed_out = |_| AdmitError::NoMajority;
         if known.is_none() {
-            let added = raft.add_learner(new_node, Voter { name: named() }, true);
-            timeout_at(deadline, added).await.map_err(late)?.map_err(failed)?;
+            let added = raft.add_learner(new_node, Voter { name: owned_name() }, true);
+            timeout_at(deadline, added).await.map_err(timed_out)?.map_err(admit_error)?;
         }
         // The newer one of the two configurations if an earlier change was interrupted.
         let newest = membership.get_joint_config().last().cloned().unwrap_or_default();
@@ -443,7 +444,7 @@
             return Ok(());
         }
         let changed = raft.change_membership(voters, false);
-        timeout_at(deadline, changed).await.map_err(late)?.map_err(failed)?;
+        timeout_at(deadline, changed).await.map_err(timed_out)?.map_err(admit_error)?;
         tracing::info!(voter = name, store = new_node, "a voter's new store was admitted");
         Ok(())
     }
@@ -458,15 +459,17 @@
 }
 
 fn standing(metrics: &RaftMetrics<NodeId, Voter>, seat: Seat) -> Standing {
-    let named =
+    let name_of =
         |id: NodeId| metrics.membership_config.membership().get_node(&id).map(|voter| voter.name.clone());
     let applied = metrics.last_applied;
-    let own = applied.is_some_and(|applied| applied.leader_id.term == metrics.current_term);
-    let leads = metrics.state == ServerState::Leader && metrics.current_leader == Some(metrics.id) && own;
+    let applied_own_term = applied.is_some_and(|applied| applied.leader_id.term == metrics.current_term);
+    let leads = metrics.state == ServerState::Leader
+        && metrics.current_leader == Some(metrics.id)
+        && applied_own_term;
     let seat = if metrics.running_state.is_err() { Seat::Stopped } else { seat };
     Standing {
         term: metrics.current_term,
-        leader: metrics.current_leader.and_then(named),
+        leader: metrics.current_leader.and_then(name_of),
         leads: leads && seat != Seat::Stopped,
         applied: applied.map_or(0, |applied| applied.index + 1),
         seat,
@@ -480,13 +483,13 @@
     standings: watch::Sender<Standing>,
 ) {
     loop {
-        let now = standing(&metrics.borrow_and_update(), *seat.borrow_and_update());
-        if now.seat == Seat::Stopped && standings.borrow().seat != Seat::Stopped {
+        let current = standing(&metrics.borrow_and_update(), *seat.borrow_and_update());
+        if current.seat == Seat::Stopped && standings.borrow().seat != Seat::Stopped {
             tracing::error!(error = %RecordError::Stopped, "this voter no longer takes part in the record");
         }
         standings.send_if_modified(|last| {
-            let changed = *last != now;
-            *last = now;
+            let changed = *last != current;
+            *last = current;
             changed
         });
         tokio::select! {
--- a/src/fleet/record/seat.rs
+++ b/src/fleet/record/seat.rs
@@ -180,11 +180,17 @@
             (name, Hello { initialized: true, voters: voters.to_vec(), ..hello })
         };
         for name in ["a", "c"] {
-            assert_eq!(next_step(&options(name), 1, &[hello_of_record(&[9, 2, 3])]), NextStep::AwaitAdmission);
+            assert_eq!(
+                next_step(&options(name), 1, &[hello_of_record(&[9, 2, 3])]),
+                NextStep::AwaitAdmission
+            );
             // The other voter has voted and has no log yet, or the record has this store and its first message is still
             // to come.
             assert_eq!(next_step(&options(name), 1, &[hello_of_record(&[]), new("c", 3)]), NextStep::Wait);
-            assert_eq!(next_step(&options(name), 1, &[hello_of_record(&[1, 2, 3]), new("c", 3)]), NextStep::Wait);
+            assert_eq!(
+                next_step(&options(name), 1, &[hello_of_record(&[1, 2, 3]), new("c", 3)]),
+                NextStep::Wait
+            );
         }
     }
 }
--- a/src/fleet/record/store.rs
+++ b/src/fleet/record/store.rs
@@ -65,7 +65,7 @@
     /// An error of `redb` or of the file system.
     #[error(transparent)]
     Redb(Box<redb::Error>),
-    /// The named item is missing or cannot be decoded.
+    /// The named item is missing, invalid or too long.
     #[error("{0} cannot be read")]
     Unreadable(&'static str),
     /// The store is closed.
