--- a/tests/sweep.rs
+++ b/tests/sweep.rs
@@ -284,11 +284,7 @@
         fs::write(folder.0.join(STORE_FILE), &before.files[0]).unwrap();
         match open(&folder.0) {
             Err(RecordError::Behind { .. }) => {}
-            other => {
-                return Err(format!(
-                    "opening it did not exclude its previous write: {other:?}"
-                ))
-            }
+            other => return Err(format!("opening it did not exclude its previous write: {other:?}")),
         }
         folder.put(files);
     }
