--- a/src/fleet/driver/leader_role.rs
+++ b/src/fleet/driver/leader_role.rs
@@ -5,7 +5,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::fleet::decided::{Applied, Entry, State};
 use crate::fleet::experiment::collect::Collector;
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::record as experiments;
@@ -15,6 +14,7 @@
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::{Ask, Life, Pace, Turn, Window};
+use crate::fleet::state_machine::{Applied, Entry, State};
 
 /// The end of a block does not wait for a member that has not sent an ask for this long.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(10);
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -11,12 +11,12 @@
 
 use super::documents;
 use super::tasks::DriverState;
-use crate::fleet::decided::{Entry, Refused};
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
+use crate::fleet::state_machine::{Entry, Rejection};
 use crate::fleet::wire::message::Look;
 use crate::fleet::wire::{Request, Response};
 
@@ -49,7 +49,7 @@
         format!("{by} at {}, unix_ms {}, number {number}", driver.name(), driver.clock.unix().as_millis());
     let document = match order {
         Order::Propose { table } => {
-            let problem = |problem| Refused::Routes(RecordError::Table { problem });
+            let problem = |problem| Rejection::Routes(RecordError::Table { problem });
             Table::parse(&table).and_then(|t| t.check(driver.known())).map_err(problem)?;
             submit(driver, Entry::Routes(Routes::Propose { table, by })).await?
         }
--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -9,11 +9,11 @@
 
 use super::tasks::{self, lock, DriverState};
 use super::{routing, Control, Environment, Options, MAX_QUEUED_CONTROLS};
-use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::Held;
 use crate::fleet::routes::{Life, Turn, Window};
 use crate::fleet::routing::Routing;
+use crate::fleet::state_machine::{Entry, State};
 
 /// Handle to the driver of one simulated process.
 pub struct SimulatedDriver {
@@ -75,7 +75,7 @@
     pub fn record_state(&self) -> Option<(Standing, u64, Arc<State>)> {
         let record = self.record()?;
         let standing = record.watch().borrow().clone();
-        let (applied, state) = record.states().borrow().clone();
+        let (applied, state) = record.watch_state().borrow().clone();
         Some((standing, applied, state))
     }
 
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -17,7 +17,6 @@
 use super::leader_role::{earlier_result, is_allowed, is_operator_order};
 use super::tasks::{lock, DriverState};
 use super::Options;
-use crate::fleet::decided::{Applied, Entry};
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::record::{self, Record, Standing};
 use crate::fleet::routes::leader::Effect;
@@ -25,6 +24,7 @@
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::table::{Hash, Table};
 use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::state_machine::{Applied, Entry};
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
 use crate::fleet::wire::{Answering, Caller, Push, Request, Response, Server};
 
@@ -347,7 +347,7 @@
         if !is_operator_order(&entry) || !is_allowed(&entry, self.permissions()) {
             return Response::Busy;
         }
-        if let Err(refused) = entry.bounded() {
+        if let Err(refused) = entry.check_bounds() {
             return Response::Submitted(Err(refused));
         }
         match timeout(SUBMIT_TIMEOUT, voter.record.submit(entry.clone())).await {
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -147,7 +147,7 @@
     ThreadEnded,
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Refused(#[from] super::decided::Refused),
+    Refused(#[from] super::state_machine::Rejection),
 }
 
 /// An order in the queue to the driver.
--- a/src/lab/sim/disk.rs
+++ b/src/lab/sim/disk.rs
@@ -8,7 +8,7 @@
 
 use redb::StorageBackend;
 
-use crate::fleet::record::disk::{Simulated, Slots};
+use crate::fleet::record::disk::{SimulatedDisk, SlotFile};
 use crate::lab::random::Random;
 
 /// What a disk writes at once; a write is torn between two of them.
@@ -239,7 +239,7 @@
     }
 }
 
-impl Slots for Handle {
+impl SlotFile for Handle {
     fn read(&self, most: usize) -> Result<Vec<u8>> {
         self.act(|file| Ok(file.now[..file.now.len().min(most)].to_vec()))
     }
@@ -279,7 +279,7 @@
     }
 }
 
-impl Simulated for Disk {
+impl SimulatedDisk for Disk {
     fn length(&self, file: &Path) -> Result<u64> {
         let inner = self.lock();
         let id = inner.file(file)?;
@@ -311,15 +311,15 @@
         Ok(())
     }
 
-    fn database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>> {
+    fn open_database(&self, file: &Path, new: bool) -> Result<Box<dyn StorageBackend>> {
         Ok(Box::new(self.handle(file, new, false)?))
     }
 
-    fn slots(&self, file: &Path, new: bool) -> Result<Box<dyn Slots>> {
+    fn slot_file(&self, file: &Path, new: bool) -> Result<Box<dyn SlotFile>> {
         Ok(Box::new(self.handle(file, new, true)?))
     }
 
-    fn takes(&self) -> Duration {
+    fn call_duration(&self) -> Duration {
         let drawn = self.lock().random.next_u64();
         // A sync takes a millisecond or two, and now and then ten.
         Duration::from_millis(if drawn.is_multiple_of(20) { 5 + drawn / 20 % 6 } else { drawn / 20 % 2 })
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -6,7 +6,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use hopwalk::fleet::decided::{self, Refused};
 use hopwalk::fleet::driver::{Driver, Options};
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::Experiment;
@@ -14,6 +13,7 @@
 use hopwalk::fleet::routes::table::Known;
 use hopwalk::fleet::routes::{Ask, Reply};
 use hopwalk::fleet::routing::{Call, Order, OrderError, RouteDecision, RouteState};
+use hopwalk::fleet::state_machine::{self, Rejection};
 use hopwalk::fleet::wire::message::Running;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
 use hopwalk::lab::ports::ReservedPort;
@@ -126,13 +126,13 @@
     let bad = fleet.table(0).replace("seat", "boat");
     let refused = fleet.order(3, Order::Propose { table: bad });
     assert!(
-        matches!(refused, Err(OrderError::Refused(Refused::Routes(RecordError::Table { .. })))),
+        matches!(refused, Err(OrderError::Refused(Rejection::Routes(RecordError::Table { .. })))),
         "{refused:?}"
     );
     assert_eq!(fleet.order(1, Order::Activate { version: 1 }).unwrap()["turn"], 1);
     let busy = fleet.order(2, Order::Activate { version: 1 });
     assert!(
-        matches!(&busy, Err(OrderError::Refused(Refused::Routes(RecordError::Busy { version: 1, by })))
+        matches!(&busy, Err(OrderError::Refused(Rejection::Routes(RecordError::Busy { version: 1, by })))
             if by.starts_with("anna at m2")),
         "{busy:?}"
     );
@@ -205,7 +205,7 @@
     assert!(wait_until(TIMEOUT, || aborted().is_some()), "no abort");
     assert_eq!(aborted().unwrap(), "no connection to 127.0.0.1:1");
     let refused = fleet.order(0, Order::Abort);
-    assert!(matches!(refused, Err(OrderError::Refused(Refused::Routes(RecordError::NotPending { .. })))));
+    assert!(matches!(refused, Err(OrderError::Refused(Rejection::Routes(RecordError::NotPending { .. })))));
     assert!(fleet.drivers.iter().all(|d| turn(d) == Some(0)));
 }
 
@@ -220,13 +220,13 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let answers = runtime.block_on(async {
         let client = Client::start(Local::new("test", "m2"), &name, address, None);
-        let request = Request::Submit(decided::Entry::Routes(prepare));
+        let request = Request::Submit(state_machine::Entry::Routes(prepare));
         let submit = || client.request(&request, TIMEOUT);
         // The disk is slower than the link: the second request arrives while the entry of the first is being written.
         tokio::join!(submit(), submit())
     });
     for answer in [answers.0, answers.1] {
-        let moved = decided::Applied::Routes(Applied::Moved(1));
+        let moved = state_machine::Applied::Routes(Applied::Moved(1));
         assert!(matches!(&answer, Ok(Response::Submitted(Ok(applied))) if *applied == moved), "{answer:?}");
     }
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -7,7 +7,6 @@
 use hopwalk::console::ConsoleError;
 use hopwalk::core::CoreError;
 use hopwalk::fleet::admin_client::AdminClientError;
-use hopwalk::fleet::decided::Refused;
 use hopwalk::fleet::experiment::counts::CountsError;
 use hopwalk::fleet::experiment::{self, DocumentError};
 use hopwalk::fleet::record::{self, ConfirmError, SubmitError};
@@ -15,6 +14,7 @@
 use hopwalk::fleet::routes::table::{Hash, TableError};
 use hopwalk::fleet::routes::{self, Refusal};
 use hopwalk::fleet::routing::OrderError;
+use hopwalk::fleet::state_machine::Rejection;
 use hopwalk::fleet::status::StatusError;
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRefusal;
@@ -242,9 +242,9 @@
             }),
         ),
         (
-            "src/fleet/decided.rs",
-            "Refused",
-            samples!(Refused {
+            "src/fleet/state_machine.rs",
+            "Rejection",
+            samples!(Rejection {
                 Routes(routes::record::RecordError::NoEarlier),
                 Experiment(experiment::record::RecordError::NoTable),
             }),
@@ -260,7 +260,7 @@
                 Admit(AdmitError::NoMajority),
                 QueueFull,
                 ThreadEnded,
-                Refused(Refused::Routes(routes::record::RecordError::NoEarlier)),
+                Refused(Rejection::Routes(routes::record::RecordError::NoEarlier)),
             }),
         ),
         (
@@ -269,16 +269,16 @@
             samples!(record::RecordError {
                 Voters { count: 2 },
                 NotAVoter { name: x() },
-                Pace { heartbeat: SECOND, least: SECOND, most: SECOND },
+                Timing { heartbeat: SECOND, min: SECOND, max: SECOND },
                 Folder { folder: x(), kind: KIND },
-                Held { file: x() },
-                Spoilt { file: x(), what: x() },
-                Behind { file: x(), found: 1, promised: 2 },
+                InUse { file: x() },
+                Corrupt { file: x(), reason: x() },
+                Behind { file: x(), found: 1, acknowledged: 2 },
                 Foreign { file: x(), fleet: x(), name: x() },
                 Format { file: x(), found: 9 },
                 Io { file: x(), kind: KIND },
                 NotAdmitted { name: x() },
-                OtherList { name: x() },
+                VotersDiffer { name: x() },
                 Stopped,
             }),
         ),
@@ -290,7 +290,7 @@
                 TooLong { bytes: 9 },
                 Busy,
                 NoMajority,
-                Unsure { patience: SECOND },
+                OutcomeUnknown { timeout: SECOND },
                 Stopped,
             }),
         ),
