--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -13,7 +13,7 @@
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::member::Member;
 use crate::fleet::routes::record::{self as routes, Stage, Why};
-use crate::fleet::routes::{Activation, Fence, Life, Version};
+use crate::fleet::routes::{Activation, Fence, MemberIncarnation, Version};
 use crate::fleet::wire::message::Look;
 
 fn ms(time: Duration) -> u64 {
@@ -81,12 +81,12 @@
     look: Look,
     state: &State,
     standing: &Standing,
-    given: impl Iterator<Item = (&'a Life, &'a Given)>,
+    given: impl Iterator<Item = (&'a MemberIncarnation, &'a Given)>,
     now: Duration,
 ) -> Value {
     match look {
         Look::Routes => {
-            let member = |(life, g): (&Life, &Given)| {
+            let member = |(life, g): (&MemberIncarnation, &Given)| {
                 json!({
                     "name": life.name,
                     "incarnation": life.incarnation,
@@ -174,8 +174,8 @@
         Err(e) => json!({ "problem": e.to_string() }),
     };
     json!({
-        "name": member.life().name,
-        "incarnation": member.life().incarnation,
+        "name": member.identity().name,
+        "incarnation": member.identity().incarnation,
         "posture": ears.posture(now).name(),
         "unheard": ears.unheard(now),
         "membership_hears": ears.by_membership(now),
@@ -247,7 +247,7 @@
         assert_eq!(told(&state)["stage"], "waits");
         let turn = begin(&mut state, 2, WINNER);
         assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("on its way"), &json!(turn)));
-        let silent = Why::Silent(Life { name: "m3".into(), incarnation: 1 });
+        let silent = Why::Silent(MemberIncarnation { name: "m3".into(), incarnation: 1 });
         state.apply(&Entry::Abort { turn, why: silent }).unwrap();
         let aborted = told(&state);
         assert_eq!((&aborted["stage"], &aborted["turn"]), (&json!("aborted"), &json!(turn)));
--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -11,7 +11,7 @@
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::Held;
-use crate::fleet::routes::{Life, Turn, Window};
+use crate::fleet::routes::{MemberIncarnation, Turn, Window};
 use crate::fleet::routing::Routing;
 
 /// One process's part, seen from inside.
@@ -29,7 +29,7 @@
 
 /// A member's part in a world, with what it does until it is told to leave. Call it within the runtime that runs it.
 pub fn begin(options: Options, world: World, incarnation: u64) -> (Inside, impl Future<Output = ()> + Send) {
-    let life = Life { name: options.name.clone(), incarnation };
+    let life = MemberIncarnation { name: options.name.clone(), incarnation };
     let (routing, asked, metrics) = routing(&options, world.clock, life);
     let (words, told) = mpsc::channel(MOST_WORDS);
     let (part, pushed) = Part::new(options, world, metrics, routing);
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -13,7 +13,7 @@
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::record as routes;
-use crate::fleet::routes::{Ask, Life, Pace, Turn, Window};
+use crate::fleet::routes::{Ask, MemberIncarnation, Pace, Turn, Window};
 
 /// A member that did not ask for this long is not waited for at the end of a block.
 const SEEN: Duration = Duration::from_secs(10);
@@ -91,8 +91,8 @@
 
     /// A member asks.
     pub fn ask(&mut self, at: &Now, ask: Ask) -> Vec<Effect> {
-        if self.seen.len() < MOST_SEEN || self.seen.contains_key(&ask.life.name) {
-            self.seen.insert(ask.life.name.clone(), at.now);
+        if self.seen.len() < MOST_SEEN || self.seen.contains_key(&ask.member.name) {
+            self.seen.insert(ask.member.name.clone(), at.now);
         }
         self.step(at, Input::Ask(ask))
     }
@@ -118,7 +118,7 @@
     }
 
     /// What is known of the leases of each life.
-    pub fn given(&self) -> impl Iterator<Item = (&Life, &Given)> {
+    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
         self.leader.given()
     }
 
@@ -235,8 +235,8 @@
     }
 
     fn ask(number: u64) -> Ask {
-        let life = Life { name: "m9".into(), incarnation: 1 };
-        Ask { life, number, heard: number - 1, answer: None, acknowledged: None }
+        let life = MemberIncarnation { name: "m9".into(), incarnation: 1 };
+        Ask { member: life, number, heard: number - 1, answer: None, acknowledged: None }
     }
 
     fn lease(effects: &[Effect]) -> Option<Duration> {
@@ -294,7 +294,7 @@
         assert!(allowed(&abort(Why::Operator(by())), minority));
         // What only a leader decides is not for a member to order.
         assert!(ordered(&prepare("anna")) && ordered(&abort(Why::Operator(by()))));
-        assert!(!ordered(&abort(Why::Silent(ask(1).life))));
+        assert!(!ordered(&abort(Why::Silent(ask(1).member))));
         assert!(!ordered(&Entry::Routes(routes::Entry::Done { turn: 1 })));
         let yes = Ask { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
         assert_eq!((gated(yes.clone(), majority), gated(yes.clone(), minority).answer), (yes, None));
--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -35,7 +35,7 @@
 use super::record::disk::Disk;
 use super::routes::member::Member;
 use super::routes::table::Known;
-use super::routes::{Life, Pace};
+use super::routes::{MemberIncarnation, Pace};
 use super::routing::{Asked, Routing};
 use super::wire::net::{Net, Tcp};
 
@@ -106,7 +106,11 @@
     }
 }
 
-fn routing(options: &Options, clock: Clock, life: Life) -> (Routing, mpsc::Receiver<Asked>, Metrics) {
+fn routing(
+    options: &Options,
+    clock: Clock,
+    life: MemberIncarnation,
+) -> (Routing, mpsc::Receiver<Asked>, Metrics) {
     let metrics = Metrics::new();
     let member = Member::new(life, options.known.clone(), Pace::default());
     let (routing, asked) = Routing::new(member, clock, metrics.clone());
@@ -139,7 +143,10 @@
         let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
         let world = World { answers, ..World::of_this_machine(options.fault) };
         // As the membership does it: grows across restarts while the system's clock does not go back.
-        let life = Life { name: options.name.clone(), incarnation: world.clock.unix().as_millis() as u64 };
+        let life = MemberIncarnation {
+            name: options.name.clone(),
+            incarnation: world.clock.unix().as_millis() as u64,
+        };
         let (routing, asked, metrics) = routing(&options, world.clock, life);
         let (words, told) = mpsc::channel(MOST_WORDS);
         let (end, ended) = sync_channel(1);
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -386,7 +386,7 @@
         held.told = told;
         let Some(Running { experiment, closed, members }) = running else { return held.counter = None };
         if held.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
-            let life = held.member.life();
+            let life = held.member.identity();
             let life = (life.name.clone(), life.incarnation);
             held.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
         }
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -117,7 +117,7 @@
                     part.metrics.request(kind(&request));
                     match &request {
                         // A lease is for whom the link said it is.
-                        Request::Ask(ask) if ask.life.name != from.name => Response::Busy,
+                        Request::Ask(ask) if ask.member.name != from.name => Response::Busy,
                         _ => part.answer(&voter, request).await,
                     }
                 }
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -5,7 +5,7 @@
 
 use super::lease::{Book, Given};
 use super::record::{Entry, Run, Stage, Stamp, State, Why};
-use super::{Activation, Ask, Life, Pace, Pending, Refusal, Reply, Turn, Window};
+use super::{Activation, Ask, MemberIncarnation, Pace, Pending, Refusal, Reply, Turn, Window};
 
 /// An entry that the record did not take is proposed again after this long.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send this to the member that asked.
-    Reply(Life, Reply),
+    Reply(MemberIncarnation, Reply),
     /// Tell a member to ask at once.
-    Nudge(Life),
+    Nudge(MemberIncarnation),
     /// Put this into the log.
     Propose(Entry),
 }
@@ -48,7 +48,7 @@
     turn: Turn,
     began: Duration,
     committed: bool,
-    refused: Option<(Life, Refusal)>,
+    refused: Option<(MemberIncarnation, Refusal)>,
     /// Its commit, or abort, and when it was last proposed.
     proposed: Option<(Entry, Duration)>,
     done: Option<Duration>,
@@ -78,7 +78,7 @@
     }
 
     /// What it knows of the leases of each life; nothing where it does not lead.
-    pub fn given(&self) -> impl Iterator<Item = (&Life, &Given)> {
+    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
         self.on.iter().flat_map(|on| on.book.iter())
     }
 
@@ -201,7 +201,7 @@
     fn ask(&mut self, now: Duration, pace: Pace, state: &State, ask: Ask, effects: &mut Vec<Effect>) {
         let run = state.run();
         let barrier = self.barrier(pace, run);
-        let Some(given) = self.book.entry(&ask.life) else { return };
+        let Some(given) = self.book.entry(&ask.member) else { return };
         if ask.number <= given.number {
             return;
         }
@@ -215,7 +215,7 @@
         if let Some((answered, answer)) = ask.answer.filter(|(answered, _)| Some(*answered) == turn) {
             match (answer, &mut self.watch) {
                 (Ok(_), _) => given.prepared = Some(answered),
-                (Err(refusal), Some(watch)) => watch.refused = Some((ask.life.clone(), refusal.clipped())),
+                (Err(refusal), Some(watch)) => watch.refused = Some((ask.member.clone(), refusal.clipped())),
                 _ => {}
             }
         }
@@ -251,6 +251,6 @@
         }
         given.end = given.end.max(now + length);
         let reply = Reply { number: ask.number, term: self.term, time: now, lease: length, active, pending };
-        effects.push(Effect::Reply(ask.life, reply));
+        effects.push(Effect::Reply(ask.member, reply));
     }
 }
--- a/src/fleet/routes/lease.rs
+++ b/src/fleet/routes/lease.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{drift, Life, Turn};
+use super::{drift, MemberIncarnation, Turn};
 
 /// A lease as its holder has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 /// The leases that a leader granted.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    given: BTreeMap<Life, Given>,
+    given: BTreeMap<MemberIncarnation, Given>,
 }
 
 impl Book {
@@ -64,7 +64,7 @@
     pub const MOST: usize = 8192;
 
     /// The entry of a life, made if there is room.
-    pub fn entry(&mut self, life: &Life) -> Option<&mut Given> {
+    pub fn entry(&mut self, life: &MemberIncarnation) -> Option<&mut Given> {
         if self.given.len() >= Self::MOST && !self.given.contains_key(life) {
             return None;
         }
@@ -72,7 +72,7 @@
     }
 
     /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = (&Life, &Given)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
         self.given.iter()
     }
 
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -7,7 +7,9 @@
 use super::clock::{Clock, ClockError, Sample};
 use super::lease::Held;
 use super::table::{Hash, Known, Table, TableError};
-use super::{Activation, Ask, Fence, Life, Pace, Pending, Refusal, Reply, Turn, Window, MOST_BOUND};
+use super::{
+    Activation, Ask, Fence, MemberIncarnation, Pace, Pending, Refusal, Reply, Turn, Window, MOST_BOUND,
+};
 
 /// Asks whose replies are still taken.
 const MOST_ASKS: usize = 16;
@@ -74,7 +76,7 @@
 /// One member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    life: Life,
+    life: MemberIncarnation,
     known: Known,
     pace: Pace,
     term: u64,
@@ -98,7 +100,7 @@
 
 impl Member {
     /// One that knows nothing yet; its first tick asks.
-    pub fn new(life: Life, known: Known, pace: Pace) -> Self {
+    pub fn new(life: MemberIncarnation, known: Known, pace: Pace) -> Self {
         Self {
             life,
             known,
@@ -174,7 +176,7 @@
         }
         let (answer, acknowledged) = (self.answer(now), self.acknowledged());
         let (life, number, heard) = (self.life.clone(), self.number, self.heard);
-        effects.push(Effect::Ask(Ask { life, number, heard, answer, acknowledged }));
+        effects.push(Effect::Ask(Ask { member: life, number, heard, answer, acknowledged }));
     }
 
     /// What is in force, on its way, or about to be.
@@ -340,7 +342,7 @@
     }
 
     /// Which life it is.
-    pub fn life(&self) -> &Life {
+    pub fn identity(&self) -> &MemberIncarnation {
         &self.life
     }
 
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -47,7 +47,7 @@
 
 /// One life of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life {
+pub struct MemberIncarnation {
     /// The member's name.
     pub name: String,
     /// Grows across restarts. In a handover two lives of one name are there at once, each with its own lease.
@@ -170,7 +170,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     /// Who.
-    pub life: Life,
+    pub member: MemberIncarnation,
     /// Grows with each ask of this life.
     pub number: u64,
     /// The newest of its asks that it had a reply to, 0 for none: who is heard and hears nothing gets no lease.
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 use super::table::{Table, TableError};
-use super::{Activation, Fence, Life, Refusal, Turn, Version};
+use super::{Activation, Fence, MemberIncarnation, Refusal, Turn, Version};
 
 /// Tables that are kept; the oldest that is neither active, before that, nor on its way goes first.
 pub const MOST_TABLES: usize = 64;
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Why {
     /// A member refused.
-    Refused(Life, Refusal),
+    Refused(MemberIncarnation, Refusal),
     /// A member with a lease that cannot lapse in time said nothing until the deadline.
-    Silent(Life),
+    Silent(MemberIncarnation),
     /// An operator did not want it any more.
     Operator(String),
 }
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -16,7 +16,7 @@
 };
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
-use hopwalk::fleet::routes::{Life, Refusal};
+use hopwalk::fleet::routes::{MemberIncarnation, Refusal};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
@@ -445,7 +445,7 @@
 
 /// An abort with the longest reason that a leader puts into the log.
 fn longest_abort(turn: u64) -> Entry {
-    let life = Life { name: "m".repeat(64), incarnation: u64::MAX };
+    let life = MemberIncarnation { name: "m".repeat(64), incarnation: u64::MAX };
     let name = || "x".repeat(MOST_BYTES);
     let problem = TableError::RouteTwice { class: name(), tenant: Some(name()) };
     let why = routes::Why::Refused(life, Refusal::Table { problem }.clipped());
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -12,7 +12,7 @@
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
 use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MOST_BY};
 use hopwalk::fleet::routes::table::{Known, Table, TableError, MOST_BYTES, MOST_TOLD};
-use hopwalk::fleet::routes::{Activation, Fence, Life, Pace, Pending, Refusal, Reply};
+use hopwalk::fleet::routes::{Activation, Fence, MemberIncarnation, Pace, Pending, Refusal, Reply};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 
@@ -80,7 +80,11 @@
     fn new(seed: u64, fault: Fault) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let node = |at: usize, rng: &mut Xoshiro256PlusPlus| Node {
-            member: Member::new(Life { name: format!("m{at}"), incarnation: 1 }, known(), Pace::default()),
+            member: Member::new(
+                MemberIncarnation { name: format!("m{at}"), incarnation: 1 },
+                known(),
+                Pace::default(),
+            ),
             leader: Leader::new(Pace::default()),
             offset: rng.random_range(0..100_000_000_000),
             ppm: rng.random_range(-90..90),
@@ -274,7 +278,7 @@
     fn restart(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.life += 1;
-        let life = Life { name: format!("m{at}"), incarnation: node.life };
+        let life = MemberIncarnation { name: format!("m{at}"), incarnation: node.life };
         (node.member, node.leader) =
             (Member::new(life, known(), Pace::default()), Leader::new(Pace::default()));
     }
--- a/tests/routes/prepares.rs
+++ b/tests/routes/prepares.rs
@@ -10,7 +10,7 @@
 
 impl Told {
     fn new() -> Self {
-        let life = Life { name: "m1".into(), incarnation: 1 };
+        let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
         Self { member: Member::new(life, known(), Pace::default()), now: ms(1) }
     }
 
