--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -13,7 +13,7 @@
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::record as routes;
-use crate::fleet::routes::{Ask, MemberIncarnation, Pace, Turn, Window};
+use crate::fleet::routes::{LeaseRequest, MemberIncarnation, Pace, Turn, Window};
 
 /// A member that did not ask for this long is not waited for at the end of a block.
 const SEEN: Duration = Duration::from_secs(10);
@@ -90,7 +90,7 @@
     }
 
     /// A member asks.
-    pub fn ask(&mut self, at: &Now, ask: Ask) -> Vec<Effect> {
+    pub fn ask(&mut self, at: &Now, ask: LeaseRequest) -> Vec<Effect> {
         if self.seen.len() < MOST_SEEN || self.seen.contains_key(&ask.member.name) {
             self.seen.insert(ask.member.name.clone(), at.now);
         }
@@ -213,7 +213,7 @@
 }
 
 /// What a member says of a prepare while its posture does not let it: nothing.
-pub fn gated(mut ask: Ask, may: May) -> Ask {
+pub fn gated(mut ask: LeaseRequest, may: May) -> LeaseRequest {
     if !may.prepare && matches!(ask.answer, Some((_, Ok(_)))) {
         ask.answer = None;
     }
@@ -234,9 +234,9 @@
         Duration::from_secs(n)
     }
 
-    fn ask(number: u64) -> Ask {
+    fn ask(number: u64) -> LeaseRequest {
         let life = MemberIncarnation { name: "m9".into(), incarnation: 1 };
-        Ask { member: life, number, heard: number - 1, answer: None, acknowledged: None }
+        LeaseRequest { member: life, number, heard: number - 1, answer: None, acknowledged: None }
     }
 
     fn lease(effects: &[Effect]) -> Option<Duration> {
@@ -296,7 +296,7 @@
         assert!(ordered(&prepare("anna")) && ordered(&abort(Why::Operator(by()))));
         assert!(!ordered(&abort(Why::Silent(ask(1).member))));
         assert!(!ordered(&Entry::Routes(routes::Entry::Done { turn: 1 })));
-        let yes = Ask { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
+        let yes = LeaseRequest { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
         assert_eq!((gated(yes.clone(), majority), gated(yes.clone(), minority).answer), (yes, None));
     }
 
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -24,7 +24,7 @@
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, Known};
-use crate::fleet::routes::{Ask, Fence, Pace, Turn};
+use crate::fleet::routes::{Fence, LeaseRequest, Pace, Turn};
 use crate::fleet::routing::{Asked, Routing};
 use crate::fleet::wire::message::Running;
 use crate::fleet::wire::{Client, Local, Pushed, Request, Response};
@@ -366,7 +366,7 @@
     }
 
     /// Brings an ask to the leader, and the reply back.
-    async fn ask(self: Arc<Self>, ask: Ask) {
+    async fn ask(self: Arc<Self>, ask: LeaseRequest) {
         let ask = gated(ask, self.may());
         if let Some(Response::Reply { reply, running }) = self.to_leader(&Request::Ask(ask), PATIENCE).await {
             self.metrics.replies.inc();
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -23,7 +23,7 @@
 use crate::fleet::routes::member::Input;
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::table::{Hash, Table};
-use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::routes::{LeaseReply, LeaseRequest};
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
 use crate::fleet::wire::{Answering, Caller, Push, Request, Response, Server};
 
@@ -215,7 +215,7 @@
 }
 
 /// Does what the leader's part asks for; the reply, where there is one.
-fn perform(part: &Arc<Part>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<Reply> {
+fn perform(part: &Arc<Part>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<LeaseReply> {
     let mut replied = None;
     for effect in effects {
         match effect {
@@ -309,7 +309,7 @@
         Response::NotLeader { leader }
     }
 
-    fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: Ask) -> Response {
+    fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: LeaseRequest) -> Response {
         let (effects, leads, running) = self.deciding(voter, |at, lead| {
             let running = at.state.experiments.run().map(|run| {
                 let experiment = run.experiment.clone();
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -5,7 +5,7 @@
 
 use super::lease::{Book, Given};
 use super::record::{Entry, Run, Stage, Stamp, State, Why};
-use super::{Activation, Ask, MemberIncarnation, Pace, Pending, Refusal, Reply, Turn, Window};
+use super::{Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window};
 
 /// An entry that the record did not take is proposed again after this long.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -26,7 +26,7 @@
     /// It leads no more.
     Deposed,
     /// A member asks.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// Time passed, or the record moved.
     Tick,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send this to the member that asked.
-    Reply(MemberIncarnation, Reply),
+    Reply(MemberIncarnation, LeaseReply),
     /// Tell a member to ask at once.
     Nudge(MemberIncarnation),
     /// Put this into the log.
@@ -198,7 +198,14 @@
         effects.push(Effect::Propose(entry));
     }
 
-    fn ask(&mut self, now: Duration, pace: Pace, state: &State, ask: Ask, effects: &mut Vec<Effect>) {
+    fn ask(
+        &mut self,
+        now: Duration,
+        pace: Pace,
+        state: &State,
+        ask: LeaseRequest,
+        effects: &mut Vec<Effect>,
+    ) {
         let run = state.run();
         let barrier = self.barrier(pace, run);
         let Some(given) = self.book.entry(&ask.member) else { return };
@@ -250,7 +257,8 @@
             _ => {}
         }
         given.end = given.end.max(now + length);
-        let reply = Reply { number: ask.number, term: self.term, time: now, lease: length, active, pending };
+        let reply =
+            LeaseReply { number: ask.number, term: self.term, time: now, lease: length, active, pending };
         effects.push(Effect::Reply(ask.member, reply));
     }
 }
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -8,7 +8,8 @@
 use super::lease::Held;
 use super::table::{Hash, Known, Table, TableError};
 use super::{
-    Activation, Ask, Fence, MemberIncarnation, Pace, Pending, Refusal, Reply, Turn, Window, MOST_BOUND,
+    Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window,
+    MOST_BOUND,
 };
 
 /// Asks whose replies are still taken.
@@ -27,7 +28,7 @@
     /// The leader wants to be asked, or there is a new one.
     Nudge,
     /// The leader replied.
-    Reply(Reply),
+    Reply(LeaseReply),
     /// A table came, in whatever form.
     Fetched(Hash, String),
     /// The connections to a table's pools were opened for a turn, or one address could not be reached.
@@ -38,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send this to the leader.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// Fetch a table.
     Fetch(Hash),
     /// Open connections to the pools of this table, for this turn.
@@ -176,7 +177,7 @@
         }
         let (answer, acknowledged) = (self.answer(now), self.acknowledged());
         let (life, number, heard) = (self.life.clone(), self.number, self.heard);
-        effects.push(Effect::Ask(Ask { member: life, number, heard, answer, acknowledged }));
+        effects.push(Effect::Ask(LeaseRequest { member: life, number, heard, answer, acknowledged }));
     }
 
     /// What is in force, on its way, or about to be.
@@ -217,7 +218,7 @@
         self.asks.clear();
     }
 
-    fn reply(&mut self, now: Duration, reply: Reply, effects: &mut Vec<Effect>) {
+    fn reply(&mut self, now: Duration, reply: LeaseReply, effects: &mut Vec<Effect>) {
         if reply.term < self.term || reply.number <= self.taken {
             return;
         }
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -8,8 +8,8 @@
 //! - [`member`]: leases, prepared tables, and the version that a request belongs to.
 //! - [`clock`] and [`lease`]: what is known of the leader's clock, and the right to act.
 //!
-//! One exchange carries all of it: a member asks ([`Ask`]) every [`Pace::ask`] and whenever it has something to say, and
-//! the leader replies ([`Reply`]). A message that is lost is made good by the next one. A nudge makes a member ask at
+//! One exchange carries all of it: a member asks ([`LeaseRequest`]) every [`Pace::ask`] and whenever it has something to say, and
+//! the leader replies ([`LeaseReply`]). A message that is lost is made good by the next one. A nudge makes a member ask at
 //! once.
 
 pub mod clock;
@@ -168,7 +168,7 @@
 
 /// What a member says to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Who.
     pub member: MemberIncarnation,
     /// Grows with each ask of this life.
@@ -183,7 +183,7 @@
 
 /// What the leader says to one ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct LeaseReply {
     /// Of the ask.
     pub number: u64,
     /// The leader's term.
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -341,7 +341,7 @@
     use crate::fleet::experiment::{self, Experiment};
     use crate::fleet::routes::member::{Effect, Input};
     use crate::fleet::routes::table::Known;
-    use crate::fleet::routes::{Activation, MemberIncarnation, Pace, Reply};
+    use crate::fleet::routes::{Activation, LeaseReply, MemberIncarnation, Pace};
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":3},{"address":"127.0.0.1:2","weight":1}],
         "b":[{"address":"127.0.0.1:3","weight":1}]},
@@ -367,7 +367,7 @@
             _ => None,
         });
         let number = number.unwrap();
-        let reply = Reply { number, term: 1, time: now, lease, active, pending: None };
+        let reply = LeaseReply { number, term: 1, time: now, lease, active, pending: None };
         held.member.step(routing.0.clock.now(), Input::Reply(reply));
         if let Some(a) = active {
             held.member.step(routing.0.clock.now(), Input::Fetched(a.hash, TABLE.into()));
--- a/src/fleet/wire/message.rs
+++ b/src/fleet/wire/message.rs
@@ -12,7 +12,7 @@
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::Experiment;
 use crate::fleet::routes::table::Hash;
-use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::routes::{LeaseReply, LeaseRequest};
 
 /// From a member to a voter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
         request: Box<RaftRequest>,
     },
     /// For a lease and the news.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// For a table.
     Fetch(Hash),
     /// An entry for the log.
@@ -92,7 +92,7 @@
     /// To [`Request::Ask`], with the experiment that runs.
     Reply {
         /// The lease and the news.
-        reply: Box<Reply>,
+        reply: Box<LeaseReply>,
         /// What runs.
         running: Option<Box<Running>>,
     },
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -12,7 +12,7 @@
 use hopwalk::fleet::experiment::Experiment;
 use hopwalk::fleet::routes::record::{Applied, Entry, RecordError};
 use hopwalk::fleet::routes::table::Known;
-use hopwalk::fleet::routes::{Ask, Reply};
+use hopwalk::fleet::routes::{LeaseReply, LeaseRequest};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
 use hopwalk::fleet::wire::message::Running;
 use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
@@ -244,9 +244,9 @@
     let (first, reports, late) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let said = std::sync::Arc::new((first, reports, late));
     let heard = said.clone();
-    let answer = move |ask: Ask, running| {
+    let answer = move |ask: LeaseRequest, running| {
         let (time, lease) = (Duration::from_secs(1), Duration::ZERO);
-        let reply = Reply { number: ask.number, term: 1, time, lease, active: None, pending: None };
+        let reply = LeaseReply { number: ask.number, term: 1, time, lease, active: None, pending: None };
         Response::Reply { reply: Box::new(reply), running }
     };
     let handler = move |_: std::sync::Arc<Caller>, request: Request| -> Answering {
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -12,7 +12,7 @@
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
 use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MOST_BY};
 use hopwalk::fleet::routes::table::{Known, Table, TableError, MOST_BYTES, MOST_TOLD};
-use hopwalk::fleet::routes::{Activation, Fence, MemberIncarnation, Pace, Pending, Refusal, Reply};
+use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pace, Pending, Refusal};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 
--- a/tests/routes/prepares.rs
+++ b/tests/routes/prepares.rs
@@ -27,7 +27,7 @@
             _ => None,
         });
         let (number, time) = (ask.unwrap(), self.now);
-        let reply = Reply { number, term: 1, time, lease: Duration::ZERO, active: None, pending };
+        let reply = LeaseReply { number, term: 1, time, lease: Duration::ZERO, active: None, pending };
         self.member.step(self.now, member::Input::Reply(reply))
     }
 
