--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -10,7 +10,7 @@
 use crate::fleet::experiment::words;
 use crate::fleet::posture::Ears;
 use crate::fleet::record::Standing;
-use crate::fleet::routes::lease::Given;
+use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::member::Member;
 use crate::fleet::routes::record::{self as routes, Stage, Why};
 use crate::fleet::routes::{Activation, Fence, MemberIncarnation, Version};
@@ -81,12 +81,12 @@
     look: Look,
     state: &State,
     standing: &Standing,
-    given: impl Iterator<Item = (&'a MemberIncarnation, &'a Given)>,
+    given: impl Iterator<Item = (&'a MemberIncarnation, &'a GrantedLease)>,
     now: Duration,
 ) -> Value {
     match look {
         Look::Routes => {
-            let member = |(life, g): (&MemberIncarnation, &Given)| {
+            let member = |(life, g): (&MemberIncarnation, &GrantedLease)| {
                 json!({
                     "name": life.name,
                     "incarnation": life.incarnation,
--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -10,7 +10,7 @@
 use super::{routing, Options, Word, World, MOST_WORDS};
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
-use crate::fleet::routes::lease::Held;
+use crate::fleet::routes::lease::HeldLease;
 use crate::fleet::routes::{MemberIncarnation, Turn, Window};
 use crate::fleet::routing::Routing;
 
@@ -53,7 +53,7 @@
     }
 
     /// The lease, and the moment of a switch that it knows.
-    pub fn promises(&self) -> (Held, Option<(Turn, Window)>) {
+    pub fn promises(&self) -> (HeldLease, Option<(Turn, Window)>) {
         self.part.routing.held().member.promises()
     }
 
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -11,7 +11,7 @@
 use crate::fleet::posture::May;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::leader::{Effect, Input, Leader};
-use crate::fleet::routes::lease::Given;
+use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::{LeaseRequest, MemberIncarnation, Pace, Turn, Window};
 
@@ -118,8 +118,8 @@
     }
 
     /// What is known of the leases of each life.
-    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
-        self.leader.given()
+    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
+        self.leader.granted_leases()
     }
 
     /// Takes what a matcher counted; false if it was not taken.
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::lease::{Book, Given};
+use super::lease::{GrantedLease, LeaseTable};
 use super::record::{Entry, Run, Stage, Stamp, State, Why};
 use super::{Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window};
 
@@ -59,7 +59,7 @@
     term: u64,
     elected: Duration,
     confirmed: Duration,
-    book: Book,
+    book: LeaseTable,
     window: Option<(Turn, Window)>,
     watch: Option<Watch>,
 }
@@ -78,7 +78,7 @@
     }
 
     /// What it knows of the leases of each life; nothing where it does not lead.
-    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
+    pub fn granted_leases(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
         self.on.iter().flat_map(|on| on.book.iter())
     }
 
@@ -90,7 +90,8 @@
                 let (term, window) = (*term, *window);
                 // Nothing is granted before a majority confirmed: the step may come long after the election.
                 let (elected, confirmed) = (now, Duration::ZERO);
-                self.on = Some(On { term, elected, confirmed, book: Book::default(), window, watch: None });
+                self.on =
+                    Some(On { term, elected, confirmed, book: LeaseTable::default(), window, watch: None });
             }
             Input::Deposed => self.on = None,
             _ => {}
@@ -181,11 +182,11 @@
             if now + pace.lead < floor {
                 return;
             }
-            let prepared = |g: &Given| g.prepared == Some(turn);
+            let prepared = |g: &GrantedLease| g.prepared == Some(turn);
             let ends = self.book.iter().filter(|(_, g)| prepared(g)).map(|(_, g)| g.end);
             let at = ends.chain([now + pace.lead, floor]).max().unwrap_or(floor);
             let over = now >= watch.began + pace.deadline;
-            let silent = |g: &Given| !prepared(g) && g.end > if over { at } else { now };
+            let silent = |g: &GrantedLease| !prepared(g) && g.end > if over { at } else { now };
             match self.book.iter().find(|(_, g)| silent(g)) {
                 None if self.book.iter().any(|(_, g)| prepared(g)) => {
                     Entry::Commit { turn, at: Stamp { term: self.term, at } }
--- a/src/fleet/routes/lease.rs
+++ b/src/fleet/routes/lease.rs
@@ -12,11 +12,11 @@
 
 /// A lease as its holder has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldLease {
     until: Duration,
 }
 
-impl Held {
+impl HeldLease {
     /// Takes a grant of `length` for an ask sent at `sent`; an earlier one that lasts longer stays.
     pub fn take(&mut self, sent: Duration, length: Duration) {
         self.until = self.until.max(sent + length.saturating_sub(drift(length) * 2));
@@ -40,7 +40,7 @@
 
 /// What the leader knows of one life.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Given {
+pub struct GrantedLease {
     /// On the leader's clock its lease has ended by then.
     pub end: Duration,
     /// The newest ask that was taken.
@@ -55,16 +55,16 @@
 
 /// The leases that a leader granted.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    given: BTreeMap<MemberIncarnation, Given>,
+pub struct LeaseTable {
+    given: BTreeMap<MemberIncarnation, GrantedLease>,
 }
 
-impl Book {
+impl LeaseTable {
     /// Lives that are remembered at most; others get no lease.
     pub const MOST: usize = 8192;
 
     /// The entry of a life, made if there is room.
-    pub fn entry(&mut self, life: &MemberIncarnation) -> Option<&mut Given> {
+    pub fn entry(&mut self, life: &MemberIncarnation) -> Option<&mut GrantedLease> {
         if self.given.len() >= Self::MOST && !self.given.contains_key(life) {
             return None;
         }
@@ -72,7 +72,7 @@
     }
 
     /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = (&MemberIncarnation, &Given)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
         self.given.iter()
     }
 
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::clock::{Clock, ClockError, Sample};
-use super::lease::Held;
+use super::lease::HeldLease;
 use super::table::{Hash, Known, Table, TableError};
 use super::{
     Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window,
@@ -82,7 +82,7 @@
     pace: Pace,
     term: u64,
     clock: Clock,
-    lease: Held,
+    lease: HeldLease,
     active: Option<Activation>,
     switch: Option<(Activation, Window)>,
     wanted: Option<Activation>,
@@ -108,7 +108,7 @@
             pace,
             term: 0,
             clock: Clock::default(),
-            lease: Held::default(),
+            lease: HeldLease::default(),
             active: None,
             switch: None,
             wanted: None,
@@ -354,7 +354,7 @@
     }
 
     /// Its lease and the moment it waits for, for the leader's part of the same process and for operators.
-    pub fn promises(&self) -> (Held, Option<(Turn, Window)>) {
+    pub fn promises(&self) -> (HeldLease, Option<(Turn, Window)>) {
         (self.lease, self.switch.map(|(next, window)| (next.fence.turn, window)))
     }
 
