--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -13,7 +13,7 @@
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::record as routes;
-use crate::fleet::routes::{LeaseRequest, MemberIncarnation, Pace, Turn, Window};
+use crate::fleet::routes::{LeaseRequest, MemberIncarnation, Timing, Turn, Window};
 
 /// A member that did not ask for this long is not waited for at the end of a block.
 const SEEN: Duration = Duration::from_secs(10);
@@ -35,7 +35,7 @@
 pub struct Lead {
     leader: Leader,
     voters: BTreeSet<String>,
-    pace: Pace,
+    pace: Timing,
     term: Option<u64>,
     /// When it was elected, or a majority last answered.
     confirmed: Duration,
@@ -46,7 +46,7 @@
 
 impl Lead {
     /// It does not lead.
-    pub fn new(voters: BTreeSet<String>, pace: Pace) -> Self {
+    pub fn new(voters: BTreeSet<String>, pace: Timing) -> Self {
         let (seen, collector) = Default::default();
         let (leader, confirmed) = (Leader::new(pace), Duration::ZERO);
         Self { leader, voters, pace, term: None, confirmed, seen, collector, winner: None }
@@ -252,7 +252,7 @@
 
     #[test]
     fn it_leads_in_just_the_terms_in_which_the_record_does() {
-        let mut lead = Lead::new(["m1".to_string()].into(), Pace::default());
+        let mut lead = Lead::new(["m1".to_string()].into(), Timing::default());
         let state = State::default();
         let at = |now| Now { now, unix: now, state: &state, may: Posture::Whole.may() };
         let seat = Seat::Voter;
--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -35,7 +35,7 @@
 use super::record::disk::Disk;
 use super::routes::member::Member;
 use super::routes::table::Known;
-use super::routes::{MemberIncarnation, Pace};
+use super::routes::{MemberIncarnation, Timing};
 use super::routing::{Asked, Routing};
 use super::wire::net::{Net, Tcp};
 
@@ -112,7 +112,7 @@
     life: MemberIncarnation,
 ) -> (Routing, mpsc::Receiver<Asked>, Metrics) {
     let metrics = Metrics::new();
-    let member = Member::new(life, options.known.clone(), Pace::default());
+    let member = Member::new(life, options.known.clone(), Timing::default());
     let (routing, asked) = Routing::new(member, clock, metrics.clone());
     (routing, asked, metrics)
 }
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -24,7 +24,7 @@
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, Known};
-use crate::fleet::routes::{Fence, LeaseRequest, Pace, Turn};
+use crate::fleet::routes::{Fence, LeaseRequest, Timing, Turn};
 use crate::fleet::routing::{Asked, Routing};
 use crate::fleet::wire::message::Running;
 use crate::fleet::wire::{Client, Local, Pushed, Request, Response};
@@ -107,7 +107,7 @@
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let part = Self {
             ears: Mutex::new(Ears::new(&options.name, &names, PERIOD).beside(answers.period())),
-            lead: Mutex::new(Lead::new(voters, Pace::default())),
+            lead: Mutex::new(Lead::new(voters, Timing::default())),
             voter: Mutex::default(),
             leader: Mutex::default(),
             next: AtomicUsize::new(0),
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -5,7 +5,9 @@
 
 use super::lease::{GrantedLease, LeaseTable};
 use super::record::{Entry, Run, Stage, Stamp, State, Why};
-use super::{Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window};
+use super::{
+    Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
+};
 
 /// An entry that the record did not take is proposed again after this long.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -67,13 +69,13 @@
 /// One member as the leader, or as none.
 #[derive(Clone, Debug)]
 pub struct Leader {
-    pace: Pace,
+    pace: Timing,
     on: Option<On>,
 }
 
 impl Leader {
     /// It does not lead.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pace: Timing) -> Self {
         Self { pace, on: None }
     }
 
@@ -115,12 +117,12 @@
 
 impl On {
     /// Every lease of an earlier leader, and every moment that it recorded, is past from here on.
-    fn floor(&self, pace: Pace) -> Duration {
+    fn floor(&self, pace: Timing) -> Duration {
         self.elected + pace.wait_out()
     }
 
     /// Where the moment of a committed run is on the own clock; `None` while that is not known and not surely past.
-    fn moment(&self, pace: Pace, turn: Turn, stamp: Stamp) -> Window {
+    fn moment(&self, pace: Timing, turn: Turn, stamp: Stamp) -> Window {
         if stamp.term == self.term {
             return Window { low: stamp.at, high: stamp.at };
         }
@@ -129,7 +131,7 @@
     }
 
     /// From where on no lease may reach whose holder has not acknowledged: the recorded moment, or a proposed one.
-    fn barrier(&self, pace: Pace, run: Option<&Run>) -> Option<(Turn, Window)> {
+    fn barrier(&self, pace: Timing, run: Option<&Run>) -> Option<(Turn, Window)> {
         let run = run?;
         let turn = run.activation.fence.turn;
         if let Stage::Committed(stamp) = run.stage {
@@ -142,7 +144,7 @@
         }
     }
 
-    fn drive(&mut self, now: Duration, pace: Pace, state: &State, effects: &mut Vec<Effect>) {
+    fn drive(&mut self, now: Duration, pace: Timing, state: &State, effects: &mut Vec<Effect>) {
         self.book.sweep(now, pace.deadline * 4);
         let Some(run) = state.run() else { return self.watch = None };
         let turn = run.activation.fence.turn;
@@ -202,7 +204,7 @@
     fn ask(
         &mut self,
         now: Duration,
-        pace: Pace,
+        pace: Timing,
         state: &State,
         ask: LeaseRequest,
         effects: &mut Vec<Effect>,
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -8,7 +8,7 @@
 use super::lease::HeldLease;
 use super::table::{Hash, Known, Table, TableError};
 use super::{
-    Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pace, Pending, Refusal, Turn, Window,
+    Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
     MOST_BOUND,
 };
 
@@ -79,7 +79,7 @@
 pub struct Member {
     life: MemberIncarnation,
     known: Known,
-    pace: Pace,
+    pace: Timing,
     term: u64,
     clock: Clock,
     lease: HeldLease,
@@ -101,7 +101,7 @@
 
 impl Member {
     /// One that knows nothing yet; its first tick asks.
-    pub fn new(life: MemberIncarnation, known: Known, pace: Pace) -> Self {
+    pub fn new(life: MemberIncarnation, known: Known, pace: Timing) -> Self {
         Self {
             life,
             known,
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -8,7 +8,7 @@
 //! - [`member`]: leases, prepared tables, and the version that a request belongs to.
 //! - [`clock`] and [`lease`]: what is known of the leader's clock, and the right to act.
 //!
-//! One exchange carries all of it: a member asks ([`LeaseRequest`]) every [`Pace::ask`] and whenever it has something to say, and
+//! One exchange carries all of it: a member asks ([`LeaseRequest`]) every [`Timing::ask`] and whenever it has something to say, and
 //! the leader replies ([`LeaseReply`]). A message that is lost is made good by the next one. A nudge makes a member ask at
 //! once.
 
@@ -91,7 +91,7 @@
 
 /// Lengths that all members of a fleet share; the leader's rules hold for any values with `ask < lead <= lease`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Timing {
     /// Between two asks of a member.
     pub ask: Duration,
     /// The longest lease.
@@ -102,14 +102,14 @@
     pub deadline: Duration,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
         let ms = Duration::from_millis;
         Self { ask: ms(200), lease: ms(2000), lead: ms(1000), deadline: ms(3000) }
     }
 }
 
-impl Pace {
+impl Timing {
     /// After this long on any clock every lease that was granted before, and every moment of a switch that was recorded
     /// before, is past.
     pub fn wait_out(&self) -> Duration {
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -341,7 +341,7 @@
     use crate::fleet::experiment::{self, Experiment};
     use crate::fleet::routes::member::{Effect, Input};
     use crate::fleet::routes::table::Known;
-    use crate::fleet::routes::{Activation, LeaseReply, MemberIncarnation, Pace};
+    use crate::fleet::routes::{Activation, LeaseReply, MemberIncarnation, Timing};
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":3},{"address":"127.0.0.1:2","weight":1}],
         "b":[{"address":"127.0.0.1:3","weight":1}]},
@@ -353,7 +353,7 @@
     fn routing() -> Routing {
         let known = Known { classes: ["seat".into(), "look".into()].into(), tenants: ["t".into()].into() };
         let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
-        let member = Member::new(life, known, Pace::default());
+        let member = Member::new(life, known, Timing::default());
         Routing::new(member, Clock::start(None), Metrics::new()).0
     }
 
@@ -472,7 +472,7 @@
     fn orders_beyond_the_bound_are_turned_away_at_once() {
         let known = Known::default();
         let member =
-            Member::new(MemberIncarnation { name: "m1".into(), incarnation: 1 }, known, Pace::default());
+            Member::new(MemberIncarnation { name: "m1".into(), incarnation: 1 }, known, Timing::default());
         let (routing, asked) = Routing::new(member, Clock::start(None), Metrics::new());
         let waiting: Vec<_> = (0..MOST_ORDERS).map(|_| routing.order(Order::Show, "anna")).collect();
         assert!(waiting.iter().all(|w| w.try_recv().is_err()));
--- a/src/lab/sim/fleet.rs
+++ b/src/lab/sim/fleet.rs
@@ -90,7 +90,7 @@
 fn lengthen(bytes: &mut Vec<u8>) {
     let Some(body) = bytes.get(4..) else { return };
     if let Ok(Down::Answer(id, Response::Reply { mut reply, running })) = decode::<Down>(body) {
-        reply.lease = crate::fleet::routes::Pace::default().lease;
+        reply.lease = crate::fleet::routes::Timing::default().lease;
         if let Ok(frame) = encode(&Down::Answer(id, Response::Reply { reply, running }), MOST_FRAME) {
             *bytes = frame;
         }
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -12,7 +12,7 @@
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
 use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MOST_BY};
 use hopwalk::fleet::routes::table::{Known, Table, TableError, MOST_BYTES, MOST_TOLD};
-use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pace, Pending, Refusal};
+use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pending, Refusal, Timing};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 
@@ -83,9 +83,9 @@
             member: Member::new(
                 MemberIncarnation { name: format!("m{at}"), incarnation: 1 },
                 known(),
-                Pace::default(),
+                Timing::default(),
             ),
-            leader: Leader::new(Pace::default()),
+            leader: Leader::new(Timing::default()),
             offset: rng.random_range(0..100_000_000_000),
             ppm: rng.random_range(-90..90),
             life: 1,
@@ -155,7 +155,7 @@
                 leader::Effect::Reply(life, mut reply) => {
                     let to: usize = life.name[1..].parse().unwrap();
                     if self.fault == Fault::LongLease {
-                        reply.lease = Pace::default().lease;
+                        reply.lease = Timing::default().lease;
                     }
                     self.post(at, to, Message::Member(to, life.incarnation, member::Input::Reply(reply)));
                 }
@@ -280,7 +280,7 @@
         node.life += 1;
         let life = MemberIncarnation { name: format!("m{at}"), incarnation: node.life };
         (node.member, node.leader) =
-            (Member::new(life, known(), Pace::default()), Leader::new(Pace::default()));
+            (Member::new(life, known(), Timing::default()), Leader::new(Timing::default()));
     }
 
     fn disturb(&mut self) {
--- a/tests/routes/prepares.rs
+++ b/tests/routes/prepares.rs
@@ -11,7 +11,7 @@
 impl Told {
     fn new() -> Self {
         let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
-        Self { member: Member::new(life, known(), Pace::default()), now: ms(1) }
+        Self { member: Member::new(life, known(), Timing::default()), now: ms(1) }
     }
 
     fn step(&mut self, input: member::Input) -> Vec<member::Effect> {
