--- a/src/fleet/routes/clock.rs
+++ b/src/fleet/routes/clock.rs
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::{drift, Window, MOST_BOUND};
+use super::{drift, Window, MAX_CLOCK_BOUND};
 
 /// Samples that are kept.
-pub const MOST_SAMPLES: usize = 8;
+pub const MAX_SAMPLES: usize = 8;
 
 /// Why the fleet's time is not known.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
@@ -20,8 +20,8 @@
     #[error("the leader has not answered yet")]
     #[diagnostic(help("wait for a leader; `hopwalk fleet status` shows whom this member hears"))]
     NoSample,
-    /// The bound is wider than [`MOST_BOUND`].
-    #[error("the bound is {} us, over {} us", bound.as_micros(), MOST_BOUND.as_micros())]
+    /// The bound is wider than [`MAX_CLOCK_BOUND`].
+    #[error("the bound is {} us, over {} us", bound.as_micros(), MAX_CLOCK_BOUND.as_micros())]
     #[diagnostic(help("round trips to the leader take too long: look for load or loss on the way"))]
     Wide {
         /// The bound.
@@ -88,7 +88,7 @@
         if sample.received < sample.sent {
             return Err(ClockError::Backwards);
         }
-        if self.samples.len() == MOST_SAMPLES {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back(sample);
@@ -117,7 +117,7 @@
     /// The bound at `now`, if it is narrow enough to be prepared with.
     pub fn fit(&self, now: Duration) -> Result<Duration, ClockError> {
         let bound = self.offset(now)?.bound();
-        if bound > MOST_BOUND {
+        if bound > MAX_CLOCK_BOUND {
             return Err(ClockError::Wide { bound });
         }
         Ok(bound)
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -9,7 +9,7 @@
 use super::table::{Hash, Known, Table, TableError};
 use super::{
     Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
-    MOST_BOUND,
+    MAX_CLOCK_BOUND,
 };
 
 /// Asks whose replies are still taken.
@@ -247,7 +247,7 @@
             }
             Some(Pending::Commit(next, moment)) if next.fence.turn > self.turn() => {
                 self.want(next);
-                let here = self.clock.here(now, moment).ok().filter(|w| w.bound() <= MOST_BOUND * 2);
+                let here = self.clock.here(now, moment).ok().filter(|w| w.bound() <= MAX_CLOCK_BOUND * 2);
                 let is_ready = self.is_open(next);
                 if let Some(window) = here.filter(|_| is_ready && self.switch.is_none()) {
                     self.switch = Some((next, window));
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -33,7 +33,7 @@
 /// samples ([`ClockError::Disagree`]), and its holder gives up its lease.
 pub const DRIFT_PPM: u64 = 200;
 /// The widest clock bound with which a member may be prepared.
-pub const MOST_BOUND: Duration = Duration::from_millis(5);
+pub const MAX_CLOCK_BOUND: Duration = Duration::from_millis(5);
 
 /// How far two clocks can drift apart in `span`, rounded up.
 pub fn drift(span: Duration) -> Duration {
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -12,11 +12,11 @@
 use super::{Activation, Fence, MemberIncarnation, Refusal, Turn, Version};
 
 /// Tables that are kept; the oldest that is neither active, before that, nor on its way goes first.
-pub const MOST_TABLES: usize = 64;
+pub const MAX_TABLES: usize = 64;
 /// Bytes of an operator's name at most, in what is ordered.
-pub const MOST_BY: usize = 256;
+pub const MAX_OPERATOR_NAME: usize = 256;
 /// Activations that the history keeps.
-pub const MOST_HISTORY: usize = 256;
+pub const MAX_HISTORY: usize = 256;
 
 /// A moment on the clock of the leader of a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -116,7 +116,7 @@
     #[diagnostic(help("correct the document, and propose it again"))]
     Table { problem: TableError },
     #[error("the name of the operator has {bytes} bytes")]
-    #[diagnostic(help("name who asks in {MOST_BY} bytes or less"))]
+    #[diagnostic(help("name who asks in {MAX_OPERATOR_NAME} bytes or less"))]
     By { bytes: usize },
 }
 
@@ -132,7 +132,7 @@
             Self::Abort { .. } | Self::Commit { .. } | Self::Done { .. } => return Ok(()),
         };
         match (by.len(), self) {
-            (bytes, _) if bytes > MOST_BY => Err(RecordError::By { bytes }),
+            (bytes, _) if bytes > MAX_OPERATOR_NAME => Err(RecordError::By { bytes }),
             (_, Self::Propose { table, .. }) => {
                 Table::parse(table).map(drop).map_err(|problem| RecordError::Table { problem })
             }
@@ -278,7 +278,7 @@
     fn end(&mut self, aborted: Option<Why>) {
         let Some(run) = self.run.take() else { return };
         self.history.push_back(Past { fence: run.activation.fence, by: run.by, aborted });
-        if self.history.len() > MOST_HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
@@ -287,7 +287,7 @@
         let run = self.run.as_ref().map(|r| r.activation.fence.version);
         let active = self.active.map(|a| a.fence.version);
         let kept = [run, self.before, active, self.made, Some(self.last_version)];
-        while self.tables.len() > MOST_TABLES {
+        while self.tables.len() > MAX_TABLES {
             let Some(oldest) = self.tables.keys().copied().find(|v| !kept.contains(&Some(*v))) else {
                 return;
             };
--- a/src/fleet/routes/table.rs
+++ b/src/fleet/routes/table.rs
@@ -10,19 +10,19 @@
 use thiserror::Error;
 
 /// The longest document, and the longest canonical form, in bytes.
-pub const MOST_BYTES: usize = 65_536;
+pub const MAX_BYTES: usize = 65_536;
 /// Pools, addresses of one pool, and routes at most.
-pub const MOST_ENTRIES: usize = 256;
+pub const MAX_ENTRIES: usize = 256;
 /// Arms of one experiment at most.
-pub const MOST_ARMS: usize = 8;
+pub const MAX_ARMS: usize = 8;
 /// The highest weight.
-pub const MOST_WEIGHT: u32 = 1000;
+pub const MAX_WEIGHT: u32 = 1000;
 /// The longest time of a call, in milliseconds.
-pub const MOST_MS: u32 = 60_000;
+pub const MAX_TIMEOUT_MS: u32 = 60_000;
 /// Tries of a call at most.
-pub const MOST_TRIES: u32 = 10;
+pub const MAX_TRIES: u32 = 10;
 /// Bytes of a name that the record keeps of why a table was refused.
-pub const MOST_TOLD: usize = 256;
+pub const MAX_RECORDED_NAME: usize = 256;
 /// What the shares of an experiment add up to.
 pub const SHARES: u32 = 1000;
 
@@ -49,7 +49,7 @@
     #[error("no table in JSON, line {line}, column {column}")]
     #[diagnostic(help("docs/routes.md shows a table; unknown and missing fields are refused too"))]
     Json { line: usize, column: usize },
-    #[error("{bytes} bytes, over {MOST_BYTES}")]
+    #[error("{bytes} bytes, over {MAX_BYTES}")]
     #[diagnostic(help("shorten names, or name fewer pools"))]
     Long { bytes: usize },
     #[error("{what}: {count}, over {most}")]
@@ -85,7 +85,7 @@
     #[error("class {class}: arm {arm} twice")]
     #[diagnostic(help("give each arm a name of its own"))]
     ArmTwice { class: String, arm: String },
-    #[error("{bytes} bytes once all is written out, over {MOST_BYTES}")]
+    #[error("{bytes} bytes once all is written out, over {MAX_BYTES}")]
     #[diagnostic(help(
         "shorten names, or name fewer pools: a `without` that is left out counts as written"
     ))]
@@ -109,10 +109,10 @@
         }
     }
 
-    /// The same with names of at most [`MOST_TOLD`] bytes and a sign that there was more: the record keeps hundreds of them.
+    /// The same with names of at most [`MAX_RECORDED_NAME`] bytes and a sign that there was more: the record keeps hundreds of them.
     pub fn clipped(mut self) -> Self {
-        for text in self.texts().into_iter().filter(|text| text.len() > MOST_TOLD) {
-            let end = (0..=MOST_TOLD).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+        for text in self.texts().into_iter().filter(|text| text.len() > MAX_RECORDED_NAME) {
+            let end = (0..=MAX_RECORDED_NAME).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
             text.truncate(end);
             text.push('…');
         }
@@ -126,7 +126,7 @@
 pub struct Address {
     /// Where.
     pub address: SocketAddr,
-    /// Its part of the calls, from 1 to [`MOST_WEIGHT`].
+    /// Its part of the calls, from 1 to [`MAX_WEIGHT`].
     pub weight: u32,
 }
 
@@ -196,12 +196,12 @@
     /// Reads a document and puts it into its canonical order; what it names is for [`Table::check`].
     ///
     /// # Errors
-    /// [`TableError::Json`], and [`TableError::Long`] or [`TableError::Canonical`] for what is over [`MOST_BYTES`] as it
+    /// [`TableError::Json`], and [`TableError::Long`] or [`TableError::Canonical`] for what is over [`MAX_BYTES`] as it
     /// came or in its canonical form: that writes out what a document may leave out, and is what members fetch.
     pub fn parse(json: &str) -> Result<Self, TableError> {
         let table = Self::logged(json)?;
         match table.canonical().len() {
-            bytes if bytes > MOST_BYTES => Err(TableError::Canonical { bytes }),
+            bytes if bytes > MAX_BYTES => Err(TableError::Canonical { bytes }),
             _ => Ok(table),
         }
     }
@@ -212,7 +212,7 @@
     /// # Errors
     /// [`TableError::Json`] and [`TableError::Long`].
     pub fn logged(json: &str) -> Result<Self, TableError> {
-        if json.len() > MOST_BYTES {
+        if json.len() > MAX_BYTES {
             return Err(TableError::Long { bytes: json.len() });
         }
         let json = serde_json::from_str(json);
@@ -234,7 +234,7 @@
 
     /// Checks the whole table against what a member knows; the first error.
     pub fn check(&self, known: &Known) -> Result<(), TableError> {
-        let most = MOST_ENTRIES as u64;
+        let most = MAX_ENTRIES as u64;
         within(|| "pools".into(), self.pools.len() as u64, most)?;
         within(|| "routes".into(), self.routes.len() as u64, most)?;
         for (pool, addresses) in &self.pools {
@@ -244,7 +244,7 @@
             within(|| format!("addresses of pool {pool}"), addresses.len() as u64, most)?;
             let mut seen = BTreeSet::new();
             for a in addresses {
-                within(|| format!("weight of {}", a.address), a.weight.into(), MOST_WEIGHT.into())?;
+                within(|| format!("weight of {}", a.address), a.weight.into(), MAX_WEIGHT.into())?;
                 if !seen.insert(a.address) {
                     return Err(TableError::AddressTwice { pool: pool.clone(), address: a.address });
                 }
@@ -270,8 +270,8 @@
         if let Some(tenant) = r.tenant.as_ref().filter(|t| !known.tenants.contains(*t)) {
             return Err(TableError::UnknownTenant { tenant: tenant.clone() });
         }
-        within(|| format!("timeout_ms of class {}", r.class), r.timeout_ms.into(), MOST_MS.into())?;
-        within(|| format!("tries of class {}", r.class), r.tries.into(), MOST_TRIES.into())?;
+        within(|| format!("timeout_ms of class {}", r.class), r.timeout_ms.into(), MAX_TIMEOUT_MS.into())?;
+        within(|| format!("tries of class {}", r.class), r.tries.into(), MAX_TRIES.into())?;
         let pools = r.arms.iter().map(|a| &a.pool).chain([&r.pool]);
         if let Some(pool) = pools.into_iter().find(|p| !self.pools.contains_key(*p)) {
             return Err(TableError::UnknownPool { pool: pool.clone() });
@@ -279,7 +279,7 @@
         if r.arms.is_empty() {
             return Ok(());
         }
-        within(|| format!("arms of class {}", r.class), r.arms.len() as u64, MOST_ARMS as u64)?;
+        within(|| format!("arms of class {}", r.class), r.arms.len() as u64, MAX_ARMS as u64)?;
         let mut seen = BTreeSet::new();
         if let Some(arm) = r.arms.iter().find(|a| !seen.insert(&a.name)) {
             return Err(TableError::ArmTwice { class: r.class.clone(), arm: arm.name.clone() });
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -44,7 +44,7 @@
 /// What a route allows of the calls of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowed {
-    /// How often each is tried at most, from 1 to [`table::MOST_TRIES`].
+    /// How often each is tried at most, from 1 to [`table::MAX_TRIES`].
     pub tries: u8,
     /// The request may be answered without.
     pub without: bool,
@@ -53,7 +53,7 @@
 impl Allowed {
     fn by(route: &table::Route) -> Self {
         // The table was checked: the bound keeps a number that never was in one from turning into another.
-        Self { tries: route.tries.min(table::MOST_TRIES) as u8, without: route.without }
+        Self { tries: route.tries.min(table::MAX_TRIES) as u8, without: route.without }
     }
 }
 
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -6,7 +6,7 @@
 
 use clap::Subcommand;
 use hopwalk::fleet::door::{self, DoorError};
-use hopwalk::fleet::routes::table::MOST_BYTES;
+use hopwalk::fleet::routes::table::MAX_BYTES;
 use hopwalk::fleet::status::{self, StatusError};
 use hopwalk::fleet::views;
 use miette::Diagnostic;
@@ -123,7 +123,7 @@
     #[error("{}: {said}", path.display())]
     #[diagnostic(help("check that the file is there and that this user may read it"))]
     File { path: PathBuf, said: std::io::Error },
-    #[error("{}: {bytes} bytes, over {MOST_BYTES}", path.display())]
+    #[error("{}: {bytes} bytes, over {MAX_BYTES}", path.display())]
     #[diagnostic(help("shorten the document: the door takes no longer one"))]
     Long { path: PathBuf, bytes: usize },
 }
@@ -137,7 +137,7 @@
 
 fn document(path: PathBuf) -> Result<String, CommandError> {
     match std::fs::read_to_string(&path) {
-        Ok(text) if text.len() > MOST_BYTES => Err(CommandError::Long { path, bytes: text.len() }),
+        Ok(text) if text.len() > MAX_BYTES => Err(CommandError::Long { path, bytes: text.len() }),
         Ok(text) => Ok(text),
         Err(said) => Err(CommandError::File { path, said }),
     }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -29,7 +29,7 @@
 use super::{accept_next, call_routing, metrics, socket_retry, spawn, Hub};
 use crate::core::Input;
 use crate::fleet;
-use crate::fleet::routes::table::MOST_BYTES;
+use crate::fleet::routes::table::MAX_BYTES;
 use crate::fleet::routing::{Order, OrderError};
 
 /// The highest number of clients at once. They use reserved descriptors.
@@ -120,7 +120,7 @@
 impl Endpoint {
     fn max_body(self) -> usize {
         match self {
-            Self::Propose | Self::Start => MOST_BYTES,
+            Self::Propose | Self::Start => MAX_BYTES,
             _ => MAX_SMALL_REQUEST,
         }
     }
@@ -414,7 +414,7 @@
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
             assert_eq!(refused(send(at, "POST", path, body, TIMEOUT)).0, 400, "{path}");
         }
-        let long = "x".repeat(MOST_BYTES + 1);
+        let long = "x".repeat(MAX_BYTES + 1);
         let result = send(at, "POST", "/fleet/routes/propose", &long, TIMEOUT);
         assert!(matches!(result, Err(DoorError::Status { status: 413, .. })), "{result:?}");
         let (off, _hub) = start_admin(None);
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -23,7 +23,7 @@
 use super::stream::Conn;
 use super::{spawn, Hub};
 use crate::core::{Bytes, End, Handle, Input, ReplyDigest};
-use crate::fleet::routes::{Fence, MOST_BOUND};
+use crate::fleet::routes::{Fence, MAX_CLOCK_BOUND};
 use crate::fleet::routing::{Allowed, Call, Routed};
 
 pub use wire::{encode_ask, parse_reply, ReplyParser};
@@ -38,7 +38,7 @@
 const MAX_IDLE: (usize, usize) = (16, 4);
 /// How long a call waits at most until a switch of the routes has passed: no member accepts a wider uncertainty of its
 /// clock.
-const MAX_SWITCH_WAIT: Duration = MOST_BOUND.saturating_mul(4);
+const MAX_SWITCH_WAIT: Duration = MAX_CLOCK_BOUND.saturating_mul(4);
 /// The shortest sleep.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 /// How often a call is routed at most: more than one switch while it connects means that something is wrong.
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -15,7 +15,7 @@
     ConfirmError, Options, Record, RecordError, Seat, Standing, SubmitError, MOST_ENTRY, MOST_SNAPSHOT,
 };
 use hopwalk::fleet::routes::record as routes;
-use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
+use hopwalk::fleet::routes::table::{TableError, MAX_BYTES};
 use hopwalk::fleet::routes::{MemberIncarnation, Refusal};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
@@ -51,7 +51,7 @@
     Entry::Routes(routes::Entry::Propose { table: table(number, bytes), by: "o".into() })
 }
 
-/// A table of [`MOST_BYTES`] in its canonical form, another one for each number.
+/// A table of [`MAX_BYTES`] in its canonical form, another one for each number.
 fn longest_table(number: u64) -> String {
     let pool = r#"[{"address":"127.0.0.1:1","weight":1}]"#;
     let with = |room: usize| {
@@ -59,7 +59,7 @@
         let route = r#"{"class":"c","pool":"a","timeout_ms":5,"tries":1,"without":false}"#;
         format!(r#"{{"pools":{{"a":{pool},"{name}":{pool}}},"routes":[{route}]}}"#)
     };
-    with(10 + MOST_BYTES - with(10).len())
+    with(10 + MAX_BYTES - with(10).len())
 }
 
 /// One process of a voter.
@@ -446,7 +446,7 @@
 /// An abort with the longest reason that a leader puts into the log.
 fn longest_abort(turn: u64) -> Entry {
     let life = MemberIncarnation { name: "m".repeat(64), incarnation: u64::MAX };
-    let name = || "x".repeat(MOST_BYTES);
+    let name = || "x".repeat(MAX_BYTES);
     let problem = TableError::RouteTwice { class: name(), tenant: Some(name()) };
     let why = routes::Why::Refused(life, Refusal::Table { problem }.clipped());
     Entry::Routes(routes::Entry::Abort { turn, why })
@@ -459,13 +459,14 @@
         let away = fleet.others(fleet.leader().await)[0];
         fleet.stop(away).await;
         // Each as long as a table may be, and more of them than are kept.
-        for n in 1..=routes::MOST_TABLES as u64 + 4 {
-            let entry = routes::Entry::Propose { table: longest_table(n), by: "o".repeat(routes::MOST_BY) };
+        for n in 1..=routes::MAX_TABLES as u64 + 4 {
+            let entry =
+                routes::Entry::Propose { table: longest_table(n), by: "o".repeat(routes::MAX_OPERATOR_NAME) };
             assert_eq!(entry.bounded(), Ok(()));
             assert_eq!(fleet.submit(Entry::Routes(entry)).await, proposed(n));
         }
-        for turn in 1..=routes::MOST_HISTORY as u64 + 4 {
-            let by = format!("{turn:0>width$}", width = routes::MOST_BY);
+        for turn in 1..=routes::MAX_HISTORY as u64 + 4 {
+            let by = format!("{turn:0>width$}", width = routes::MAX_OPERATOR_NAME);
             let begin = routes::Entry::Prepare { version: 10, by };
             assert_eq!(begin.bounded(), Ok(()));
             // On a machine under load one may be put twice, and is refused the second time.
@@ -478,11 +479,11 @@
         }
         fleet.same().await;
         let state = fleet.voters[fleet.leader().await].record.state();
-        assert_eq!(state.routes.tables().count(), routes::MOST_TABLES);
-        assert_eq!(state.routes.history().count(), routes::MOST_HISTORY);
+        assert_eq!(state.routes.tables().count(), routes::MAX_TABLES);
+        assert_eq!(state.routes.history().count(), routes::MAX_HISTORY);
         let bytes = postcard::experimental::serialized_size(&*state).unwrap();
         println!("the largest record, without experiments: {bytes} bytes of {MOST_SNAPSHOT}");
-        assert!(bytes > routes::MOST_TABLES * MOST_BYTES && bytes < 5 << 20, "{bytes}");
+        assert!(bytes > routes::MAX_TABLES * MAX_BYTES && bytes < 5 << 20, "{bytes}");
         let since = Instant::now();
         fleet.start(away).await;
         fleet.same().await;
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -10,8 +10,8 @@
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
-use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MOST_BY};
-use hopwalk::fleet::routes::table::{Known, Table, TableError, MOST_BYTES, MOST_TOLD};
+use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MAX_OPERATOR_NAME};
+use hopwalk::fleet::routes::table::{Known, Table, TableError, MAX_BYTES, MAX_RECORDED_NAME};
 use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pending, Refusal, Timing};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -555,14 +555,14 @@
 #[test]
 fn a_table_that_is_too_long_once_written_out_is_refused_to_its_proposer() {
     // Each route's `without` is 16 bytes longer in the canonical form.
-    let fits = Table::parse(&document_of(MOST_BYTES - 20 * 16, 20)).unwrap();
-    assert_eq!(fits.canonical().len(), MOST_BYTES);
+    let fits = Table::parse(&document_of(MAX_BYTES - 20 * 16, 20)).unwrap();
+    assert_eq!(fits.canonical().len(), MAX_BYTES);
     assert_eq!(Table::parse(&fits.canonical()), Ok(fits));
-    let over = document_of(MOST_BYTES, 20);
-    let problem = TableError::Canonical { bytes: MOST_BYTES + 20 * 16 };
-    assert_eq!((over.len(), Table::parse(&over)), (MOST_BYTES, Err(problem.clone())));
-    let one = document_of(MOST_BYTES - 20 * 16 + 1, 20);
-    assert_eq!(Table::parse(&one), Err(TableError::Canonical { bytes: MOST_BYTES + 1 }));
+    let over = document_of(MAX_BYTES, 20);
+    let problem = TableError::Canonical { bytes: MAX_BYTES + 20 * 16 };
+    assert_eq!((over.len(), Table::parse(&over)), (MAX_BYTES, Err(problem.clone())));
+    let one = document_of(MAX_BYTES - 20 * 16 + 1, 20);
+    assert_eq!(Table::parse(&one), Err(TableError::Canonical { bytes: MAX_BYTES + 1 }));
     let propose = Entry::Propose { table: over, by: "o".into() };
     assert_eq!(propose.bounded(), Err(RecordError::Table { problem }));
     // What is in a log already is taken as before, by all voters alike.
@@ -580,18 +580,18 @@
             Entry::Abort { turn: 1, why: Why::Operator(by(bytes)) },
         ]
     };
-    assert!(all(MOST_BY).iter().all(|entry| entry.bounded() == Ok(())));
-    let over = Err(RecordError::By { bytes: MOST_BY + 1 });
-    assert!(all(MOST_BY + 1).iter().all(|entry| entry.bounded() == over));
+    assert!(all(MAX_OPERATOR_NAME).iter().all(|entry| entry.bounded() == Ok(())));
+    let over = Err(RecordError::By { bytes: MAX_OPERATOR_NAME + 1 });
+    assert!(all(MAX_OPERATOR_NAME + 1).iter().all(|entry| entry.bounded() == over));
     assert_eq!(Entry::Done { turn: 1 }.bounded(), Ok(()));
 }
 
 #[test]
 fn of_a_refusal_the_record_keeps_names_cut_short() {
-    let name = "é".repeat(MOST_BYTES / 2);
+    let name = "é".repeat(MAX_BYTES / 2);
     let problem = TableError::RouteTwice { class: name.clone(), tenant: Some("t".into()) };
     let kept = Refusal::Table { problem }.clipped();
-    let class = "é".repeat(MOST_TOLD / 2) + "…";
+    let class = "é".repeat(MAX_RECORDED_NAME / 2) + "…";
     assert_eq!(kept, Refusal::Table { problem: TableError::RouteTwice { class, tenant: Some("t".into()) } });
     assert_eq!(kept.clone().clipped().to_string().len(), kept.to_string().len());
 }
--- a/tests/routes_fleet.rs
+++ b/tests/routes_fleet.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use hopwalk::fleet::routes::table::MOST_BYTES;
+use hopwalk::fleet::routes::table::MAX_BYTES;
 use hopwalk::lab::history::Event;
 use hopwalk::lab::routes::{Outcome, Setup, WrongClock};
 
@@ -400,17 +400,17 @@
             };
             with(bytes - with(0).len())
         };
-        let over = of(MOST_BYTES);
-        assert_eq!(over.len(), MOST_BYTES);
+        let over = of(MAX_BYTES);
+        assert_eq!(over.len(), MAX_BYTES);
         let (status, told) = ok(case.order("m2", "propose", &over));
-        let says = format!("{} bytes once all is written out", MOST_BYTES + 48);
+        let says = format!("{} bytes once all is written out", MAX_BYTES + 48);
         assert!(
             status == 409 && told.contains(&says) && told.contains("propose it again"),
             "{status} {told}"
         );
         let kept = |at: &str| case.fleet(at).map(|fleet| fleet["tables"].as_array().map_or(0, Vec::len));
         assert_eq!(kept("m2"), Some(1));
-        let told = ok(case.done("m2", "propose", &of(MOST_BYTES - 48)));
+        let told = ok(case.done("m2", "propose", &of(MAX_BYTES - 48)));
         assert_eq!(ok(case.done("m3", "activate", &told["version"].to_string()))["turn"], 2);
         ok(case.wait_switched(2, &THREE, SWITCH));
         case.wait_active("m1", 2);
