--- a/fuzz/src/targets/links.rs
+++ b/fuzz/src/targets/links.rs
@@ -1,6 +1,6 @@
 //! The links between members of a fleet: frames in pieces, and messages of any bytes.
 
-use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MOST_FRAME};
+use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAX_FRAME};
 use hopwalk::fleet::wire::message::{Down, Request};
 use hopwalk::fleet::wire::FrameError;
 use serde::de::DeserializeOwned;
@@ -32,9 +32,9 @@
 fn again<T: Serialize + DeserializeOwned>(body: &[u8]) {
     match decode::<T>(body) {
         Ok(message) => {
-            let frame = encode(&message, MOST_FRAME).expect("a short message is a short frame");
+            let frame = encode(&message, MAX_FRAME).expect("a short message is a short frame");
             let same = decode::<T>(&frame[4..]).expect("what was written can be read");
-            assert_eq!(encode(&same, MOST_FRAME), Ok(frame));
+            assert_eq!(encode(&same, MAX_FRAME), Ok(frame));
         }
         Err(error) => assert!(matches!(error, FrameError::Malformed | FrameError::Later), "{error}"),
     }
--- a/src/fleet/wire/client.rs
+++ b/src/fleet/wire/client.rs
@@ -12,10 +12,12 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-use super::codec::{encode, Decoder, Opening, MOST_FRAME, MOST_OPENING};
+use super::codec::{encode, Decoder, Opening, MAX_FRAME, MAX_OPENING};
 use super::message::{Down, Heard, Push, Request, Response};
 use super::net::{Halves, Read, Write};
-use super::{Counters, Local, WireError, MOST_IN_FLIGHT, OPENING, PAUSE, STALL, WRITE};
+use super::{
+    Counters, Local, WireError, MAX_IN_FLIGHT, OPENING_TIMEOUT, RECONNECT_DELAY, STALL_TIMEOUT, WRITE_TIMEOUT,
+};
 
 /// Bytes that are read at once.
 pub(super) const READ: usize = 16 << 10;
@@ -60,10 +62,10 @@
         address: SocketAddr,
         pushes: Option<mpsc::Sender<Pushed>>,
     ) -> Self {
-        let (orders, received) = mpsc::channel(MOST_IN_FLIGHT);
+        let (orders, received) = mpsc::channel(MAX_IN_FLIGHT);
         let task = Task { local, peer: peer.into(), address, pushes };
         let task = tokio::spawn(task.run(received)).abort_handle();
-        let (slots, ids) = (Semaphore::new(MOST_IN_FLIGHT), AtomicU64::new(1));
+        let (slots, ids) = (Semaphore::new(MAX_IN_FLIGHT), AtomicU64::new(1));
         Self { shared: Arc::new(Shared { peer: peer.into(), orders, slots, ids, task }) }
     }
 
@@ -82,7 +84,7 @@
         let Ok(_slot) = self.shared.slots.try_acquire() else { return Err(WireError::Busy { peer: peer() }) };
         let id = self.shared.ids.fetch_add(1, Ordering::Relaxed);
         let frame =
-            encode(&(id, request), MOST_FRAME).map_err(|error| WireError::Frame { peer: peer(), error })?;
+            encode(&(id, request), MAX_FRAME).map_err(|error| WireError::Frame { peer: peer(), error })?;
         let (answer, answered) = oneshot::channel();
         match self.shared.orders.try_send(Out { id, frame, answer }) {
             Ok(()) => {}
@@ -118,7 +120,7 @@
             if first.answer.is_closed() {
                 continue;
             }
-            if let Some((_, error)) = failed.as_ref().filter(|(at, _)| at.elapsed() < PAUSE) {
+            if let Some((_, error)) = failed.as_ref().filter(|(at, _)| at.elapsed() < RECONNECT_DELAY) {
                 let _ = first.answer.send(Err(error.clone()));
                 continue;
             }
@@ -156,13 +158,13 @@
                 WireError::Frame { peer: self.peer.clone(), error }
             };
             let own =
-                encode(&Opening::new(&*self.local.fleet, &*self.local.name), MOST_OPENING).map_err(framed)?;
+                encode(&Opening::new(&*self.local.fleet, &*self.local.name), MAX_OPENING).map_err(framed)?;
             write.write_all(&own).await.map_err(wrong)?;
             self.local.counters.put(own.len());
             // Byte by byte up to its end would do too: a server writes nothing before it was asked.
             let mut length = [0; 4];
             read.read_exact(&mut length).await.map_err(wrong)?;
-            let mut decoder = Decoder::new(MOST_OPENING);
+            let mut decoder = Decoder::new(MAX_OPENING);
             decoder.push(&length);
             decoder.frame().map_err(framed)?;
             let mut body = vec![0; u32::from_be_bytes(length) as usize];
@@ -175,7 +177,7 @@
             }
             Ok((read, write))
         };
-        timeout(OPENING, openings).await.unwrap_or_else(|_| Err(unreachable(ErrorKind::TimedOut)))
+        timeout(OPENING_TIMEOUT, openings).await.unwrap_or_else(|_| Err(unreachable(ErrorKind::TimedOut)))
     }
 
     /// Carries requests and answers until the link ends; who waits then is told why.
@@ -220,13 +222,13 @@
             {
                 let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
                 // Whoever lost patience waits no more.
-                if waiting.answers.len() >= 2 * MOST_IN_FLIGHT {
+                if waiting.answers.len() >= 2 * MAX_IN_FLIGHT {
                     waiting.answers.retain(|_, answer| !answer.is_closed());
                 }
                 waiting.answers.insert(out.id, out.answer);
                 waiting.since.get_or_insert_with(Instant::now);
             }
-            match timeout(WRITE, write.write_all(&out.frame)).await {
+            match timeout(WRITE_TIMEOUT, write.write_all(&out.frame)).await {
                 Ok(Ok(())) => self.local.counters.put(out.frame.len()),
                 Ok(Err(error)) => return self.closed(error.kind()),
                 Err(_) => {
@@ -238,9 +240,9 @@
     }
 
     async fn read(&self, mut read: Read, waiting: &Mutex<Waiting>) -> WireError {
-        let (mut decoder, mut bytes) = (Decoder::new(MOST_FRAME), vec![0; READ]);
+        let (mut decoder, mut bytes) = (Decoder::new(MAX_FRAME), vec![0; READ]);
         loop {
-            match timeout(STALL / 4, read.read(&mut bytes)).await {
+            match timeout(STALL_TIMEOUT / 4, read.read(&mut bytes)).await {
                 Ok(Ok(0)) => return self.closed(ErrorKind::UnexpectedEof),
                 Ok(Ok(n)) => {
                     self.local.counters.got(n);
@@ -249,7 +251,7 @@
                 Ok(Err(error)) => return self.closed(error.kind()),
                 Err(_) => {
                     let since = waiting.lock().unwrap_or_else(PoisonError::into_inner).since;
-                    if since.is_some_and(|since| since.elapsed() >= STALL) {
+                    if since.is_some_and(|since| since.elapsed() >= STALL_TIMEOUT) {
                         Counters::add(&self.local.counters.stalled);
                         return self.closed(ErrorKind::TimedOut);
                     }
--- a/src/fleet/wire/codec.rs
+++ b/src/fleet/wire/codec.rs
@@ -6,9 +6,9 @@
 use thiserror::Error;
 
 /// The longest frame, without its length, in bytes.
-pub const MOST_FRAME: usize = 1 << 20;
+pub const MAX_FRAME: usize = 1 << 20;
 /// The longest opening, in bytes.
-pub const MOST_OPENING: usize = 512;
+pub const MAX_OPENING: usize = 512;
 /// First in every opening.
 pub const MAGIC: [u8; 4] = *b"hwfl";
 /// The number of this protocol; another one is foreign.
--- a/src/fleet/wire/mod.rs
+++ b/src/fleet/wire/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! A link opens with one frame from each side (magic, protocol number, fleet, name). What is foreign, too long or
 //! malformed is counted, and costs the link; what only a later version says is passed over or refused, and costs
-//! nothing. A peer that stops reading costs only its own link, after [`WRITE`].
+//! nothing. A peer that stops reading costs only its own link, after [`WRITE_TIMEOUT`].
 
 pub mod client;
 pub mod codec;
@@ -33,19 +33,19 @@
 pub use server::{Answering, Caller, Handler, Server};
 
 /// Requests in flight on one link, at either end.
-pub const MOST_IN_FLIGHT: usize = 32;
+pub const MAX_IN_FLIGHT: usize = 32;
 /// Links that a server holds; who comes then is turned away at once.
-pub const MOST_LINKS: usize = 128;
+pub const MAX_LINKS: usize = 128;
 /// From the connection to the end of the openings.
-pub const OPENING: Duration = Duration::from_secs(1);
+pub const OPENING_TIMEOUT: Duration = Duration::from_secs(1);
 /// A frame that cannot be written in this time costs the link.
-pub const WRITE: Duration = Duration::from_secs(2);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A link on which something was asked and nothing came for this long is closed. So an answer takes less.
-pub const STALL: Duration = Duration::from_secs(3);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// A server closes a link on which nothing came for this long.
-pub const IDLE: Duration = Duration::from_secs(60);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// After a failed connection the next is tried no sooner; what is asked before fails at once.
-pub const PAUSE: Duration = Duration::from_millis(50);
+pub const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Why a request has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
@@ -82,7 +82,7 @@
         patience: Duration,
     },
     /// Too much is in flight on the link. The request was not sent.
-    #[error("{MOST_IN_FLIGHT} requests to {peer} are in flight")]
+    #[error("{MAX_IN_FLIGHT} requests to {peer} are in flight")]
     #[diagnostic(help("the member answers too slowly: look at its load, and at the network on the way"))]
     Busy {
         /// Who was asked.
@@ -119,7 +119,7 @@
     pub opened: AtomicU64,
     /// Links closed, either way.
     pub closed: AtomicU64,
-    /// Links turned away because there were [`MOST_LINKS`].
+    /// Links turned away because there were [`MAX_LINKS`].
     pub turned_away: AtomicU64,
     /// Links closed for bytes of another program, protocol or fleet.
     pub foreign: AtomicU64,
--- a/src/fleet/wire/server.rs
+++ b/src/fleet/wire/server.rs
@@ -14,15 +14,17 @@
 use tokio::time::timeout;
 
 use super::client::READ;
-use super::codec::{encode, Decoder, FrameError, Opening, MOST_FRAME, MOST_OPENING};
+use super::codec::{encode, Decoder, FrameError, Opening, MAX_FRAME, MAX_OPENING};
 use super::message::{Down, Push, Request, Response};
 use super::net::{Halves, Listener, Read, Write};
-use super::{Counters, Local, WireError, IDLE, MOST_IN_FLIGHT, MOST_LINKS, OPENING, WRITE};
+use super::{
+    Counters, Local, WireError, IDLE_TIMEOUT, MAX_IN_FLIGHT, MAX_LINKS, OPENING_TIMEOUT, WRITE_TIMEOUT,
+};
 
 /// Answers and pushes that wait to be written on one link.
-const MOST_QUEUE: usize = 16;
+const MAX_QUEUE: usize = 16;
 /// After a connection could not be taken, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Who asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +40,7 @@
 
 /// What answers requests; several at once.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request, in less than [`super::STALL`].
+    /// Answers one request, in less than [`super::STALL_TIMEOUT`].
     fn answer(&self, from: Arc<Caller>, request: Request) -> Answering;
 }
 
@@ -106,7 +108,7 @@
     /// Pushes to the links of one member, or of all; returns to how many. Where a link's queue is full it is dropped and
     /// counted: a push is a hint.
     pub fn push(&self, to: Option<&str>, push: Push) -> usize {
-        let Ok(frame) = encode(&Down::Push(push), MOST_FRAME) else { return 0 };
+        let Ok(frame) = encode(&Down::Push(push), MAX_FRAME) else { return 0 };
         let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
         let meant = links.values().filter(|link| to.is_none_or(|to| to == link.name));
         let mut pushed = 0;
@@ -128,12 +130,12 @@
             Ok(stream) => stream,
             Err(error) => {
                 tracing::warn!(%error, "a connection of the fleet could not be taken");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         while links.try_join_next().is_some() {}
-        if links.len() >= MOST_LINKS {
+        if links.len() >= MAX_LINKS {
             Counters::add(&shared.local.counters.turned_away);
             continue;
         }
@@ -166,9 +168,9 @@
 }
 
 async fn link(stream: Halves, number: u64, shared: Arc<Shared>) {
-    let end = match timeout(OPENING, open(stream, &shared.local)).await {
+    let end = match timeout(OPENING_TIMEOUT, open(stream, &shared.local)).await {
         Ok(Ok((read, write, decoder, name))) => {
-            let (out, queue) = mpsc::channel(MOST_QUEUE);
+            let (out, queue) = mpsc::channel(MAX_QUEUE);
             Counters::add(&shared.local.counters.opened);
             let entry = Link { name: name.clone(), out: out.clone() };
             shared.links.lock().unwrap_or_else(PoisonError::into_inner).insert(number, entry);
@@ -194,7 +196,7 @@
 
 async fn open(stream: Halves, local: &Local) -> Result<(Read, Write, Decoder, String), End> {
     let (mut read, mut write) = stream;
-    let (mut decoder, mut bytes) = (Decoder::new(MOST_OPENING), vec![0; MOST_OPENING]);
+    let (mut decoder, mut bytes) = (Decoder::new(MAX_OPENING), vec![0; MAX_OPENING]);
     let theirs = loop {
         if let Some(body) = decoder.frame().map_err(End::Frame)? {
             Counters::add(&local.counters.frames_in);
@@ -210,16 +212,16 @@
     };
     // A peer of another fleet or protocol is told whom it reached; another program is told nothing.
     if !matches!(theirs, Err(FrameError::Magic)) {
-        let own = encode(&Opening::new(&*local.fleet, &*local.name), MOST_OPENING).map_err(End::Frame)?;
+        let own = encode(&Opening::new(&*local.fleet, &*local.name), MAX_OPENING).map_err(End::Frame)?;
         write.write_all(&own).await?;
         local.counters.put(own.len());
     }
     let theirs = theirs.map_err(End::Frame)?;
-    decoder.allow(MOST_FRAME);
+    decoder.allow(MAX_FRAME);
     Ok((read, write, decoder, theirs.name))
 }
 
-/// Reads requests and has them answered. With [`MOST_IN_FLIGHT`] of them it stops reading.
+/// Reads requests and has them answered. With [`MAX_IN_FLIGHT`] of them it stops reading.
 async fn answer(
     mut read: Read,
     mut decoder: Decoder,
@@ -228,7 +230,7 @@
     out: mpsc::Sender<Vec<u8>>,
 ) -> End {
     let (slots, mut answers, mut bytes) =
-        (Arc::new(Semaphore::new(MOST_IN_FLIGHT)), JoinSet::new(), vec![0; READ]);
+        (Arc::new(Semaphore::new(MAX_IN_FLIGHT)), JoinSet::new(), vec![0; READ]);
     let mut later = false;
     loop {
         loop {
@@ -253,15 +255,15 @@
             };
             answers.spawn(async move {
                 let down = Down::Answer(id, answering.await);
-                let frame = encode(&down, MOST_FRAME)
-                    .or_else(|_| encode(&Down::Answer(id, Response::TooLong), MOST_FRAME));
+                let frame = encode(&down, MAX_FRAME)
+                    .or_else(|_| encode(&Down::Answer(id, Response::TooLong), MAX_FRAME));
                 if let Ok(frame) = frame {
                     let _ = out.send(frame).await;
                 }
                 drop(slot);
             });
         }
-        match timeout(IDLE, read.read(&mut bytes)).await {
+        match timeout(IDLE_TIMEOUT, read.read(&mut bytes)).await {
             Ok(Ok(0)) => return End::Io(ErrorKind::UnexpectedEof),
             Ok(Ok(n)) => {
                 shared.local.counters.got(n);
@@ -275,7 +277,7 @@
 
 async fn put(mut write: Write, mut queue: mpsc::Receiver<Vec<u8>>, counters: &Counters) -> End {
     while let Some(frame) = queue.recv().await {
-        match timeout(WRITE, write.write_all(&frame)).await {
+        match timeout(WRITE_TIMEOUT, write.write_all(&frame)).await {
             Ok(Ok(())) => counters.put(frame.len()),
             Ok(Err(error)) => return error.into(),
             Err(_) => return End::Stalled,
--- a/src/lab/routes/heals.rs
+++ b/src/lab/routes/heals.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::{series, Lab, LabError, Outcome, Setup, LOOK};
-use crate::fleet::wire::OPENING;
+use crate::fleet::wire::OPENING_TIMEOUT;
 
 /// The members' protocol period in these labs.
 pub const PERIOD: Duration = Duration::from_millis(200);
@@ -52,10 +52,10 @@
     period * 12
 }
 
-/// What bounds [`Heals::whole`]: a link that is being opened into the cut is given up after [`OPENING`]; then come
+/// What bounds [`Heals::whole`]: a link that is being opened into the cut is given up after [`OPENING_TIMEOUT`]; then come
 /// the next word to each voter, and its answer.
 pub fn whole_bound() -> Duration {
-    OPENING + 2 * crate::fleet::driver::PERIOD + Duration::from_millis(100)
+    OPENING_TIMEOUT + 2 * crate::fleet::driver::PERIOD + Duration::from_millis(100)
 }
 
 /// By name: which life, and what is thought of it.
--- a/src/lab/sim/fleet.rs
+++ b/src/lab/sim/fleet.rs
@@ -13,7 +13,7 @@
 use crate::fleet::membership::view::State;
 use crate::fleet::routes::record::{Entry as Routes, Stage, Stamp};
 use crate::fleet::routing::{Order, OrderError};
-use crate::fleet::wire::codec::{decode, encode, MOST_FRAME};
+use crate::fleet::wire::codec::{decode, encode, MAX_FRAME};
 use crate::fleet::wire::message::Down;
 use crate::fleet::wire::Response;
 
@@ -91,7 +91,7 @@
     let Some(body) = bytes.get(4..) else { return };
     if let Ok(Down::Answer(id, Response::Reply { mut reply, running })) = decode::<Down>(body) {
         reply.lease = crate::fleet::routes::Timing::default().lease;
-        if let Ok(frame) = encode(&Down::Answer(id, Response::Reply { reply, running }), MOST_FRAME) {
+        if let Ok(frame) = encode(&Down::Answer(id, Response::Reply { reply, running }), MAX_FRAME) {
             *bytes = frame;
         }
     }
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -7,11 +7,11 @@
 
 use hopwalk::fleet::decided::Entry;
 use hopwalk::fleet::routes::record::Entry as Routes;
-use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MOST_FRAME};
+use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MAX_FRAME};
 use hopwalk::fleet::wire::message::{Down, Heard, Hello, Look};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
 use hopwalk::fleet::wire::{Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server};
-use hopwalk::fleet::wire::{WireError, PAUSE};
+use hopwalk::fleet::wire::{WireError, RECONNECT_DELAY};
 use openraft::raft::VoteRequest;
 use openraft::Vote;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -33,7 +33,7 @@
 }
 
 fn body(message: impl Serialize) -> Vec<u8> {
-    encode(&message, MOST_FRAME).unwrap().split_off(4)
+    encode(&message, MAX_FRAME).unwrap().split_off(4)
 }
 
 fn vote() -> Request {
@@ -154,7 +154,7 @@
     }
 
     async fn say(&mut self, message: impl Serialize) {
-        self.0.write_all(&encode(&message, MOST_FRAME).unwrap()).await.unwrap();
+        self.0.write_all(&encode(&message, MAX_FRAME).unwrap()).await.unwrap();
     }
 }
 
@@ -167,7 +167,7 @@
             Box::pin(async move { Response::Hello(Hello { node: Some(from.link), ..Hello::default() }) })
         };
         let server = Server::start(any_loopback(), local.clone(), handler).await.unwrap();
-        let mut link = Frames(TcpStream::connect(server.address()).await.unwrap(), Decoder::new(MOST_FRAME));
+        let mut link = Frames(TcpStream::connect(server.address()).await.unwrap(), Decoder::new(MAX_FRAME));
         link.say((Opening::new("f", "c"), "a later field")).await;
         assert_eq!(Opening::read(&link.next().await, "f"), Ok(Opening::new("f", "s")));
         for id in 0..100u64 {
@@ -215,7 +215,7 @@
         let address = listener.local_addr().unwrap();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(answer_later(Frames(stream, Decoder::new(MOST_FRAME))));
+                tokio::spawn(answer_later(Frames(stream, Decoder::new(MAX_FRAME))));
             }
         });
         let (pushes, mut pushed) = mpsc::channel(4);
@@ -224,7 +224,7 @@
         // What is not known costs the asker its answer at once, not the link and not its patience.
         let unread = loop {
             match client.request(&Request::Hello, PATIENCE).await {
-                Err(WireError::Unreachable { .. }) => tokio::time::sleep(PAUSE).await,
+                Err(WireError::Unreachable { .. }) => tokio::time::sleep(RECONNECT_DELAY).await,
                 other => break other,
             }
         };
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAGIC, MOST_FRAME};
+use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAGIC, MAX_FRAME};
 use hopwalk::fleet::wire::message::{Down, Hello};
 use hopwalk::fleet::wire::{
-    Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server, WireError, MOST_IN_FLIGHT,
-    PAUSE,
+    Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server, WireError, MAX_IN_FLIGHT,
+    RECONNECT_DELAY,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -84,7 +84,7 @@
 
     #[test]
     fn a_message_with_bytes_left_over_or_missing_is_malformed(id: u64, name in "[a-z]{0,20}", off in -3i8..=3) {
-        let mut body = encode(&(id, Request::Admit { name: name.clone() }), MOST_FRAME).unwrap().split_off(4);
+        let mut body = encode(&(id, Request::Admit { name: name.clone() }), MAX_FRAME).unwrap().split_off(4);
         body.resize(body.len().saturating_add_signed(off.into()), 0);
         match decode::<(u64, Request)>(&body) {
             Ok((got, Request::Admit { name: same })) => prop_assert_eq!((off, got, same), (0, id, name)),
@@ -98,7 +98,7 @@
 
 #[test]
 fn an_opening_says_what_is_foreign() {
-    let body = |opening: &Opening| encode(opening, MOST_FRAME).unwrap().split_off(4);
+    let body = |opening: &Opening| encode(opening, MAX_FRAME).unwrap().split_off(4);
     let own = Opening::new("f", "a");
     assert_eq!(Opening::read(&body(&own), "f"), Ok(own.clone()));
     assert_eq!(Opening::read(&body(&own), "g"), Err(FrameError::Fleet { theirs: "f".into() }));
@@ -122,7 +122,7 @@
                 leader: Some(from.name.clone()),
                 ..Hello::default()
             }),
-            Request::Look(_) => Response::Document("x".repeat(MOST_FRAME + 1)),
+            Request::Look(_) => Response::Document("x".repeat(MAX_FRAME + 1)),
             _ => pending().await,
         }
     })
@@ -132,7 +132,9 @@
 async fn opened(client: &Client, request: &Request) -> Result<Response, WireError> {
     loop {
         match client.request(request, PATIENCE).await {
-            Err(WireError::Unreachable { kind: ErrorKind::TimedOut, .. }) => tokio::time::sleep(PAUSE).await,
+            Err(WireError::Unreachable { kind: ErrorKind::TimedOut, .. }) => {
+                tokio::time::sleep(RECONNECT_DELAY).await
+            }
             other => break other,
         }
     }
@@ -165,7 +167,7 @@
             let client = client.clone();
             tokio::spawn(async move { client.request(&never(), patience).await.err() })
         };
-        let stuck: Vec<_> = (0..MOST_IN_FLIGHT - 1).map(|_| ask_in_vain(PATIENCE)).collect();
+        let stuck: Vec<_> = (0..MAX_IN_FLIGHT - 1).map(|_| ask_in_vain(PATIENCE)).collect();
         tokio::task::yield_now().await;
         assert_eq!(hello(&client).await, Ok((link, "c".into())));
         let too_long =
@@ -214,8 +216,8 @@
         assert_eq!((get(&f.frames_out), get(&n.frames_in)), (5, 5));
         let (there, back) = (get(&n.bytes_out), get(&f.bytes_out));
         assert_eq!((get(&f.bytes_in), get(&n.bytes_in)), (there, back));
-        let opening = |name: &str| encode(&Opening::new("f", name), MOST_FRAME).unwrap().len() as u64;
-        let asked = encode(&(1u64, Request::Hello), MOST_FRAME).unwrap().len() as u64;
+        let opening = |name: &str| encode(&Opening::new("f", name), MAX_FRAME).unwrap().len() as u64;
+        let asked = encode(&(1u64, Request::Hello), MAX_FRAME).unwrap().len() as u64;
         assert_eq!(there, opening("c") + 3 * asked);
         assert!(back > opening("s") + 4 * 4, "{back}");
     });
@@ -236,7 +238,7 @@
         let error = FrameError::Name { theirs: "s".into() };
         assert_eq!(hello(&other).await, Err(WireError::Frame { peer: "t".into(), error }));
         // Another program, one that says too much, and one that is no message after a right opening.
-        let opening = encode(&Opening::new("f", "c"), MOST_FRAME).unwrap();
+        let opening = encode(&Opening::new("f", "c"), MAX_FRAME).unwrap();
         let malformed = [&opening[..], &[0, 0, 0, 3, 1, 250, 250]].concat();
         let long = [&opening[..], &[255; 8]].concat();
         let counters = &local.counters;
@@ -277,7 +279,7 @@
         tokio::spawn(async move {
             let mut kept = Vec::new();
             while let Ok((mut stream, _)) = listener.accept().await {
-                let _ = stream.write_all(&encode(&Opening::new("f", "s"), MOST_FRAME).unwrap()).await;
+                let _ = stream.write_all(&encode(&Opening::new("f", "s"), MAX_FRAME).unwrap()).await;
                 kept.push(stream);
             }
         });
@@ -288,7 +290,7 @@
         // A client that asks, and never reads: another one is answered all the while, and the link ends.
         let deaf = Local::new("f", "s");
         let big = |from: Arc<Caller>, _| -> Answering {
-            let length = if from.name == "d" { MOST_FRAME / 4 } else { 1 };
+            let length = if from.name == "d" { MAX_FRAME / 4 } else { 1 };
             Box::pin(async move { Response::Document("x".repeat(length)) })
         };
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -302,7 +304,7 @@
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4096).unwrap();
             let mut stream = socket.connect(server.address()).await.unwrap();
-            stream.write_all(&encode(&Opening::new("f", "d"), MOST_FRAME).unwrap()).await.unwrap();
+            stream.write_all(&encode(&Opening::new("f", "d"), MAX_FRAME).unwrap()).await.unwrap();
             let mut theirs = [0; 4];
             if stream.read_exact(&mut theirs).await.is_ok() {
                 break stream;
@@ -312,8 +314,8 @@
             tokio::task::yield_now().await;
         }
         let (stalled, closed) = (count(&deaf.counters.stalled), count(&deaf.counters.closed));
-        let ask = |id| encode(&(id, Request::Hello), MOST_FRAME).unwrap();
-        silent.write_all(&(0..4 * MOST_IN_FLIGHT as u64).flat_map(ask).collect::<Vec<_>>()).await.unwrap();
+        let ask = |id| encode(&(id, Request::Hello), MAX_FRAME).unwrap();
+        silent.write_all(&(0..4 * MAX_IN_FLIGHT as u64).flat_map(ask).collect::<Vec<_>>()).await.unwrap();
         while count(&deaf.counters.stalled) == stalled {
             let answer = client.request(&Request::Hello, PATIENCE).await;
             assert!(matches!(answer, Ok(Response::Document(_))), "{answer:?}");
