--- a/fuzz/src/targets/links.rs
+++ b/fuzz/src/targets/links.rs
@@ -1,7 +1,7 @@
 //! The links between members of a fleet: frames in pieces, and messages of any bytes.
 
 use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAX_FRAME};
-use hopwalk::fleet::wire::message::{Down, Request};
+use hopwalk::fleet::wire::message::{Request, ServerFrame};
 use hopwalk::fleet::wire::FrameError;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -49,7 +49,7 @@
         assert!(body.len() <= MOST);
         left -= 4 + body.len();
         again::<(u64, Request)>(body);
-        again::<Down>(body);
+        again::<ServerFrame>(body);
         if let Ok(opening) = Opening::read(body, "f") {
             assert_eq!(opening, Opening::new("f", opening.name.clone()));
         }
--- a/src/fleet/wire/client.rs
+++ b/src/fleet/wire/client.rs
@@ -13,7 +13,7 @@
 use tokio::time::{timeout, Instant};
 
 use super::codec::{encode, Decoder, Opening, MAX_FRAME, MAX_OPENING};
-use super::message::{Down, Heard, Push, Request, Response};
+use super::message::{Push, ReceivedFrame, Request, Response, ServerFrame};
 use super::net::{Halves, Read, Write};
 use super::{
     Counters, Local, WireError, MAX_IN_FLIGHT, OPENING_TIMEOUT, RECONNECT_DELAY, STALL_TIMEOUT, WRITE_TIMEOUT,
@@ -259,7 +259,7 @@
                 }
             }
             loop {
-                let down = match decoder.frame().and_then(|body| body.map(Down::read).transpose()) {
+                let down = match decoder.frame().and_then(|body| body.map(ServerFrame::read).transpose()) {
                     Ok(Some(down)) => down,
                     Ok(None) => break,
                     Err(error) => {
@@ -269,7 +269,7 @@
                 };
                 Counters::add(&self.local.counters.frames_in);
                 match down {
-                    Heard::Answer(id, response) => {
+                    ReceivedFrame::Answer(id, response) => {
                         let response = response.map_err(|error| {
                             self.local.counters.frame(&error);
                             WireError::Frame { peer: self.peer.clone(), error }
@@ -279,8 +279,8 @@
                             let _ = answer.send(response);
                         }
                     }
-                    Heard::Push(push) => self.pushed(push),
-                    Heard::Later => self.local.counters.frame(&super::FrameError::Later),
+                    ReceivedFrame::Push(push) => self.pushed(push),
+                    ReceivedFrame::Later => self.local.counters.frame(&super::FrameError::Later),
                 }
             }
             let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/fleet/wire/message.rs
+++ b/src/fleet/wire/message.rs
@@ -184,7 +184,7 @@
 
 /// What a server writes after its opening.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Down {
+pub enum ServerFrame {
     /// To the request of this number.
     Answer(u64, Response),
     /// Without a request.
@@ -193,7 +193,7 @@
 
 /// What a frame of a server says to this version.
 #[derive(Debug)]
-pub enum Heard {
+pub enum ReceivedFrame {
     /// To the request of this number: the answer, or [`FrameError::Later`] for one that cannot be read here.
     Answer(u64, Result<Response, FrameError>),
     /// Without a request.
@@ -202,22 +202,22 @@
     Later,
 }
 
-impl Down {
+impl ServerFrame {
     /// Reads a frame's body. A field more is ignored, but not in the record's own messages.
     ///
     /// # Errors
     /// [`FrameError::Malformed`].
-    pub fn read(body: &[u8]) -> Result<Heard, FrameError> {
+    pub fn read(body: &[u8]) -> Result<ReceivedFrame, FrameError> {
         match take(body) {
             Ok((Self::Answer(id, Response::Raft(_)), [_, ..])) => {
-                Ok(Heard::Answer(id, Err(FrameError::Later)))
+                Ok(ReceivedFrame::Answer(id, Err(FrameError::Later)))
             }
-            Ok((Self::Answer(id, response), _)) => Ok(Heard::Answer(id, Ok(response))),
-            Ok((Self::Push(push), _)) => Ok(Heard::Push(push)),
+            Ok((Self::Answer(id, response), _)) => Ok(ReceivedFrame::Answer(id, Ok(response))),
+            Ok((Self::Push(push), _)) => Ok(ReceivedFrame::Push(push)),
             // The number of the variant and that of the request stand first: who asked need not wait in vain.
             Err(FrameError::Later) => Ok(match take::<(u32, u64)>(body) {
-                Ok(((0, id), _)) => Heard::Answer(id, Err(FrameError::Later)),
-                _ => Heard::Later,
+                Ok(((0, id), _)) => ReceivedFrame::Answer(id, Err(FrameError::Later)),
+                _ => ReceivedFrame::Later,
             }),
             Err(error) => Err(error),
         }
--- a/src/fleet/wire/server.rs
+++ b/src/fleet/wire/server.rs
@@ -15,7 +15,7 @@
 
 use super::client::READ;
 use super::codec::{encode, Decoder, FrameError, Opening, MAX_FRAME, MAX_OPENING};
-use super::message::{Down, Push, Request, Response};
+use super::message::{Push, Request, Response, ServerFrame};
 use super::net::{Halves, Listener, Read, Write};
 use super::{
     Counters, Local, WireError, IDLE_TIMEOUT, MAX_IN_FLIGHT, MAX_LINKS, OPENING_TIMEOUT, WRITE_TIMEOUT,
@@ -108,7 +108,7 @@
     /// Pushes to the links of one member, or of all; returns to how many. Where a link's queue is full it is dropped and
     /// counted: a push is a hint.
     pub fn push(&self, to: Option<&str>, push: Push) -> usize {
-        let Ok(frame) = encode(&Down::Push(push), MAX_FRAME) else { return 0 };
+        let Ok(frame) = encode(&ServerFrame::Push(push), MAX_FRAME) else { return 0 };
         let links = self.shared.links.lock().unwrap_or_else(PoisonError::into_inner);
         let meant = links.values().filter(|link| to.is_none_or(|to| to == link.name));
         let mut pushed = 0;
@@ -254,9 +254,9 @@
                 }
             };
             answers.spawn(async move {
-                let down = Down::Answer(id, answering.await);
+                let down = ServerFrame::Answer(id, answering.await);
                 let frame = encode(&down, MAX_FRAME)
-                    .or_else(|_| encode(&Down::Answer(id, Response::TooLong), MAX_FRAME));
+                    .or_else(|_| encode(&ServerFrame::Answer(id, Response::TooLong), MAX_FRAME));
                 if let Ok(frame) = frame {
                     let _ = out.send(frame).await;
                 }
--- a/src/lab/sim/fleet.rs
+++ b/src/lab/sim/fleet.rs
@@ -14,7 +14,7 @@
 use crate::fleet::routes::record::{Entry as Routes, Stage, Stamp};
 use crate::fleet::routing::{Order, OrderError};
 use crate::fleet::wire::codec::{decode, encode, MAX_FRAME};
-use crate::fleet::wire::message::Down;
+use crate::fleet::wire::message::ServerFrame;
 use crate::fleet::wire::Response;
 
 /// After the heal the views agree, and all act on one version, within this long.
@@ -89,9 +89,9 @@
 /// Makes each lease as long as can be, in a frame that carries one.
 fn lengthen(bytes: &mut Vec<u8>) {
     let Some(body) = bytes.get(4..) else { return };
-    if let Ok(Down::Answer(id, Response::Reply { mut reply, running })) = decode::<Down>(body) {
+    if let Ok(ServerFrame::Answer(id, Response::Reply { mut reply, running })) = decode::<ServerFrame>(body) {
         reply.lease = crate::fleet::routes::Timing::default().lease;
-        if let Ok(frame) = encode(&Down::Answer(id, Response::Reply { reply, running }), MAX_FRAME) {
+        if let Ok(frame) = encode(&ServerFrame::Answer(id, Response::Reply { reply, running }), MAX_FRAME) {
             *bytes = frame;
         }
     }
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::decided::Entry;
 use hopwalk::fleet::routes::record::Entry as Routes;
 use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MAX_FRAME};
-use hopwalk::fleet::wire::message::{Down, Heard, Hello, Look};
+use hopwalk::fleet::wire::message::{Hello, Look, ReceivedFrame, ServerFrame};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
 use hopwalk::fleet::wire::{Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server};
 use hopwalk::fleet::wire::{WireError, RECONNECT_DELAY};
@@ -59,15 +59,18 @@
         assert!(matches!(later, (7, None)), "{later:?}");
     }
     let hello = Hello { term: 4, ..Hello::default() };
-    let read = Down::read(&body((Down::Answer(7, Response::Hello(hello.clone())), 1u8)));
-    assert!(matches!(&read, Ok(Heard::Answer(7, Ok(Response::Hello(same)))) if *same == hello), "{read:?}");
-    let read = Down::read(&body((Down::Push(Push::Nudge), 1u8)));
-    assert!(matches!(read, Ok(Heard::Push(Push::Nudge))), "{read:?}");
+    let read = ServerFrame::read(&body((ServerFrame::Answer(7, Response::Hello(hello.clone())), 1u8)));
+    assert!(
+        matches!(&read, Ok(ReceivedFrame::Answer(7, Ok(Response::Hello(same)))) if *same == hello),
+        "{read:?}"
+    );
+    let read = ServerFrame::read(&body((ServerFrame::Push(Push::Nudge), 1u8)));
+    assert!(matches!(read, Ok(ReceivedFrame::Push(Push::Nudge))), "{read:?}");
     let raft = || Response::Raft(Box::new(RaftResponse::Refused(RaftRefusal::Stopped)));
-    let read = Down::read(&body(Down::Answer(7, raft())));
-    assert!(matches!(read, Ok(Heard::Answer(7, Ok(Response::Raft(_))))), "{read:?}");
-    let read = Down::read(&body((Down::Answer(7, raft()), 1u8)));
-    assert!(matches!(read, Ok(Heard::Answer(7, Err(FrameError::Later)))), "{read:?}");
+    let read = ServerFrame::read(&body(ServerFrame::Answer(7, raft())));
+    assert!(matches!(read, Ok(ReceivedFrame::Answer(7, Ok(Response::Raft(_))))), "{read:?}");
+    let read = ServerFrame::read(&body((ServerFrame::Answer(7, raft()), 1u8)));
+    assert!(matches!(read, Ok(ReceivedFrame::Answer(7, Err(FrameError::Later)))), "{read:?}");
     let own = Opening::new("f", "a");
     assert_eq!(Opening::read(&body((&own, "a later field")), "f"), Ok(own));
 }
@@ -91,9 +94,9 @@
         (body((1u32, UNKNOWN)), None),
         (body((UNKNOWN, 7u64)), None),
     ] {
-        match (Down::read(&down), id) {
-            (Ok(Heard::Answer(at, Err(FrameError::Later))), Some(id)) => assert_eq!(at, id),
-            (Ok(Heard::Later), None) => {}
+        match (ServerFrame::read(&down), id) {
+            (Ok(ReceivedFrame::Answer(at, Err(FrameError::Later))), Some(id)) => assert_eq!(at, id),
+            (Ok(ReceivedFrame::Later), None) => {}
             (other, _) => panic!("{other:?} of {down:?}"),
         }
     }
@@ -102,7 +105,7 @@
     for cut in 0..whole.len() {
         assert_eq!(Request::read(&whole[..cut]).err(), Some(FrameError::Malformed));
     }
-    assert_eq!(Down::read(&[]).err(), Some(FrameError::Malformed));
+    assert_eq!(ServerFrame::read(&[]).err(), Some(FrameError::Malformed));
 }
 
 /// How a later version reads a field that it added at the end: what an earlier one did not send is the default.
@@ -177,11 +180,11 @@
                 _ => link.say((id, Request::Hello, "a later field")).await,
             }
             let known = id % 3 == 2;
-            match decode::<Down>(&link.next().await).unwrap() {
-                Down::Answer(at, Response::Hello(hello)) if known => {
+            match decode::<ServerFrame>(&link.next().await).unwrap() {
+                ServerFrame::Answer(at, Response::Hello(hello)) if known => {
                     assert_eq!((at, hello.node), (id, Some(1)))
                 }
-                Down::Answer(at, Response::Unknown) if !known => assert_eq!(at, id),
+                ServerFrame::Answer(at, Response::Unknown) if !known => assert_eq!(at, id),
                 other => panic!("{other:?} to {id}"),
             }
         }
@@ -198,10 +201,10 @@
         let (id, request) = Request::read(&link.next().await).unwrap();
         link.say((UNKNOWN, "neither answer nor push")).await;
         link.say((1u32, UNKNOWN)).await;
-        link.say((Down::Push(Push::Nudge), "a later field")).await;
+        link.say((ServerFrame::Push(Push::Nudge), "a later field")).await;
         match request {
             Some(Request::Look(_)) => {
-                link.say((Down::Answer(id, Response::Document("{}".into())), "a later field")).await
+                link.say((ServerFrame::Answer(id, Response::Document("{}".into())), "a later field")).await
             }
             _ => link.say((0u32, id, UNKNOWN, "a later answer")).await,
         }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAGIC, MAX_FRAME};
-use hopwalk::fleet::wire::message::{Down, Hello};
+use hopwalk::fleet::wire::message::{Hello, ServerFrame};
 use hopwalk::fleet::wire::{
     Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server, WireError, MAX_IN_FLIGHT,
     RECONNECT_DELAY,
@@ -74,7 +74,7 @@
 
     #[test]
     fn bytes_of_any_kind_are_a_message_or_malformed(body in prop::collection::vec(any::<u8>(), 0..200)) {
-        for error in [decode::<(u64, Request)>(&body).err(), decode::<Down>(&body).err()].into_iter().flatten() {
+        for error in [decode::<(u64, Request)>(&body).err(), decode::<ServerFrame>(&body).err()].into_iter().flatten() {
             prop_assert!(matches!(error, FrameError::Malformed | FrameError::Later), "{error}");
         }
         if let Ok(opening) = Opening::read(&body, "f") {
