--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -14,7 +14,7 @@
 use crate::fleet::routes::member::Member;
 use crate::fleet::routes::record::{self as routes, Stage, Why};
 use crate::fleet::routes::{Activation, Fence, MemberIncarnation, Version};
-use crate::fleet::wire::message::Look;
+use crate::fleet::wire::message::DocumentKind;
 
 fn ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
@@ -78,14 +78,14 @@
 
 /// What the leader tells at `now`.
 pub fn leaders<'a>(
-    look: Look,
+    look: DocumentKind,
     state: &State,
     standing: &Standing,
     given: impl Iterator<Item = (&'a MemberIncarnation, &'a GrantedLease)>,
     now: Duration,
 ) -> Value {
     match look {
-        Look::Routes => {
+        DocumentKind::Routes => {
             let member = |(life, g): (&MemberIncarnation, &GrantedLease)| {
                 json!({
                     "name": life.name,
@@ -117,7 +117,7 @@
                 "members": given.map(member).collect::<Vec<_>>(),
             })
         }
-        Look::History => {
+        DocumentKind::History => {
             let past = |past: &routes::Past| {
                 json!({
                     "turn": past.fence.turn,
@@ -128,7 +128,7 @@
             };
             json!({ "activations": state.routes.history().map(past).collect::<Vec<_>>() })
         }
-        Look::Experiments => {
+        DocumentKind::Experiments => {
             let run = state.experiments.run().map(|run| {
                 json!({
                     "name": run.experiment.name,
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -17,7 +17,7 @@
 use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
-use crate::fleet::wire::message::Look;
+use crate::fleet::wire::message::DocumentKind;
 use crate::fleet::wire::{Request, Response};
 
 /// An order waits this long for a leader.
@@ -54,16 +54,16 @@
         Order::Activate { version } => submit(part, Entry::Routes(Routes::Prepare { version, by })).await?,
         Order::Rollback => submit(part, Entry::Routes(Routes::Rollback { by })).await?,
         Order::Abort => {
-            let known = look(part, Look::Routes, PATIENCE).await?;
+            let known = look(part, DocumentKind::Routes, PATIENCE).await?;
             let turn = known["pending"]["turn"].as_u64().unwrap_or(0);
             submit(part, Entry::Routes(Routes::Abort { turn, why: Why::Operator(by) })).await?
         }
         Order::Show => {
-            let known = look(part, Look::Routes, GLANCE).await;
+            let known = look(part, DocumentKind::Routes, GLANCE).await;
             let help = known.as_ref().err().map(ToString::to_string);
             json!({ "here": part.document(), "fleet": known.ok(), "problem": help })
         }
-        Order::History => look(part, Look::History, PATIENCE).await?,
+        Order::History => look(part, DocumentKind::History, PATIENCE).await?,
         Order::Start { document } => {
             let start: Start = serde_json::from_str(&document)
                 .map_err(|e| OrderError::Document { line: e.line(), column: e.column() })?;
@@ -74,12 +74,12 @@
             json!({ "started": name })
         }
         Order::Stop => {
-            let known = look(part, Look::Experiments, PATIENCE).await?;
+            let known = look(part, DocumentKind::Experiments, PATIENCE).await?;
             let name = known["running"]["name"].as_str().unwrap_or_default().to_string();
             submit(part, Entry::Experiment(Experiments::Stop { name: name.clone(), by })).await?;
             json!({ "stopped": name })
         }
-        Order::ShowExperiment => look(part, Look::Experiments, PATIENCE).await?,
+        Order::ShowExperiment => look(part, DocumentKind::Experiments, PATIENCE).await?,
         Order::Admit { name } => {
             let request = Request::Admit { name: name.clone() };
             match leader(part, &request, PATIENCE).await? {
@@ -100,7 +100,7 @@
     }
 }
 
-async fn look(part: &Arc<Part>, look: Look, patience: Duration) -> Result<Value, OrderError> {
+async fn look(part: &Arc<Part>, look: DocumentKind, patience: Duration) -> Result<Value, OrderError> {
     match leader(part, &Request::Look(look), patience).await? {
         // It was written by the leader as JSON.
         Response::Document(text) => Ok(serde_json::from_str(&text).unwrap_or_default()),
--- a/src/fleet/wire/message.rs
+++ b/src/fleet/wire/message.rs
@@ -40,7 +40,7 @@
         name: String,
     },
     /// What was decided, as a document for an operator.
-    Look(Look),
+    Look(DocumentKind),
 }
 
 impl Request {
@@ -62,7 +62,7 @@
 
 /// Which document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Look {
+pub enum DocumentKind {
     /// What is active and on its way.
     Routes,
     /// How activations ended.
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::decided::Entry;
 use hopwalk::fleet::routes::record::Entry as Routes;
 use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MAX_FRAME};
-use hopwalk::fleet::wire::message::{Hello, Look, ReceivedFrame, ServerFrame};
+use hopwalk::fleet::wire::message::{DocumentKind, Hello, ReceivedFrame, ServerFrame};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
 use hopwalk::fleet::wire::{Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server};
 use hopwalk::fleet::wire::{WireError, RECONNECT_DELAY};
@@ -48,7 +48,7 @@
 #[test]
 fn a_field_more_is_ignored_but_where_another_thing_would_be_done() {
     let told = |request: &Request| format!("{request:?}");
-    for request in [Request::Hello, Request::Look(Look::History)] {
+    for request in [Request::Hello, Request::Look(DocumentKind::History)] {
         let read = Request::read(&body((7u64, &request, "a later field"))).unwrap();
         assert_eq!((read.0, read.1.as_ref().map(told)), (7, Some(told(&request))));
     }
@@ -193,7 +193,7 @@
     });
 }
 
-/// Answers with what the earlier version does not know, but for a `Look`; pushes such things too.
+/// Answers with what the earlier version does not know, but for a `DocumentKind`; pushes such things too.
 async fn answer_later(mut link: Frames) {
     link.next().await;
     link.say((Opening::new("f", "s"), "a later field")).await;
@@ -233,7 +233,7 @@
         };
         let later = || WireError::Frame { peer: "s".into(), error: FrameError::Later };
         assert_eq!(unread.unwrap_err(), later());
-        let known = client.request(&Request::Look(Look::Routes), PATIENCE).await;
+        let known = client.request(&Request::Look(DocumentKind::Routes), PATIENCE).await;
         assert!(matches!(&known, Ok(Response::Document(text)) if text == "{}"), "{known:?}");
         assert_eq!(client.request(&Request::Hello, PATIENCE).await.unwrap_err(), later());
         for _ in 0..3 {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -113,7 +113,7 @@
     runtime.block_on(async { tokio::time::timeout(HANGS, test).await.expect("the test hangs") })
 }
 
-/// Answers `Hello` with the number of its link, `Submit`-like `Admit` never, and `Look` with more than a frame holds.
+/// Answers `Hello` with the number of its link, `Submit`-like `Admit` never, and `DocumentKind` with more than a frame holds.
 fn handler(from: Arc<Caller>, request: Request) -> Answering {
     Box::pin(async move {
         match request {
@@ -170,8 +170,9 @@
         let stuck: Vec<_> = (0..MAX_IN_FLIGHT - 1).map(|_| ask_in_vain(PATIENCE)).collect();
         tokio::task::yield_now().await;
         assert_eq!(hello(&client).await, Ok((link, "c".into())));
-        let too_long =
-            client.request(&Request::Look(hopwalk::fleet::wire::message::Look::Routes), PATIENCE).await;
+        let too_long = client
+            .request(&Request::Look(hopwalk::fleet::wire::message::DocumentKind::Routes), PATIENCE)
+            .await;
         assert!(matches!(too_long, Ok(Response::TooLong)), "{too_long:?}");
         let one_more = ask_in_vain(Duration::from_millis(200));
         tokio::task::yield_now().await;
