--- a/src/fleet/wire/mod.rs
+++ b/src/fleet/wire/mod.rs
@@ -30,7 +30,7 @@
 pub use codec::FrameError;
 pub use message::{Push, Request, Response};
 use net::{Net, Tcp};
-pub use server::{Answering, Caller, Handler, Server};
+pub use server::{Caller, Handler, ResponseFuture, Server};
 
 /// Requests in flight on one link, at either end.
 pub const MAX_IN_FLIGHT: usize = 32;
--- a/src/fleet/wire/net.rs
+++ b/src/fleet/wire/net.rs
@@ -16,14 +16,14 @@
 /// Both ends of a stream at this side.
 pub type Halves = (Read, Write);
 /// Something that takes time.
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
+pub type IoFuture<'a, T> = Pin<Box<dyn Future<Output = io::Result<T>> + Send + 'a>>;
 
 /// A network of streams.
 pub trait Net: Debug + Send + Sync + 'static {
     /// Connects; the caller bounds the time.
-    fn connect(&self, to: SocketAddr) -> Later<'_, Halves>;
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Halves>;
     /// Takes an address.
-    fn listen(&self, at: SocketAddr) -> Later<'_, Box<dyn Listener>>;
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>>;
 }
 
 /// An address that was taken; given back when it is dropped.
@@ -31,7 +31,7 @@
     /// Which one it is.
     fn address(&self) -> io::Result<SocketAddr>;
     /// The next connection.
-    fn accept(&mut self) -> Later<'_, Halves>;
+    fn accept(&mut self) -> IoFuture<'_, Halves>;
 }
 
 /// TCP of this machine.
@@ -45,11 +45,11 @@
 }
 
 impl Net for Tcp {
-    fn connect(&self, to: SocketAddr) -> Later<'_, Halves> {
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Halves> {
         Box::pin(async move { halves(TcpStream::connect(to).await?) })
     }
 
-    fn listen(&self, at: SocketAddr) -> Later<'_, Box<dyn Listener>> {
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         Box::pin(async move { Ok(Box::new(TcpListener::bind(at).await?) as Box<dyn Listener>) })
     }
 }
@@ -59,7 +59,7 @@
         self.local_addr()
     }
 
-    fn accept(&mut self) -> Later<'_, Halves> {
+    fn accept(&mut self) -> IoFuture<'_, Halves> {
         Box::pin(async move { halves(TcpListener::accept(self).await?.0) })
     }
 }
--- a/src/fleet/wire/server.rs
+++ b/src/fleet/wire/server.rs
@@ -36,19 +36,19 @@
 }
 
 /// An answer in the making.
-pub type Answering = Pin<Box<dyn Future<Output = Response> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
 /// What answers requests; several at once.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request, in less than [`super::STALL_TIMEOUT`].
-    fn answer(&self, from: Arc<Caller>, request: Request) -> Answering;
+    fn answer(&self, from: Arc<Caller>, request: Request) -> ResponseFuture;
 }
 
 impl<F> Handler for F
 where
-    F: Fn(Arc<Caller>, Request) -> Answering + Send + Sync + 'static,
+    F: Fn(Arc<Caller>, Request) -> ResponseFuture + Send + Sync + 'static,
 {
-    fn answer(&self, from: Arc<Caller>, request: Request) -> Answering {
+    fn answer(&self, from: Arc<Caller>, request: Request) -> ResponseFuture {
         self(from, request)
     }
 }
--- a/src/lab/sim/net.rs
+++ b/src/lab/sim/net.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 use super::stream::{Accepting, ReadHalf, WriteHalf};
-use crate::fleet::wire::net::{Halves, Later, Listener, Net};
+use crate::fleet::wire::net::{Halves, IoFuture, Listener, Net};
 use crate::lab::random::Random;
 
 /// The shortest way, in microseconds: no less than a tick, so that what is sent in a tick arrives in a later one.
@@ -402,7 +402,7 @@
 }
 
 impl Net for Port {
-    fn connect(&self, to: SocketAddr) -> Later<'_, Halves> {
+    fn connect(&self, to: SocketAddr) -> IoFuture<'_, Halves> {
         Box::pin(async move {
             let (answer, answered) = oneshot::channel();
             {
@@ -415,7 +415,7 @@
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> Later<'_, Box<dyn Listener>> {
+    fn listen(&self, at: SocketAddr) -> IoFuture<'_, Box<dyn Listener>> {
         Box::pin(async move {
             let mut inner = self.network.lock();
             if inner.listeners.contains_key(&at) {
--- a/src/lab/sim/stream.rs
+++ b/src/lab/sim/stream.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 use super::net::{Network, Segment, WINDOW};
-use crate::fleet::wire::net::{Halves, Later, Listener};
+use crate::fleet::wire::net::{Halves, IoFuture, Listener};
 
 /// Reads what arrived on a pipe.
 pub(super) struct ReadHalf {
@@ -130,7 +130,7 @@
         Ok(self.at)
     }
 
-    fn accept(&mut self) -> Later<'_, Halves> {
+    fn accept(&mut self) -> IoFuture<'_, Halves> {
         Box::pin(poll_fn(|cx| {
             let mut inner = self.network.lock();
             let Some(listening) = inner.listeners.get_mut(&self.at) else {
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -15,7 +15,7 @@
 use hopwalk::fleet::routes::{LeaseReply, LeaseRequest};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
 use hopwalk::fleet::wire::message::Running;
-use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
+use hopwalk::fleet::wire::{Caller, Client, Local, Request, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use hopwalk::lab::stand_in::wait_until;
 use serde_json::Value;
@@ -249,7 +249,7 @@
         let reply = LeaseReply { number: ask.number, term: 1, time, lease, active: None, pending: None };
         Response::Reply { reply: Box::new(reply), running }
     };
-    let handler = move |_: std::sync::Arc<Caller>, request: Request| -> Answering {
+    let handler = move |_: std::sync::Arc<Caller>, request: Request| -> ResponseFuture {
         let (said, running) = (said.clone(), running.clone());
         Box::pin(async move {
             let (first, reports, late) = &*said;
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -10,7 +10,9 @@
 use hopwalk::fleet::wire::codec::{decode, encode, take, Decoder, Opening, MAX_FRAME};
 use hopwalk::fleet::wire::message::{DocumentKind, Hello, ReceivedFrame, ServerFrame};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
-use hopwalk::fleet::wire::{Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server};
+use hopwalk::fleet::wire::{
+    Caller, Client, FrameError, Local, Push, Request, Response, ResponseFuture, Server,
+};
 use hopwalk::fleet::wire::{WireError, RECONNECT_DELAY};
 use openraft::raft::VoteRequest;
 use openraft::Vote;
@@ -165,7 +167,7 @@
 fn a_server_refuses_what_a_later_client_asks_and_goes_on_on_the_same_link() {
     run(async {
         let local = Local::new("f", "s");
-        let handler = |from: Arc<Caller>, request: Request| -> Answering {
+        let handler = |from: Arc<Caller>, request: Request| -> ResponseFuture {
             assert!(matches!(request, Request::Hello), "{request:?} came through");
             Box::pin(async move { Response::Hello(Hello { node: Some(from.link), ..Hello::default() }) })
         };
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -19,7 +19,7 @@
 use hopwalk::fleet::routes::{MemberIncarnation, Refusal};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
-use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
+use hopwalk::fleet::wire::{Caller, Client, Local, Request, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use miette::Diagnostic;
 
@@ -125,7 +125,7 @@
         (options.heartbeat, options.election, options.entries) = (ms(100), self.election, self.entries);
         let record = Record::open(options, clients).await.unwrap();
         let (served, vote_delay) = (record.clone(), self.vote_delay);
-        let handler = move |_: Arc<Caller>, request: Request| -> Answering {
+        let handler = move |_: Arc<Caller>, request: Request| -> ResponseFuture {
             let record = served.clone();
             Box::pin(async move {
                 match request {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -10,8 +10,8 @@
 use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAGIC, MAX_FRAME};
 use hopwalk::fleet::wire::message::{Hello, ServerFrame};
 use hopwalk::fleet::wire::{
-    Answering, Caller, Client, FrameError, Local, Push, Request, Response, Server, WireError, MAX_IN_FLIGHT,
-    RECONNECT_DELAY,
+    Caller, Client, FrameError, Local, Push, Request, Response, ResponseFuture, Server, WireError,
+    MAX_IN_FLIGHT, RECONNECT_DELAY,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -114,7 +114,7 @@
 }
 
 /// Answers `Hello` with the number of its link, `Submit`-like `Admit` never, and `DocumentKind` with more than a frame holds.
-fn handler(from: Arc<Caller>, request: Request) -> Answering {
+fn handler(from: Arc<Caller>, request: Request) -> ResponseFuture {
     Box::pin(async move {
         match request {
             Request::Hello => Response::Hello(Hello {
@@ -290,7 +290,7 @@
 
         // A client that asks, and never reads: another one is answered all the while, and the link ends.
         let deaf = Local::new("f", "s");
-        let big = |from: Arc<Caller>, _| -> Answering {
+        let big = |from: Arc<Caller>, _| -> ResponseFuture {
             let length = if from.name == "d" { MAX_FRAME / 4 } else { 1 };
             Box::pin(async move { Response::Document("x".repeat(length)) })
         };
