--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -168,7 +168,7 @@
 
 /// What the member at the door knows itself, whoever leads.
 pub fn own(member: &Member, now: Duration, ears: &Ears, leader: Option<&str>) -> Value {
-    let (lease, switch) = member.promises();
+    let (lease, switch) = member.lease_and_switch();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
         Err(e) => json!({ "problem": e.to_string() }),
--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -54,7 +54,7 @@
 
     /// The lease, and the moment of a switch that it knows.
     pub fn promises(&self) -> (HeldLease, Option<(Turn, Window)>) {
-        self.part.routing.held().member.promises()
+        self.part.routing.held().member.lease_and_switch()
     }
 
     fn record(&self) -> Option<Record> {
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -194,7 +194,7 @@
     loop {
         let (next, switch) = {
             let held = part.routing.held();
-            let (lease, switch) = held.member.promises();
+            let (lease, switch) = held.member.lease_and_switch();
             let now = part.clock.now();
             // The end of a lease is logged when it comes.
             let ends = Some(lease.until()).filter(|until| *until > now);
@@ -313,7 +313,7 @@
             let mut held = self.routing.held();
             let now = self.clock.now();
             let effects = held.member.step(now, input);
-            (effects, held.member.promises().0.holds(now))
+            (effects, held.member.lease_and_switch().0.holds(now))
         };
         for effect in effects {
             match effect {
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -178,7 +178,7 @@
             _ = ticks.tick() => {}
         }
         let stands = standing.borrow_and_update().clone();
-        let window = part.routing.held().member.promises().1;
+        let window = part.routing.held().member.lease_and_switch().1;
         let (before, after, effects, entry) = part.deciding(voter, |at, lead| {
             let before = lead.term();
             let mut effects = lead.follow(at, &stands, window);
--- a/src/fleet/routes/clock.rs
+++ b/src/fleet/routes/clock.rs
@@ -84,7 +84,7 @@
 
 impl Clock {
     /// Takes a round trip; refused if it ran backwards.
-    pub fn take(&mut self, sample: Sample) -> Result<(), ClockError> {
+    pub fn add_sample(&mut self, sample: Sample) -> Result<(), ClockError> {
         if sample.received < sample.sent {
             return Err(ClockError::Backwards);
         }
@@ -115,7 +115,7 @@
     }
 
     /// The bound at `now`, if it is narrow enough to be prepared with.
-    pub fn fit(&self, now: Duration) -> Result<Duration, ClockError> {
+    pub fn usable_bound(&self, now: Duration) -> Result<Duration, ClockError> {
         let bound = self.offset(now)?.bound();
         if bound > MAX_CLOCK_BOUND {
             return Err(ClockError::Wide { bound });
@@ -124,7 +124,7 @@
     }
 
     /// A moment that lies in `theirs` on the leader's clock, on the own one; with the drift from `now` until then.
-    pub fn here(&self, now: Duration, theirs: Window) -> Result<Window, ClockError> {
+    pub fn to_own_clock(&self, now: Duration, theirs: Window) -> Result<Window, ClockError> {
         let offset = self.offset(now)?;
         let (low, high) = (nanos(theirs.low) - offset.high, nanos(theirs.high) - offset.low);
         let away = |at: i64| nanos(drift(Duration::from_nanos(at.abs_diff(nanos(now)))));
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -145,7 +145,7 @@
     }
 
     fn drive(&mut self, now: Duration, pace: Timing, state: &State, effects: &mut Vec<Effect>) {
-        self.book.sweep(now, pace.deadline * 4);
+        self.book.remove_expired(now, pace.deadline * 4);
         let Some(run) = state.run() else { return self.watch = None };
         let turn = run.activation.fence.turn;
         let committed = run.stage != Stage::Preparing;
@@ -225,7 +225,9 @@
         if let Some((answered, answer)) = ask.answer.filter(|(answered, _)| Some(*answered) == turn) {
             match (answer, &mut self.watch) {
                 (Ok(_), _) => given.prepared = Some(answered),
-                (Err(refusal), Some(watch)) => watch.refused = Some((ask.member.clone(), refusal.clipped())),
+                (Err(refusal), Some(watch)) => {
+                    watch.refused = Some((ask.member.clone(), refusal.truncated()))
+                }
                 _ => {}
             }
         }
--- a/src/fleet/routes/lease.rs
+++ b/src/fleet/routes/lease.rs
@@ -18,12 +18,12 @@
 
 impl HeldLease {
     /// Takes a grant of `length` for an ask sent at `sent`; an earlier one that lasts longer stays.
-    pub fn take(&mut self, sent: Duration, length: Duration) {
+    pub fn extend(&mut self, sent: Duration, length: Duration) {
         self.until = self.until.max(sent + length.saturating_sub(drift(length) * 2));
     }
 
     /// Gives it up.
-    pub fn give_up(&mut self) {
+    pub fn release(&mut self) {
         self.until = Duration::ZERO;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Forgets lives whose lease ended before `now` by more than `keep`.
-    pub fn sweep(&mut self, now: Duration, keep: Duration) {
+    pub fn remove_expired(&mut self, now: Duration, keep: Duration) {
         self.given.retain(|_, g| g.end + keep > now);
     }
 }
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -200,7 +200,7 @@
         if !self.is_open(wanted) {
             return None;
         }
-        match self.clock.fit(now) {
+        match self.clock.usable_bound(now) {
             Ok(bound) => Some((turn, Ok(bound))),
             Err(_) if self.clock.samples() < FAIR_SAMPLES => None,
             Err(problem) => Some((turn, Err(Refusal::Clock { problem }))),
@@ -213,7 +213,7 @@
 
     /// Gives up lease and moment; replies to what was asked before are not taken.
     fn give_up(&mut self) {
-        self.lease.give_up();
+        self.lease.release();
         (self.switch, self.taken) = (None, self.number);
         self.asks.clear();
     }
@@ -232,7 +232,7 @@
         if reply.term > self.term {
             (self.term, self.clock) = (reply.term, Clock::default());
         }
-        let taken = self.clock.take(Sample { sent, received: now, theirs: reply.time });
+        let taken = self.clock.add_sample(Sample { sent, received: now, theirs: reply.time });
         if taken.and_then(|()| self.clock.offset(now)).is_err() {
             return self.give_up();
         }
@@ -247,7 +247,8 @@
             }
             Some(Pending::Commit(next, moment)) if next.fence.turn > self.turn() => {
                 self.want(next);
-                let here = self.clock.here(now, moment).ok().filter(|w| w.bound() <= MAX_CLOCK_BOUND * 2);
+                let here =
+                    self.clock.to_own_clock(now, moment).ok().filter(|w| w.bound() <= MAX_CLOCK_BOUND * 2);
                 let is_ready = self.is_open(next);
                 if let Some(window) = here.filter(|_| is_ready && self.switch.is_none()) {
                     self.switch = Some((next, window));
@@ -257,7 +258,7 @@
             None => self.wanted = self.switch.map(|(next, _)| next),
         }
         if reply.active == self.active {
-            self.lease.take(sent, reply.lease);
+            self.lease.extend(sent, reply.lease);
         }
     }
 
@@ -354,7 +355,7 @@
     }
 
     /// Its lease and the moment it waits for, for the leader's part of the same process and for operators.
-    pub fn promises(&self) -> (HeldLease, Option<(Turn, Window)>) {
+    pub fn lease_and_switch(&self) -> (HeldLease, Option<(Turn, Window)>) {
         (self.lease, self.switch.map(|(next, window)| (next.fence.turn, window)))
     }
 
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -158,9 +158,9 @@
 
 impl Refusal {
     /// As the record keeps it: with the names in it cut short.
-    pub fn clipped(self) -> Self {
+    pub fn truncated(self) -> Self {
         match self {
-            Self::Table { problem } => Self::Table { problem: problem.clipped() },
+            Self::Table { problem } => Self::Table { problem: problem.truncated() },
             short => short,
         }
     }
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -189,7 +189,7 @@
     pub fn apply(&mut self, entry: &Entry) -> Result<Applied, RecordError> {
         match entry {
             Entry::Propose { table, .. } => {
-                let table = Table::logged(table).map_err(|problem| RecordError::Table { problem })?;
+                let table = Table::parse_logged(table).map_err(|problem| RecordError::Table { problem })?;
                 Ok(Applied::Proposed(self.keep(table)))
             }
             Entry::Prepare { version, by } => self.begin(*version, by),
--- a/src/fleet/routes/table.rs
+++ b/src/fleet/routes/table.rs
@@ -110,7 +110,7 @@
     }
 
     /// The same with names of at most [`MAX_RECORDED_NAME`] bytes and a sign that there was more: the record keeps hundreds of them.
-    pub fn clipped(mut self) -> Self {
+    pub fn truncated(mut self) -> Self {
         for text in self.texts().into_iter().filter(|text| text.len() > MAX_RECORDED_NAME) {
             let end = (0..=MAX_RECORDED_NAME).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
             text.truncate(end);
@@ -199,7 +199,7 @@
     /// [`TableError::Json`], and [`TableError::Long`] or [`TableError::Canonical`] for what is over [`MAX_BYTES`] as it
     /// came or in its canonical form: that writes out what a document may leave out, and is what members fetch.
     pub fn parse(json: &str) -> Result<Self, TableError> {
-        let table = Self::logged(json)?;
+        let table = Self::parse_logged(json)?;
         match table.canonical().len() {
             bytes if bytes > MAX_BYTES => Err(TableError::Canonical { bytes }),
             _ => Ok(table),
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     /// [`TableError::Json`] and [`TableError::Long`].
-    pub fn logged(json: &str) -> Result<Self, TableError> {
+    pub fn parse_logged(json: &str) -> Result<Self, TableError> {
         if json.len() > MAX_BYTES {
             return Err(TableError::Long { bytes: json.len() });
         }
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -128,7 +128,7 @@
 
     fn elect(&mut self, at: usize) {
         (self.leads, self.term) = (at, self.term + 1);
-        let window = self.nodes[at].member.promises().1;
+        let window = self.nodes[at].member.lease_and_switch().1;
         let sent = self.local(at);
         // The old leader does not learn of it at once: it is stale until a reply of the new term would tell it.
         self.lead(at, leader::Input::Elected { term: self.term, window });
@@ -211,7 +211,7 @@
             // Before the moment: at it, who acknowledged has switched and waits for nothing any more.
             let left = stamp.at.saturating_sub(self.local(self.leads));
             for at in (0..N).filter(|_| stamp.term == self.term && left > ms(1)) {
-                let (lease, switch) = self.nodes[at].member.promises();
+                let (lease, switch) = self.nodes[at].member.lease_and_switch();
                 // Both clocks drift by at most 90 ppm.
                 let most = self.local(at) + left + left / 5000;
                 if lease.until() > most && switch.is_none() {
@@ -446,11 +446,11 @@
 fn inside_the_uncertainty_a_request_waits_for_at_most_twice_the_bound() {
     let mut fleet = Fleet::ready(4);
     fleet.begin(2).unwrap();
-    while fleet.nodes[2].member.promises().1.is_none() {
+    while fleet.nodes[2].member.lease_and_switch().1.is_none() {
         fleet.run(5);
     }
     let member = fleet.nodes[2].member.clone();
-    let window = member.promises().1.unwrap().1;
+    let window = member.lease_and_switch().1.unwrap().1;
     let route = |now, tried| member.route(now, Request { read: now, tried, ran: None });
     let Route::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
     assert_eq!(route(window.low, None), Route::Wait(window.high));
@@ -466,13 +466,13 @@
 fn a_wide_bound_and_a_clock_that_runs_wrong_are_told_apart() {
     let mut clock = Clock::default();
     let s = |sent, received, theirs| Sample { sent: ms(sent), received: ms(received), theirs: ms(theirs) };
-    clock.take(s(100, 111, 1105)).unwrap();
-    assert!(matches!(clock.fit(ms(111)), Err(ClockError::Wide { .. })));
-    clock.take(s(200, 201, 1200)).unwrap();
-    assert!(clock.fit(ms(201)).unwrap() < ms(1));
-    clock.take(s(300, 301, 3300)).unwrap();
-    assert_eq!(clock.fit(ms(301)), Err(ClockError::Disagree));
-    assert_eq!(clock.take(s(5, 4, 1)), Err(ClockError::Backwards));
+    clock.add_sample(s(100, 111, 1105)).unwrap();
+    assert!(matches!(clock.usable_bound(ms(111)), Err(ClockError::Wide { .. })));
+    clock.add_sample(s(200, 201, 1200)).unwrap();
+    assert!(clock.usable_bound(ms(201)).unwrap() < ms(1));
+    clock.add_sample(s(300, 301, 3300)).unwrap();
+    assert_eq!(clock.usable_bound(ms(301)), Err(ClockError::Disagree));
+    assert_eq!(clock.add_sample(s(5, 4, 1)), Err(ClockError::Backwards));
 }
 
 #[test]
@@ -590,8 +590,8 @@
 fn of_a_refusal_the_record_keeps_names_cut_short() {
     let name = "é".repeat(MAX_BYTES / 2);
     let problem = TableError::RouteTwice { class: name.clone(), tenant: Some("t".into()) };
-    let kept = Refusal::Table { problem }.clipped();
+    let kept = Refusal::Table { problem }.truncated();
     let class = "é".repeat(MAX_RECORDED_NAME / 2) + "…";
     assert_eq!(kept, Refusal::Table { problem: TableError::RouteTwice { class, tenant: Some("t".into()) } });
-    assert_eq!(kept.clone().clipped().to_string().len(), kept.to_string().len());
+    assert_eq!(kept.clone().truncated().to_string().len(), kept.to_string().len());
 }
