--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -243,7 +243,7 @@
         state.apply(&Entry::Abort { turn, why: Why::Operator("o".into()) }).unwrap();
         let told = |state: &routes::State| winners(2, on, state);
         assert_eq!(told(&state)["stage"], "not begun");
-        assert_eq!(state.make(Table::parse(&table(2)).unwrap()), 2);
+        assert_eq!(state.keep_experiment_winner(Table::parse(&table(2)).unwrap()), 2);
         assert_eq!(told(&state)["stage"], "waits");
         let turn = begin(&mut state, 2, WINNER);
         assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("on its way"), &json!(turn)));
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -250,7 +250,7 @@
             Some(Verdict::Winner { arm, .. }) if running.activate => {
                 let table = routes.table(running.on.version);
                 let table = table.and_then(|table| won(table, &running.experiment.arms.get(arm)?.name));
-                table.map(|table| routes.make(table))
+                table.map(|table| routes.keep_experiment_winner(table))
             }
             _ => None,
         };
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -236,7 +236,7 @@
 
     /// Keeps a table that the fleet made of an experiment's winner, and marks it as to be activated: until an activation
     /// of it begins, or any other ends with its table active. An equal one that is kept has its version already.
-    pub fn make(&mut self, table: Table) -> Version {
+    pub fn keep_experiment_winner(&mut self, table: Table) -> Version {
         let version = self.keep(table);
         self.made = Some(version);
         version
