--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -12,7 +12,7 @@
 use crate::fleet::record::Standing;
 use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::member::Member;
-use crate::fleet::routes::record::{self as routes, Stage, Why};
+use crate::fleet::routes::record::{self as routes, AbortReason, Stage};
 use crate::fleet::routes::{Activation, Fence, MemberIncarnation, Version};
 use crate::fleet::wire::message::DocumentKind;
 
@@ -28,11 +28,13 @@
     json!({ "turn": a.fence.turn, "version": a.fence.version, "hash": a.hash.to_string() })
 }
 
-fn why(why: &Why) -> Value {
+fn why(why: &AbortReason) -> Value {
     match why {
-        Why::Refused(life, refusal) => json!({ "refused_by": life.name, "because": refusal.to_string() }),
-        Why::Silent(life) => json!({ "silent": life.name }),
-        Why::Operator(by) => json!({ "operator": by }),
+        AbortReason::Refused(life, refusal) => {
+            json!({ "refused_by": life.name, "because": refusal.to_string() })
+        }
+        AbortReason::Silent(life) => json!({ "silent": life.name }),
+        AbortReason::Operator(by) => json!({ "operator": by }),
     }
 }
 
@@ -240,14 +242,14 @@
         let on = state.active().unwrap().fence;
         // An activation of the same table before the experiment's end is another matter.
         let turn = begin(&mut state, 2, "o");
-        state.apply(&Entry::Abort { turn, why: Why::Operator("o".into()) }).unwrap();
+        state.apply(&Entry::Abort { turn, why: AbortReason::Operator("o".into()) }).unwrap();
         let told = |state: &routes::State| winners(2, on, state);
         assert_eq!(told(&state)["stage"], "not begun");
         assert_eq!(state.keep_experiment_winner(Table::parse(&table(2)).unwrap()), 2);
         assert_eq!(told(&state)["stage"], "waits");
         let turn = begin(&mut state, 2, WINNER);
         assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("on its way"), &json!(turn)));
-        let silent = Why::Silent(MemberIncarnation { name: "m3".into(), incarnation: 1 });
+        let silent = AbortReason::Silent(MemberIncarnation { name: "m3".into(), incarnation: 1 });
         state.apply(&Entry::Abort { turn, why: silent }).unwrap();
         let aborted = told(&state);
         assert_eq!((&aborted["stage"], &aborted["turn"]), (&json!("aborted"), &json!(turn)));
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -170,14 +170,14 @@
 /// Whether it is for operators to order: the rest only a leader proposes by itself.
 pub fn ordered(entry: &Entry) -> bool {
     use experiments::Entry as E;
-    use routes::{Entry as R, Why};
+    use routes::{AbortReason, Entry as R};
     matches!(
         entry,
         Entry::Routes(
             R::Propose { .. }
                 | R::Prepare { .. }
                 | R::Rollback { .. }
-                | R::Abort { why: Why::Operator(_), .. }
+                | R::Abort { why: AbortReason::Operator(_), .. }
         ) | Entry::Experiment(E::Start { .. } | E::Stop { .. })
     )
 }
@@ -186,15 +186,15 @@
 /// which no two orders share.
 pub fn earlier(state: &State, entry: &Entry) -> Option<Applied> {
     use experiments::{End, Entry as E};
-    use routes::{Entry as R, Why};
+    use routes::{AbortReason, Entry as R};
     match entry {
         Entry::Routes(R::Prepare { by, .. } | R::Rollback { by }) => {
             let run = state.routes.run().filter(|run| run.by == *by).map(|run| run.activation.fence);
             let past = || state.routes.history().find(|past| past.by == *by).map(|past| past.fence);
             run.or_else(past).map(|fence| Applied::Routes(routes::Applied::Moved(fence.turn)))
         }
-        Entry::Routes(R::Abort { turn, why: Why::Operator(by) }) => {
-            let by = Why::Operator(by.clone());
+        Entry::Routes(R::Abort { turn, why: AbortReason::Operator(by) }) => {
+            let by = AbortReason::Operator(by.clone());
             let past = state.routes.history().find(|past| past.aborted.as_ref() == Some(&by))?;
             (past.fence.turn == *turn).then_some(Applied::Routes(routes::Applied::Moved(*turn)))
         }
@@ -225,7 +225,7 @@
     use super::*;
     use crate::fleet::posture::Posture;
     use crate::fleet::record::Seat;
-    use crate::fleet::routes::record::Why;
+    use crate::fleet::routes::record::AbortReason;
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":1}]},
         "routes":[{"class":"seat","pool":"a","timeout_ms":100,"tries":2}]}"#;
@@ -291,10 +291,10 @@
         ] {
             assert!(allowed(&entry, majority) && !allowed(&entry, minority), "{entry:?}");
         }
-        assert!(allowed(&abort(Why::Operator(by())), minority));
+        assert!(allowed(&abort(AbortReason::Operator(by())), minority));
         // What only a leader decides is not for a member to order.
-        assert!(ordered(&prepare("anna")) && ordered(&abort(Why::Operator(by()))));
-        assert!(!ordered(&abort(Why::Silent(ask(1).member))));
+        assert!(ordered(&prepare("anna")) && ordered(&abort(AbortReason::Operator(by()))));
+        assert!(!ordered(&abort(AbortReason::Silent(ask(1).member))));
         assert!(!ordered(&Entry::Routes(routes::Entry::Done { turn: 1 })));
         let yes = LeaseRequest { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
         assert_eq!((gated(yes.clone(), majority), gated(yes.clone(), minority).answer), (yes, None));
@@ -308,7 +308,8 @@
         let first = state.apply(&prepare("anna, 1")).unwrap();
         assert_eq!(earlier(&state, &prepare("anna, 1")), Some(first.clone()));
         assert_eq!(earlier(&state, &prepare("ben, 2")), None);
-        let abort = Entry::Routes(routes::Entry::Abort { turn: 1, why: Why::Operator("ben, 3".into()) });
+        let abort =
+            Entry::Routes(routes::Entry::Abort { turn: 1, why: AbortReason::Operator("ben, 3".into()) });
         let aborted = state.apply(&abort).unwrap();
         assert_eq!(
             (earlier(&state, &abort), earlier(&state, &prepare("anna, 1"))),
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -14,7 +14,7 @@
 use crate::fleet::decided::{Entry, Refused};
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
-use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
+use crate::fleet::routes::record::{AbortReason, Entry as Routes, RecordError};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
 use crate::fleet::wire::message::DocumentKind;
@@ -56,7 +56,7 @@
         Order::Abort => {
             let known = look(part, DocumentKind::Routes, PATIENCE).await?;
             let turn = known["pending"]["turn"].as_u64().unwrap_or(0);
-            submit(part, Entry::Routes(Routes::Abort { turn, why: Why::Operator(by) })).await?
+            submit(part, Entry::Routes(Routes::Abort { turn, why: AbortReason::Operator(by) })).await?
         }
         Order::Show => {
             let known = look(part, DocumentKind::Routes, GLANCE).await;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Why an answer of another kind than the order's is none to it.
+/// AbortReason an answer of another kind than the order's is none to it.
 fn unlike(answer: &Response, patience: Duration) -> OrderError {
     match answer {
         Response::Unknown => OrderError::Unknown,
--- a/src/fleet/metrics.rs
+++ b/src/fleet/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::routes::record::Why;
+use super::routes::record::AbortReason;
 use super::wire::Counters;
 
 /// One label: its name is fixed by the counter, its values are words of the program.
@@ -115,11 +115,11 @@
     }
 
     /// An activation was given up.
-    pub fn aborted(&self, why: &Why) {
+    pub fn aborted(&self, why: &AbortReason) {
         let reason = match why {
-            Why::Refused(..) => "refused",
-            Why::Silent(_) => "silent",
-            Why::Operator(_) => "operator",
+            AbortReason::Refused(..) => "refused",
+            AbortReason::Silent(_) => "silent",
+            AbortReason::Operator(_) => "operator",
         };
         self.aborts.get_or_create(&[("reason", reason)]).inc();
     }
@@ -175,7 +175,7 @@
         let metrics = Metrics::new();
         metrics.asks.inc_by(3);
         metrics.turn.set(7);
-        metrics.aborted(&Why::Operator("anna".into()));
+        metrics.aborted(&AbortReason::Operator("anna".into()));
         metrics.links.bytes_in.store(9, Ordering::Relaxed);
         let first = metrics.text();
         assert!(first.contains("link_bytes_total{way=\"in\"} 9\n"), "{first}");
--- a/src/fleet/routes/clock.rs
+++ b/src/fleet/routes/clock.rs
@@ -13,7 +13,7 @@
 /// Samples that are kept.
 pub const MAX_SAMPLES: usize = 8;
 
-/// Why the fleet's time is not known.
+/// AbortReason the fleet's time is not known.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 pub enum ClockError {
     /// Nothing came from this leader yet.
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::lease::{GrantedLease, LeaseTable};
-use super::record::{Entry, Run, Stage, Stamp, State, Why};
+use super::record::{AbortReason, Entry, Run, Stage, Stamp, State};
 use super::{
     Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
 };
@@ -178,7 +178,7 @@
             return;
         }
         let entry = if let Some((life, refusal)) = watch.refused.take() {
-            Entry::Abort { turn, why: Why::Refused(life, refusal) }
+            Entry::Abort { turn, why: AbortReason::Refused(life, refusal) }
         } else {
             // Leases that an earlier leader granted are not in the book.
             if now + pace.lead < floor {
@@ -193,7 +193,7 @@
                 None if self.book.iter().any(|(_, g)| prepared(g)) => {
                     Entry::Commit { turn, at: Stamp { term: self.term, at } }
                 }
-                Some((life, _)) if over => Entry::Abort { turn, why: Why::Silent(life.clone()) },
+                Some((life, _)) if over => Entry::Abort { turn, why: AbortReason::Silent(life.clone()) },
                 _ => return,
             }
         };
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Why a member cannot take a version. One refusal aborts the activation.
+/// AbortReason a member cannot take a version. One refusal aborts the activation.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 pub enum Refusal {
     /// The table does not fit its settings.
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -27,9 +27,9 @@
     pub at: Duration,
 }
 
-/// Why an activation was given up.
+/// AbortReason an activation was given up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum AbortReason {
     /// A member refused.
     Refused(MemberIncarnation, Refusal),
     /// A member with a lease that cannot lapse in time said nothing until the deadline.
@@ -51,7 +51,7 @@
     /// Switch at this moment.
     Commit { turn: Turn, at: Stamp },
     /// Stay.
-    Abort { turn: Turn, why: Why },
+    Abort { turn: Turn, why: AbortReason },
     /// The moment is past.
     Done { turn: Turn },
 }
@@ -83,11 +83,11 @@
     pub fence: Fence,
     /// Whose.
     pub by: String,
-    /// Why not, if it did not become active.
-    pub aborted: Option<Why>,
+    /// AbortReason not, if it did not become active.
+    pub aborted: Option<AbortReason>,
 }
 
-/// Why an entry changed nothing.
+/// AbortReason an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordError {
@@ -128,7 +128,7 @@
     pub fn bounded(&self) -> Result<(), RecordError> {
         let by = match self {
             Self::Propose { by, .. } | Self::Prepare { by, .. } | Self::Rollback { by } => by,
-            Self::Abort { why: Why::Operator(by), .. } => by,
+            Self::Abort { why: AbortReason::Operator(by), .. } => by,
             Self::Abort { .. } | Self::Commit { .. } | Self::Done { .. } => return Ok(()),
         };
         match (by.len(), self) {
@@ -275,7 +275,7 @@
         }
     }
 
-    fn end(&mut self, aborted: Option<Why>) {
+    fn end(&mut self, aborted: Option<AbortReason>) {
         let Some(run) = self.run.take() else { return };
         self.history.push_back(Past { fence: run.activation.fence, by: run.by, aborted });
         if self.history.len() > MAX_HISTORY {
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -124,7 +124,7 @@
     let mut armless = state.clone();
     finish(&mut armless, turn);
     refused(&mut armless, start(two(), true));
-    route(&mut state, routes::Entry::Abort { turn, why: routes::Why::Operator("o".into()) }).unwrap();
+    route(&mut state, routes::Entry::Abort { turn, why: routes::AbortReason::Operator("o".into()) }).unwrap();
     assert_eq!(take(&mut state, start(two(), true)), Ok(Applied::Started));
     let even = [served(50); 2];
     for entry in [
@@ -199,10 +199,10 @@
     let mut later = other.clone();
     finish(&mut later, turn);
     assert_eq!(to(&later), None, "an operator's later activation stays");
-    route(&mut other, routes::Entry::Abort { turn, why: routes::Why::Operator("o".into()) }).unwrap();
+    route(&mut other, routes::Entry::Abort { turn, why: routes::AbortReason::Operator("o".into()) }).unwrap();
     assert_eq!(to(&other), Some(made));
     let turn = begin(&mut other, made);
-    route(&mut other, routes::Entry::Abort { turn, why: routes::Why::Operator("o".into()) }).unwrap();
+    route(&mut other, routes::Entry::Abort { turn, why: routes::AbortReason::Operator("o".into()) }).unwrap();
     assert_eq!(to(&other), None, "it is begun once");
 }
 
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -448,7 +448,7 @@
     let life = MemberIncarnation { name: "m".repeat(64), incarnation: u64::MAX };
     let name = || "x".repeat(MAX_BYTES);
     let problem = TableError::RouteTwice { class: name(), tenant: Some(name()) };
-    let why = routes::Why::Refused(life, Refusal::Table { problem }.truncated());
+    let why = routes::AbortReason::Refused(life, Refusal::Table { problem }.truncated());
     Entry::Routes(routes::Entry::Abort { turn, why })
 }
 
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -10,7 +10,9 @@
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
-use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MAX_OPERATOR_NAME};
+use hopwalk::fleet::routes::record::{
+    AbortReason, Entry, RecordError, Stage, Stamp, State, MAX_OPERATOR_NAME,
+};
 use hopwalk::fleet::routes::table::{Known, Table, TableError, MAX_BYTES, MAX_RECORDED_NAME};
 use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pending, Refusal, Timing};
 use rand::rngs::Xoshiro256PlusPlus;
@@ -315,7 +317,7 @@
         fleet
     }
 
-    fn aborted(&self) -> Option<&Why> {
+    fn aborted(&self) -> Option<&AbortReason> {
         self.state.history().last().unwrap().aborted.as_ref()
     }
 }
@@ -398,7 +400,7 @@
     fleet.begin(2).unwrap();
     fleet.run(1500);
     assert!(
-        matches!(fleet.aborted(), Some(Why::Refused(life, Refusal::Connect { .. })) if life.name == "m3")
+        matches!(fleet.aborted(), Some(AbortReason::Refused(life, Refusal::Connect { .. })) if life.name == "m3")
     );
     fleet.refuses = None;
     fleet.begin(2).unwrap();
@@ -416,7 +418,7 @@
     fleet.nodes[3].slow = true;
     fleet.begin(2).unwrap();
     fleet.run(5000);
-    assert!(matches!(fleet.aborted(), Some(Why::Silent(life)) if life.name == "m3"));
+    assert!(matches!(fleet.aborted(), Some(AbortReason::Silent(life)) if life.name == "m3"));
     fleet.nodes[3].cut = true;
     fleet.begin(2).unwrap();
     fleet.run(6000);
@@ -577,7 +579,7 @@
             Entry::Propose { table: document(1), by: by(bytes) },
             Entry::Prepare { version: 1, by: by(bytes) },
             Entry::Rollback { by: by(bytes) },
-            Entry::Abort { turn: 1, why: Why::Operator(by(bytes)) },
+            Entry::Abort { turn: 1, why: AbortReason::Operator(by(bytes)) },
         ]
     };
     assert!(all(MAX_OPERATOR_NAME).iter().all(|entry| entry.bounded() == Ok(())));
