--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -46,7 +46,7 @@
         Some(_) => format!("`hopwalk fleet routes activate {made}`"),
         None => format!("propose the table anew, as version {made} is not kept any more, and activate that"),
     };
-    if let Some(run) = routes.run().filter(|run| its(run.activation.fence)) {
+    if let Some(run) = routes.open_activation().filter(|run| its(run.activation.fence)) {
         let mut document = told("on its way", "`hopwalk fleet routes show` says how far it is".into());
         document["turn"] = json!(run.activation.fence.turn);
         return document;
@@ -97,7 +97,7 @@
                     "acknowledged": g.acknowledged,
                 })
             };
-            let run = state.routes.run().map(|run| {
+            let run = state.routes.open_activation().map(|run| {
                 let mut on_its_way = activation(run.activation);
                 on_its_way["by"] = json!(run.by);
                 on_its_way["stage"] = match run.stage {
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -189,7 +189,8 @@
     use routes::{AbortReason, Entry as R};
     match entry {
         Entry::Routes(R::Prepare { by, .. } | R::Rollback { by }) => {
-            let run = state.routes.run().filter(|run| run.by == *by).map(|run| run.activation.fence);
+            let run =
+                state.routes.open_activation().filter(|run| run.by == *by).map(|run| run.activation.fence);
             let past = || state.routes.history().find(|past| past.by == *by).map(|past| past.fence);
             run.or_else(past).map(|fence| Applied::Routes(routes::Applied::Moved(fence.turn)))
         }
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -218,7 +218,7 @@
         if self.history.iter().any(|past| past.experiment.name == experiment.name) {
             return Err(RecordError::Known { name: experiment.name.clone() });
         }
-        if let Some(run) = routes.run() {
+        if let Some(run) = routes.open_activation() {
             let version = run.activation.fence.version;
             return Err(RecordError::Switching { version, by: run.by.clone() });
         }
@@ -285,7 +285,7 @@
     /// The version that a winner is to be switched to, for the leader to begin its activation now. None while another
     /// activation is on its way; and none any more once one of it was begun, or any other became active.
     pub fn to_activate(&self, routes: &routes::State) -> Option<Version> {
-        routes.made().filter(|_| routes.run().is_none())
+        routes.made().filter(|_| routes.open_activation().is_none())
     }
 }
 
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::lease::{GrantedLease, LeaseTable};
-use super::record::{AbortReason, Entry, Run, Stage, Stamp, State};
+use super::record::{AbortReason, Entry, OpenActivation, Stage, Stamp, State};
 use super::{
     Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
 };
@@ -99,7 +99,7 @@
             _ => {}
         }
         // The record shows a moment of a later term: this one is over, whoever has yet to say so.
-        let later = |term| matches!(state.run().map(|r| r.stage), Some(Stage::Committed(s)) if s.term > term);
+        let later = |term| matches!(state.open_activation().map(|r| r.stage), Some(Stage::Committed(s)) if s.term > term);
         self.on = self.on.take().filter(|on| !later(on.term));
         let pace = self.pace;
         let Some(on) = &mut self.on else { return effects };
@@ -131,7 +131,7 @@
     }
 
     /// From where on no lease may reach whose holder has not acknowledged: the recorded moment, or a proposed one.
-    fn barrier(&self, pace: Timing, run: Option<&Run>) -> Option<(Turn, Window)> {
+    fn barrier(&self, pace: Timing, run: Option<&OpenActivation>) -> Option<(Turn, Window)> {
         let run = run?;
         let turn = run.activation.fence.turn;
         if let Stage::Committed(stamp) = run.stage {
@@ -146,7 +146,7 @@
 
     fn drive(&mut self, now: Duration, pace: Timing, state: &State, effects: &mut Vec<Effect>) {
         self.book.remove_expired(now, pace.deadline * 4);
-        let Some(run) = state.run() else { return self.watch = None };
+        let Some(run) = state.open_activation() else { return self.watch = None };
         let turn = run.activation.fence.turn;
         let committed = run.stage != Stage::Preparing;
         let new = self.watch.as_ref().is_none_or(|w| w.turn != turn);
@@ -209,7 +209,7 @@
         ask: LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let run = state.run();
+        let run = state.open_activation();
         let barrier = self.barrier(pace, run);
         let Some(given) = self.book.entry(&ask.member) else { return };
         if ask.number <= given.number {
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -67,7 +67,7 @@
 
 /// The activation on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Run {
+pub struct OpenActivation {
     /// What.
     pub activation: Activation,
     /// Whose.
@@ -159,7 +159,7 @@
     last_turn: Turn,
     active: Option<Activation>,
     before: Option<Version>,
-    run: Option<Run>,
+    run: Option<OpenActivation>,
     history: VecDeque<Past>,
     /// Made by the fleet itself, of an experiment's winner, and not yet begun to be activated.
     made: Option<Version>,
@@ -263,11 +263,11 @@
         self.made = self.made.filter(|made| *made != version);
         self.last_turn += 1;
         let activation = Activation { fence: Fence { turn: self.last_turn, version }, hash: table.hash() };
-        self.run = Some(Run { activation, by: by.into(), stage: Stage::Preparing });
+        self.run = Some(OpenActivation { activation, by: by.into(), stage: Stage::Preparing });
         Ok(Applied::Moved(self.last_turn))
     }
 
-    fn preparing(&mut self, turn: Turn) -> Result<&mut Run, RecordError> {
+    fn preparing(&mut self, turn: Turn) -> Result<&mut OpenActivation, RecordError> {
         match self.run.as_mut().filter(|r| r.activation.fence.turn == turn) {
             Some(run) if run.stage == Stage::Preparing => Ok(run),
             Some(_) => Err(RecordError::TooLate { turn }),
@@ -301,7 +301,7 @@
     }
 
     /// What is on its way.
-    pub fn run(&self) -> Option<&Run> {
+    pub fn open_activation(&self) -> Option<&OpenActivation> {
         self.run.as_ref()
     }
 
--- a/src/lab/sim/fleet.rs
+++ b/src/lab/sim/fleet.rs
@@ -328,7 +328,7 @@
             return;
         };
         let (Some(term), Some((_, _, state))) = (life.inside.leads(), life.inside.decided()) else { return };
-        let preparing = state.routes.run().filter(|run| run.stage == Stage::Preparing);
+        let preparing = state.routes.open_activation().filter(|run| run.stage == Stage::Preparing);
         if let Some(turn) = preparing.map(|run| run.activation.fence.turn) {
             let at = Stamp { term, at: life.now() + std::time::Duration::from_millis(100) };
             life.within(|inside| inside.plant(Entry::Routes(Routes::Commit { turn, at })));
--- a/src/lab/sim/judge.rs
+++ b/src/lab/sim/judge.rs
@@ -65,7 +65,7 @@
         match self {
             Self::Version(version) => routes.table(*version).is_some(),
             Self::Turn(turn) => {
-                routes.run().is_some_and(|run| run.activation.fence.turn == *turn)
+                routes.open_activation().is_some_and(|run| run.activation.fence.turn == *turn)
                     || routes.history().any(|past| past.fence.turn == *turn)
             }
             Self::Started(name) => {
@@ -198,7 +198,7 @@
             machines.iter().filter(leads).max_by_key(|m| m.life.as_ref().and_then(|l| l.inside.leads()))?;
         let life = leader.life.as_ref().filter(|life| !life.stopped())?;
         let (_, _, state) = life.inside.decided()?;
-        let run = state.routes.run()?;
+        let run = state.routes.open_activation()?;
         let Stage::Committed(stamp) = run.stage else { return None };
         if self.leaders.get(&stamp.term) != Some(&(leader.host, life.incarnation)) {
             return None;
@@ -254,7 +254,7 @@
                 ));
             }
             if let Some((standing, _, state)) = life.inside.decided() {
-                if state.routes.run().is_some() {
+                if state.routes.open_activation().is_some() {
                     return Err((Rule::Heals, format!("an activation is open at {own}, {standing:?}")));
                 }
                 if let Some(lost) = self.told.iter().find(|told| !told.is_in(&state)) {
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -208,7 +208,7 @@
             }
         }
         if let Some((turn, Stage::Committed(stamp))) =
-            self.state.run().map(|r| (r.activation.fence.turn, r.stage))
+            self.state.open_activation().map(|r| (r.activation.fence.turn, r.stage))
         {
             // Before the moment: at it, who acknowledged has switched and waits for nothing any more.
             let left = stamp.at.saturating_sub(self.local(self.leads));
@@ -266,7 +266,7 @@
                 self.lead(at, leader::Input::Tick);
             }
             if self.fault == Fault::RashCommit {
-                if let Some(run) = self.state.run().filter(|r| r.stage == Stage::Preparing) {
+                if let Some(run) = self.state.open_activation().filter(|r| r.stage == Stage::Preparing) {
                     let (turn, term, at) =
                         (run.activation.fence.turn, self.term, self.local(self.leads) + ms(100));
                     let _ = self.apply(Entry::Commit { turn, at: Stamp { term, at } });
@@ -342,7 +342,7 @@
     let at = fleet.rng.random_range(0..N);
     fleet.elect(at);
     fleet.run(9000);
-    if fleet.broken.is_none() && fleet.state.run().is_some() {
+    if fleet.broken.is_none() && fleet.state.open_activation().is_some() {
         fleet.broken = Some("an activation did not end after the heal".into());
     }
     (fleet.broken, fleet.newest)
