--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -120,7 +120,7 @@
             })
         }
         DocumentKind::History => {
-            let past = |past: &routes::Past| {
+            let past = |past: &routes::EndedActivation| {
                 json!({
                     "turn": past.fence.turn,
                     "version": past.fence.version,
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -78,7 +78,7 @@
 
 /// How an activation ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct EndedActivation {
     /// What.
     pub fence: Fence,
     /// Whose.
@@ -160,7 +160,7 @@
     active: Option<Activation>,
     before: Option<Version>,
     run: Option<OpenActivation>,
-    history: VecDeque<Past>,
+    history: VecDeque<EndedActivation>,
     /// Made by the fleet itself, of an experiment's winner, and not yet begun to be activated.
     made: Option<Version>,
 }
@@ -277,7 +277,7 @@
 
     fn end(&mut self, aborted: Option<AbortReason>) {
         let Some(run) = self.run.take() else { return };
-        self.history.push_back(Past { fence: run.activation.fence, by: run.by, aborted });
+        self.history.push_back(EndedActivation { fence: run.activation.fence, by: run.by, aborted });
         if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
@@ -316,7 +316,7 @@
     }
 
     /// How activations ended, oldest first.
-    pub fn history(&self) -> impl Iterator<Item = &Past> {
+    pub fn history(&self) -> impl Iterator<Item = &EndedActivation> {
         self.history.iter()
     }
 }
