--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -34,7 +34,7 @@
 use super::metrics::Metrics;
 use super::record::disk::Disk;
 use super::routes::member::Member;
-use super::routes::table::Known;
+use super::routes::table::KnownNames;
 use super::routes::{MemberIncarnation, Timing};
 use super::routing::{Asked, Routing};
 use super::wire::net::{Net, Tcp};
@@ -56,7 +56,7 @@
     /// Where the record is kept, and the address of the own socket; nothing for a matcher that does not vote.
     pub keeps: Option<(PathBuf, SocketAddr)>,
     /// The classes and tenants of this matcher's settings.
-    pub known: Known,
+    pub known: KnownNames,
     /// A clock that runs wrong, for the lab.
     pub fault: Option<Fault>,
 }
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -23,7 +23,7 @@
 use crate::fleet::posture::{Ears, May};
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
-use crate::fleet::routes::table::{Hash, Known};
+use crate::fleet::routes::table::{Hash, KnownNames};
 use crate::fleet::routes::{Fence, LeaseRequest, Timing, Turn};
 use crate::fleet::routing::{Asked, Routing};
 use crate::fleet::wire::message::Running;
@@ -264,7 +264,7 @@
     }
 
     /// What its settings name.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &KnownNames {
         &self.options.known
     }
 
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -6,7 +6,7 @@
 
 use super::clock::{Clock, ClockError, Sample};
 use super::lease::HeldLease;
-use super::table::{Hash, Known, Table, TableError};
+use super::table::{Hash, KnownNames, Table, TableError};
 use super::{
     Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
     MAX_CLOCK_BOUND,
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     life: MemberIncarnation,
-    known: Known,
+    known: KnownNames,
     pace: Timing,
     term: u64,
     clock: Clock,
@@ -101,7 +101,7 @@
 
 impl Member {
     /// One that knows nothing yet; its first tick asks.
-    pub fn new(life: MemberIncarnation, known: Known, pace: Timing) -> Self {
+    pub fn new(life: MemberIncarnation, known: KnownNames, pace: Timing) -> Self {
         Self {
             life,
             known,
--- a/src/fleet/routes/table.rs
+++ b/src/fleet/routes/table.rs
@@ -177,7 +177,7 @@
 
 /// What a member's own settings name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownNames {
     /// The classes.
     pub classes: BTreeSet<String>,
     /// The tenants.
@@ -233,7 +233,7 @@
     }
 
     /// Checks the whole table against what a member knows; the first error.
-    pub fn check(&self, known: &Known) -> Result<(), TableError> {
+    pub fn check(&self, known: &KnownNames) -> Result<(), TableError> {
         let most = MAX_ENTRIES as u64;
         within(|| "pools".into(), self.pools.len() as u64, most)?;
         within(|| "routes".into(), self.routes.len() as u64, most)?;
@@ -263,7 +263,7 @@
         }
     }
 
-    fn check_route(&self, r: &Route, known: &Known) -> Result<(), TableError> {
+    fn check_route(&self, r: &Route, known: &KnownNames) -> Result<(), TableError> {
         if !known.classes.contains(&r.class) {
             return Err(TableError::UnknownClass { class: r.class.clone() });
         }
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -340,7 +340,7 @@
     use crate::fleet::experiment::counts::Cell;
     use crate::fleet::experiment::{self, Experiment};
     use crate::fleet::routes::member::{Effect, Input};
-    use crate::fleet::routes::table::Known;
+    use crate::fleet::routes::table::KnownNames;
     use crate::fleet::routes::{Activation, LeaseReply, MemberIncarnation, Timing};
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":3},{"address":"127.0.0.1:2","weight":1}],
@@ -351,7 +351,8 @@
           {"class":"look","tenant":"t","pool":"b","timeout_ms":50,"tries":1,"without":true}]}"#;
 
     fn routing() -> Routing {
-        let known = Known { classes: ["seat".into(), "look".into()].into(), tenants: ["t".into()].into() };
+        let known =
+            KnownNames { classes: ["seat".into(), "look".into()].into(), tenants: ["t".into()].into() };
         let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
         let member = Member::new(life, known, Timing::default());
         Routing::new(member, Clock::start(None), Metrics::new()).0
@@ -470,7 +471,7 @@
 
     #[test]
     fn orders_beyond_the_bound_are_turned_away_at_once() {
-        let known = Known::default();
+        let known = KnownNames::default();
         let member =
             Member::new(MemberIncarnation { name: "m1".into(), incarnation: 1 }, known, Timing::default());
         let (routing, asked) = Routing::new(member, Clock::start(None), Metrics::new());
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -19,7 +19,7 @@
 use crate::fleet::membership::view::{Id, Note, State, View};
 use crate::fleet::membership::{self, Input, Membership};
 use crate::fleet::record::disk;
-use crate::fleet::routes::table::Known;
+use crate::fleet::routes::table::KnownNames;
 use crate::fleet::routes::Fence;
 use crate::fleet::routing::{Call, Routed};
 use crate::lab::random::Random;
@@ -149,7 +149,7 @@
             fleet: "sim".into(),
             voters: (0..setup.voters).map(|host| (name(host), address(host))).collect(),
             keeps: votes.then(|| ("record".into(), address(self.host))),
-            known: Known { classes: ["seat".to_string()].into(), tenants: [].into() },
+            known: KnownNames { classes: ["seat".to_string()].into(), tenants: [].into() },
             fault: Some(fault),
         };
         let world = World {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet::membership::view::MOST_NAME;
 use crate::fleet::membership::MOST_SEEDS;
-use crate::fleet::routes::table::Known;
+use crate::fleet::routes::table::KnownNames;
 use crate::fleet::{driver, link};
 use crate::interface::{Class, Dependency, Preemption, Repeat, Settings, Signal, Tenant};
 
@@ -439,7 +439,7 @@
     pub fn routes(&self) -> Option<driver::Options> {
         let fleet = self.appliance.fleet.as_ref()?;
         let routes = fleet.routes.as_ref()?;
-        let known = Known {
+        let known = KnownNames {
             classes: self.site.class_names.iter().cloned().collect(),
             tenants: self.site.tenant_names.iter().cloned().collect(),
         };
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -11,7 +11,7 @@
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::Experiment;
 use hopwalk::fleet::routes::record::{Applied, Entry, RecordError};
-use hopwalk::fleet::routes::table::Known;
+use hopwalk::fleet::routes::table::KnownNames;
 use hopwalk::fleet::routes::{LeaseReply, LeaseRequest};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
 use hopwalk::fleet::wire::message::Running;
@@ -64,7 +64,7 @@
     fn driver(&self, at: usize) -> Driver {
         let name = format!("m{}", at + 1);
         let keeps = self.voters.get(at).map(|(_, listen)| (self.folder.join(&name), *listen));
-        let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
+        let known = KnownNames { classes: ["seat".to_string()].into(), tenants: [].into() };
         let (voters, fleet) = (self.voters.clone(), "test".into());
         Driver::start(Options { name, fleet, voters, keeps, known, fault: None }).unwrap()
     }
@@ -232,7 +232,7 @@
     // Guards against counts of an experiment that are begun anew, or dropped, by an answer that came late.
     let port = ReservedPort::any().unwrap();
     let (voters, keeps, fault) = (vec![("m1".to_string(), port.address())], None, None);
-    let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
+    let known = KnownNames { classes: ["seat".to_string()].into(), tenants: [].into() };
     let (name, fleet) = ("m2".into(), "test".to_string());
     let options = Options { name, fleet: fleet.clone(), voters, keeps, known, fault };
     let document = r#"{"name":"e","salt":[1,2],"arms":[{"name":"old","share":0.5},{"name":"new","share":0.5}],
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -13,7 +13,7 @@
 use hopwalk::fleet::routes::record::{
     AbortReason, Entry, RecordError, Stage, Stamp, State, MAX_OPERATOR_NAME,
 };
-use hopwalk::fleet::routes::table::{Known, Table, TableError, MAX_BYTES, MAX_RECORDED_NAME};
+use hopwalk::fleet::routes::table::{KnownNames, Table, TableError, MAX_BYTES, MAX_RECORDED_NAME};
 use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pending, Refusal, Timing};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -24,8 +24,8 @@
     Duration::from_millis(n)
 }
 
-fn known() -> Known {
-    Known { classes: ["seat".to_string()].into(), tenants: ["t".to_string()].into() }
+fn known() -> KnownNames {
+    KnownNames { classes: ["seat".to_string()].into(), tenants: ["t".to_string()].into() }
 }
 
 fn document(port: u16) -> String {
