--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -50,7 +50,7 @@
 
 /// A request, as far as its version goes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Request {
+pub struct CallRequest {
     /// When its last byte was read.
     pub read: Duration,
     /// What a call of it went out under, if one did.
@@ -61,7 +61,7 @@
 
 /// What becomes of its call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Route {
+pub enum CallDecision {
     /// Made now, with this fence.
     Go(Fence),
     /// It came inside the uncertainty, or is of the old version there: asked again then, on the own clock.
@@ -367,21 +367,21 @@
     /// What becomes of a request's call at `now`. Inside the uncertainty nothing goes out at all, so no two members act
     /// on different versions at one moment. A request of the old version whose first call would only begin after the
     /// switch goes by the new one: nothing of it has happened yet.
-    pub fn route(&self, now: Duration, request: Request) -> Route {
+    pub fn route(&self, now: Duration, request: CallRequest) -> CallDecision {
         if let Some(fence) = request.ran {
-            return Route::FromKey(fence);
+            return CallDecision::FromKey(fence);
         }
         if now < self.last || !self.ready(now) {
-            return Route::Barred;
+            return CallDecision::Barred;
         }
         let fence = match self.switch {
             Some((next, window)) if now >= window.high => next.fence,
-            Some((_, window)) if now >= window.low => return Route::Wait(window.high),
+            Some((_, window)) if now >= window.low => return CallDecision::Wait(window.high),
             _ => self.active.map_or(Fence::default(), |a| a.fence),
         };
         match request.tried {
-            Some(tried) if tried.turn != fence.turn => Route::Ended(tried),
-            _ => Route::Go(fence),
+            Some(tried) if tried.turn != fence.turn => CallDecision::Ended(tried),
+            _ => CallDecision::Go(fence),
         }
     }
 }
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -17,7 +17,7 @@
 use super::experiment::counter::Counter;
 use super::experiment::counts::Kind;
 use super::metrics::Metrics;
-use super::routes::member::{Member, Request, Route};
+use super::routes::member::{CallDecision, CallRequest, Member};
 use super::routes::table::{self, Table};
 use super::routes::{Fence, Version};
 
@@ -259,11 +259,11 @@
     pub fn route(&self, call: &Call) -> Routed {
         let mut held = self.held();
         let now = self.0.clock.now();
-        let routed = match held.member.route(now, Request { read: now, tried: call.tried, ran: None }) {
-            Route::Go(fence) => held.go(fence, call, &self.0.clock),
-            Route::Wait(at) => Routed::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
-            Route::Ended(fence) => Routed::Ended(fence),
-            Route::FromKey(_) | Route::Barred => Routed::Barred,
+        let routed = match held.member.route(now, CallRequest { read: now, tried: call.tried, ran: None }) {
+            CallDecision::Go(fence) => held.go(fence, call, &self.0.clock),
+            CallDecision::Wait(at) => Routed::Wait(Instant::now() + self.0.clock.until(at).max(LOOK)),
+            CallDecision::Ended(fence) => Routed::Ended(fence),
+            CallDecision::FromKey(_) | CallDecision::Barred => Routed::Barred,
         };
         if routed == Routed::Barred {
             self.0.metrics.barred.inc();
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -9,7 +9,7 @@
 use hopwalk::fleet::posture::{Ears, Posture, HEARD_PERIODS};
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
-use hopwalk::fleet::routes::member::{self, Member, Request, Route};
+use hopwalk::fleet::routes::member::{self, CallDecision, CallRequest, Member};
 use hopwalk::fleet::routes::record::{
     AbortReason, Entry, RecordError, Stage, Stamp, State, MAX_OPERATOR_NAME,
 };
@@ -201,8 +201,8 @@
         let mut turns = Vec::new();
         for at in (0..N).filter(|at| self.now >= self.nodes[*at].paused_until) {
             let now = self.local(at);
-            if let Route::Go(fence) =
-                self.nodes[at].member.route(now, Request { read: now, ..Request::default() })
+            if let CallDecision::Go(fence) =
+                self.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
             {
                 turns.push((fence.turn, at));
             }
@@ -375,22 +375,22 @@
     let mut fleet = Fleet::new(7, Fault::None);
     let route = |fleet: &Fleet, at: usize| {
         let now = fleet.local(at);
-        fleet.nodes[at].member.route(now, Request { read: now, ..Request::default() })
+        fleet.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
     };
-    assert_eq!(route(&fleet, 1), Route::Barred, "no word of a leader yet");
+    assert_eq!(route(&fleet, 1), CallDecision::Barred, "no word of a leader yet");
     fleet.run(1500);
-    assert!((0..N).all(|at| route(&fleet, at) == Route::Go(Fence::default())));
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(Fence::default())));
     fleet.begin(1).unwrap();
     fleet.run(4000);
     let first = Fence { turn: 1, version: 1 };
-    assert!((0..N).all(|at| route(&fleet, at) == Route::Go(first)));
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(first)));
     let member = &fleet.nodes[0].member;
     assert!(member.table_under(first).is_some() && member.table_under(Fence::default()).is_none());
     // Without a leader the lease lapses.
     fleet.nodes.iter_mut().for_each(|n| n.cut = true);
     fleet.nodes[fleet.leads].paused_until = u64::MAX;
     fleet.run(2500);
-    assert_eq!((route(&fleet, 1), fleet.broken), (Route::Barred, None));
+    assert_eq!((route(&fleet, 1), fleet.broken), (CallDecision::Barred, None));
 }
 
 #[test]
@@ -453,15 +453,15 @@
     }
     let member = fleet.nodes[2].member.clone();
     let window = member.lease_and_switch().1.unwrap().1;
-    let route = |now, tried| member.route(now, Request { read: now, tried, ran: None });
-    let Route::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
-    assert_eq!(route(window.low, None), Route::Wait(window.high));
+    let route = |now, tried| member.route(now, CallRequest { read: now, tried, ran: None });
+    let CallDecision::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
+    assert_eq!(route(window.low, None), CallDecision::Wait(window.high));
     assert!(window.bound() <= ms(6) && window.bound() > Duration::ZERO);
     fleet.run(3000);
     let (now, member) = (fleet.local(2), &fleet.nodes[2].member);
-    let request = Request { read: now, tried: Some(old), ran: None };
-    assert_eq!(member.route(now, request), Route::Ended(old), "tried under the old version");
-    assert_eq!(member.route(now, Request { ran: Some(old), ..request }), Route::FromKey(old));
+    let request = CallRequest { read: now, tried: Some(old), ran: None };
+    assert_eq!(member.route(now, request), CallDecision::Ended(old), "tried under the old version");
+    assert_eq!(member.route(now, CallRequest { ran: Some(old), ..request }), CallDecision::FromKey(old));
 }
 
 #[test]
