--- a/src/fleet/driver/inside.rs
+++ b/src/fleet/driver/inside.rs
@@ -11,7 +11,7 @@
 use crate::fleet::decided::{Entry, State};
 use crate::fleet::record::{Record, Standing};
 use crate::fleet::routes::lease::HeldLease;
-use crate::fleet::routes::{MemberIncarnation, Turn, Window};
+use crate::fleet::routes::{MemberIncarnation, TimeWindow, Turn};
 use crate::fleet::routing::Routing;
 
 /// One process's part, seen from inside.
@@ -53,7 +53,7 @@
     }
 
     /// The lease, and the moment of a switch that it knows.
-    pub fn promises(&self) -> (HeldLease, Option<(Turn, Window)>) {
+    pub fn promises(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
         self.part.routing.held().member.lease_and_switch()
     }
 
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -13,7 +13,7 @@
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::record as routes;
-use crate::fleet::routes::{LeaseRequest, MemberIncarnation, Timing, Turn, Window};
+use crate::fleet::routes::{LeaseRequest, MemberIncarnation, TimeWindow, Timing, Turn};
 
 /// A member that did not ask for this long is not waited for at the end of a block.
 const SEEN: Duration = Duration::from_secs(10);
@@ -58,7 +58,12 @@
     }
 
     /// Takes up where the record stands; `window` is where its own member's clock has the moment of a committed run.
-    pub fn follow(&mut self, at: &Now, standing: &Standing, window: Option<(Turn, Window)>) -> Vec<Effect> {
+    pub fn follow(
+        &mut self,
+        at: &Now,
+        standing: &Standing,
+        window: Option<(Turn, TimeWindow)>,
+    ) -> Vec<Effect> {
         let input = match (standing.leads, self.term) {
             (true, Some(term)) if term == standing.term => return Vec::new(),
             (true, _) => Input::Elected { term: standing.term, window },
--- a/src/fleet/routes/clock.rs
+++ b/src/fleet/routes/clock.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::{drift, Window, MAX_CLOCK_BOUND};
+use super::{drift, TimeWindow, MAX_CLOCK_BOUND};
 
 /// Samples that are kept.
 pub const MAX_SAMPLES: usize = 8;
@@ -124,10 +124,10 @@
     }
 
     /// A moment that lies in `theirs` on the leader's clock, on the own one; with the drift from `now` until then.
-    pub fn to_own_clock(&self, now: Duration, theirs: Window) -> Result<Window, ClockError> {
+    pub fn to_own_clock(&self, now: Duration, theirs: TimeWindow) -> Result<TimeWindow, ClockError> {
         let offset = self.offset(now)?;
         let (low, high) = (nanos(theirs.low) - offset.high, nanos(theirs.high) - offset.low);
         let away = |at: i64| nanos(drift(Duration::from_nanos(at.abs_diff(nanos(now)))));
-        Ok(Window { low: time(low - away(low)), high: time(high + away(high)) })
+        Ok(TimeWindow { low: time(low - away(low)), high: time(high + away(high)) })
     }
 }
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -6,7 +6,7 @@
 use super::lease::{GrantedLease, LeaseTable};
 use super::record::{AbortReason, Entry, OpenActivation, Stage, Stamp, State};
 use super::{
-    Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
+    Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, TimeWindow, Timing, Turn,
 };
 
 /// An entry that the record did not take is proposed again after this long.
@@ -22,7 +22,7 @@
 pub enum Input {
     /// It leads, and the record is applied up to an entry of this term. The window is where its own member's clock, which
     /// is the fleet's time from now on, has the moment of the committed run; nothing if it does not know.
-    Elected { term: u64, window: Option<(Turn, Window)> },
+    Elected { term: u64, window: Option<(Turn, TimeWindow)> },
     /// A majority of the voters answered what was sent to them at `sent`.
     Confirmed { sent: Duration },
     /// It leads no more.
@@ -62,7 +62,7 @@
     elected: Duration,
     confirmed: Duration,
     book: LeaseTable,
-    window: Option<(Turn, Window)>,
+    window: Option<(Turn, TimeWindow)>,
     watch: Option<Watch>,
 }
 
@@ -122,16 +122,16 @@
     }
 
     /// Where the moment of a committed run is on the own clock; `None` while that is not known and not surely past.
-    fn moment(&self, pace: Timing, turn: Turn, stamp: Stamp) -> Window {
+    fn moment(&self, pace: Timing, turn: Turn, stamp: Stamp) -> TimeWindow {
         if stamp.term == self.term {
-            return Window { low: stamp.at, high: stamp.at };
+            return TimeWindow { low: stamp.at, high: stamp.at };
         }
         let known = self.window.filter(|(t, _)| *t == turn).map(|(_, w)| w);
-        known.unwrap_or(Window { low: Duration::ZERO, high: self.floor(pace) })
+        known.unwrap_or(TimeWindow { low: Duration::ZERO, high: self.floor(pace) })
     }
 
     /// From where on no lease may reach whose holder has not acknowledged: the recorded moment, or a proposed one.
-    fn barrier(&self, pace: Timing, run: Option<&OpenActivation>) -> Option<(Turn, Window)> {
+    fn barrier(&self, pace: Timing, run: Option<&OpenActivation>) -> Option<(Turn, TimeWindow)> {
         let run = run?;
         let turn = run.activation.fence.turn;
         if let Stage::Committed(stamp) = run.stage {
@@ -139,7 +139,7 @@
         }
         let watch = self.watch.as_ref().filter(|w| w.turn == turn)?;
         match &watch.proposed {
-            Some((Entry::Commit { at, .. }, _)) => Some((turn, Window { low: at.at, high: at.at })),
+            Some((Entry::Commit { at, .. }, _)) => Some((turn, TimeWindow { low: at.at, high: at.at })),
             _ => None,
         }
     }
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -8,8 +8,8 @@
 use super::lease::HeldLease;
 use super::table::{Hash, KnownNames, Table, TableError};
 use super::{
-    Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, Timing, Turn, Window,
-    MAX_CLOCK_BOUND,
+    Activation, Fence, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, TimeWindow, Timing,
+    Turn, MAX_CLOCK_BOUND,
 };
 
 /// Asks whose replies are still taken.
@@ -84,7 +84,7 @@
     clock: Clock,
     lease: HeldLease,
     active: Option<Activation>,
-    switch: Option<(Activation, Window)>,
+    switch: Option<(Activation, TimeWindow)>,
     wanted: Option<Activation>,
     /// The tables that were fetched, and for which turn their connections were opened last.
     tables: BTreeMap<Hash, (Table, Option<Turn>)>,
@@ -355,7 +355,7 @@
     }
 
     /// Its lease and the moment it waits for, for the leader's part of the same process and for operators.
-    pub fn lease_and_switch(&self) -> (HeldLease, Option<(Turn, Window)>) {
+    pub fn lease_and_switch(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
         (self.lease, self.switch.map(|(next, window)| (next.fence.turn, window)))
     }
 
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -75,14 +75,14 @@
 
 /// A moment that is known to lie in a stretch of a clock, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Window {
+pub struct TimeWindow {
     /// Not before.
     pub low: Duration,
     /// Not after.
     pub high: Duration,
 }
 
-impl Window {
+impl TimeWindow {
     /// Half its width: the clock's bound.
     pub fn bound(&self) -> Duration {
         self.high.saturating_sub(self.low) / 2
@@ -204,5 +204,5 @@
     /// Fetch and check the table, and say so.
     Prepare(Activation),
     /// Switch to it at a moment in this stretch of the leader's clock.
-    Commit(Activation, Window),
+    Commit(Activation, TimeWindow),
 }
