--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -27,7 +27,7 @@
 use crate::fleet::routes::{Fence, LeaseRequest, Timing, Turn};
 use crate::fleet::routing::{Asked, Routing};
 use crate::fleet::wire::message::Running;
-use crate::fleet::wire::{Client, Local, Pushed, Request, Response};
+use crate::fleet::wire::{Client, LocalEnd, Pushed, Request, Response};
 
 /// Orders that are carried out at once.
 const MOST_ORDERS: usize = 16;
@@ -60,7 +60,7 @@
 /// What the tasks of the thread share.
 pub struct Part {
     pub(super) options: Options,
-    pub(super) local: Local,
+    pub(super) local: LocalEnd,
     pub(super) clock: Clock,
     pub(super) disk: Disk,
     /// Whom the membership heard.
@@ -97,7 +97,7 @@
     ) -> (Arc<Self>, mpsc::Receiver<Pushed>) {
         let World { clock, net, disk, answers } = world;
         let counters = metrics.links.clone();
-        let local = Local { net, counters, ..Local::new(&*options.fleet, &*options.name) };
+        let local = LocalEnd { net, counters, ..LocalEnd::new(&*options.fleet, &*options.name) };
         let (pushes, pushed) = mpsc::channel(MOST_PUSHES);
         let client = |(name, address): &(String, SocketAddr)| {
             (name.clone(), Client::start(local.clone(), name, *address, Some(pushes.clone())))
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -25,7 +25,7 @@
 use crate::fleet::routes::table::{Hash, Table};
 use crate::fleet::routes::{LeaseReply, LeaseRequest};
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
-use crate::fleet::wire::{Caller, Push, Request, Response, ResponseFuture, Server};
+use crate::fleet::wire::{Push, Request, RequestOrigin, Response, ResponseFuture, Server};
 
 /// The leader's part looks at the time this often.
 const TICK: Duration = Duration::from_millis(20);
@@ -108,7 +108,7 @@
     listen: SocketAddr,
 ) -> Result<Arc<Voter>, Box<dyn Diagnostic + Send + Sync>> {
     let answers = part.clone();
-    let handler = move |from: Arc<Caller>, request: Request| -> ResponseFuture {
+    let handler = move |from: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
         let part = answers.clone();
         Box::pin(async move {
             let voter = lock(&part.voter).clone();
--- a/src/fleet/wire/client.rs
+++ b/src/fleet/wire/client.rs
@@ -16,7 +16,8 @@
 use super::message::{Push, ReceivedFrame, Request, Response, ServerFrame};
 use super::net::{Halves, Read, Write};
 use super::{
-    Counters, Local, WireError, MAX_IN_FLIGHT, OPENING_TIMEOUT, RECONNECT_DELAY, STALL_TIMEOUT, WRITE_TIMEOUT,
+    Counters, LocalEnd, WireError, MAX_IN_FLIGHT, OPENING_TIMEOUT, RECONNECT_DELAY, STALL_TIMEOUT,
+    WRITE_TIMEOUT,
 };
 
 /// Bytes that are read at once.
@@ -57,7 +58,7 @@
     /// To the member `peer` at `address`; pushes go into `pushes`, and are dropped while that is full. Call it within a
     /// tokio runtime. Nothing is connected before something is asked.
     pub fn start(
-        local: Local,
+        local: LocalEnd,
         peer: &str,
         address: SocketAddr,
         pushes: Option<mpsc::Sender<Pushed>>,
@@ -107,7 +108,7 @@
 }
 
 struct Task {
-    local: Local,
+    local: LocalEnd,
     peer: String,
     address: SocketAddr,
     pushes: Option<mpsc::Sender<Pushed>>,
--- a/src/fleet/wire/mod.rs
+++ b/src/fleet/wire/mod.rs
@@ -30,7 +30,7 @@
 pub use codec::FrameError;
 pub use message::{Push, Request, Response};
 use net::{Net, Tcp};
-pub use server::{Caller, Handler, ResponseFuture, Server};
+pub use server::{Handler, RequestOrigin, ResponseFuture, Server};
 
 /// Requests in flight on one link, at either end.
 pub const MAX_IN_FLIGHT: usize = 32;
@@ -174,7 +174,7 @@
 
 /// This end of its links.
 #[derive(Clone, Debug)]
-pub struct Local {
+pub struct LocalEnd {
     /// The fleet's name; a peer of another one is foreign.
     pub fleet: String,
     /// This member's name.
@@ -185,7 +185,7 @@
     pub net: Arc<dyn Net>,
 }
 
-impl Local {
+impl LocalEnd {
     /// With counters of its own, over TCP.
     pub fn new(fleet: impl Into<String>, name: impl Into<String>) -> Self {
         Self { fleet: fleet.into(), name: name.into(), counters: Arc::default(), net: Arc::new(Tcp) }
--- a/src/fleet/wire/server.rs
+++ b/src/fleet/wire/server.rs
@@ -18,7 +18,7 @@
 use super::message::{Push, Request, Response, ServerFrame};
 use super::net::{Halves, Listener, Read, Write};
 use super::{
-    Counters, Local, WireError, IDLE_TIMEOUT, MAX_IN_FLIGHT, MAX_LINKS, OPENING_TIMEOUT, WRITE_TIMEOUT,
+    Counters, LocalEnd, WireError, IDLE_TIMEOUT, MAX_IN_FLIGHT, MAX_LINKS, OPENING_TIMEOUT, WRITE_TIMEOUT,
 };
 
 /// Answers and pushes that wait to be written on one link.
@@ -28,7 +28,7 @@
 
 /// Who asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Caller {
+pub struct RequestOrigin {
     /// The name that its opening said.
     pub name: String,
     /// The number of its link.
@@ -41,14 +41,14 @@
 /// What answers requests; several at once.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request, in less than [`super::STALL_TIMEOUT`].
-    fn answer(&self, from: Arc<Caller>, request: Request) -> ResponseFuture;
+    fn answer(&self, from: Arc<RequestOrigin>, request: Request) -> ResponseFuture;
 }
 
 impl<F> Handler for F
 where
-    F: Fn(Arc<Caller>, Request) -> ResponseFuture + Send + Sync + 'static,
+    F: Fn(Arc<RequestOrigin>, Request) -> ResponseFuture + Send + Sync + 'static,
 {
-    fn answer(&self, from: Arc<Caller>, request: Request) -> ResponseFuture {
+    fn answer(&self, from: Arc<RequestOrigin>, request: Request) -> ResponseFuture {
         self(from, request)
     }
 }
@@ -59,7 +59,7 @@
 }
 
 struct Shared {
-    local: Local,
+    local: LocalEnd,
     handler: Box<dyn Handler>,
     links: Mutex<BTreeMap<u64, Link>>,
 }
@@ -82,13 +82,17 @@
     ///
     /// # Errors
     /// [`WireError::Listen`].
-    pub async fn start(listen: SocketAddr, local: Local, handler: impl Handler) -> Result<Self, WireError> {
+    pub async fn start(
+        listen: SocketAddr,
+        local: LocalEnd,
+        handler: impl Handler,
+    ) -> Result<Self, WireError> {
         let wrong = |error: std::io::Error| WireError::Listen { address: listen, kind: error.kind() };
         let listener = local.net.listen(listen).await.map_err(wrong)?;
         Self::over(listener, local, handler).map_err(wrong)
     }
 
-    fn over(listener: Box<dyn Listener>, local: Local, handler: impl Handler) -> std::io::Result<Self> {
+    fn over(listener: Box<dyn Listener>, local: LocalEnd, handler: impl Handler) -> std::io::Result<Self> {
         let address = listener.address()?;
         let shared = Arc::new(Shared { local, handler: Box::new(handler), links: Mutex::default() });
         let task = tokio::spawn(accept(listener, shared.clone())).abort_handle();
@@ -175,7 +179,7 @@
             let entry = Link { name: name.clone(), out: out.clone() };
             shared.links.lock().unwrap_or_else(PoisonError::into_inner).insert(number, entry);
             let _listed = Listed(&shared, number);
-            let caller = Arc::new(Caller { name, link: number });
+            let caller = Arc::new(RequestOrigin { name, link: number });
             tokio::select! {
                 end = answer(read, decoder, caller, &shared, out) => end,
                 end = put(write, queue, &shared.local.counters) => end,
@@ -194,7 +198,7 @@
     }
 }
 
-async fn open(stream: Halves, local: &Local) -> Result<(Read, Write, Decoder, String), End> {
+async fn open(stream: Halves, local: &LocalEnd) -> Result<(Read, Write, Decoder, String), End> {
     let (mut read, mut write) = stream;
     let (mut decoder, mut bytes) = (Decoder::new(MAX_OPENING), vec![0; MAX_OPENING]);
     let theirs = loop {
@@ -225,7 +229,7 @@
 async fn answer(
     mut read: Read,
     mut decoder: Decoder,
-    caller: Arc<Caller>,
+    caller: Arc<RequestOrigin>,
     shared: &Shared,
     out: mpsc::Sender<Vec<u8>>,
 ) -> End {
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -15,7 +15,7 @@
 use hopwalk::fleet::routes::{LeaseReply, LeaseRequest};
 use hopwalk::fleet::routing::{Call, Order, OrderError, Routed, Way};
 use hopwalk::fleet::wire::message::Running;
-use hopwalk::fleet::wire::{Caller, Client, Local, Request, Response, ResponseFuture, Server};
+use hopwalk::fleet::wire::{Client, LocalEnd, Request, RequestOrigin, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use hopwalk::lab::stand_in::wait_until;
 use serde_json::Value;
@@ -215,7 +215,7 @@
     let prepare = Entry::Prepare { version: 1, by: "anna at m2, number 1".into() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let answers = runtime.block_on(async {
-        let client = Client::start(Local::new("test", "m2"), &name, address, None);
+        let client = Client::start(LocalEnd::new("test", "m2"), &name, address, None);
         let request = Request::Submit(decided::Entry::Routes(prepare));
         let submit = || client.request(&request, PATIENCE);
         // The disk is slower than the link: the second one comes while the first one is written.
@@ -249,7 +249,7 @@
         let reply = LeaseReply { number: ask.number, term: 1, time, lease, active: None, pending: None };
         Response::Reply { reply: Box::new(reply), running }
     };
-    let handler = move |_: std::sync::Arc<Caller>, request: Request| -> ResponseFuture {
+    let handler = move |_: std::sync::Arc<RequestOrigin>, request: Request| -> ResponseFuture {
         let (said, running) = (said.clone(), running.clone());
         Box::pin(async move {
             let (first, reports, late) = &*said;
@@ -272,7 +272,8 @@
         })
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let server = runtime.block_on(Server::start(port.address(), Local::new(&*fleet, "m1"), handler)).unwrap();
+    let server =
+        runtime.block_on(Server::start(port.address(), LocalEnd::new(&*fleet, "m1"), handler)).unwrap();
     let driver = Driver::start(options).unwrap();
     let reports = || heard.1.load(Ordering::SeqCst);
     assert!(wait_until(PATIENCE, || heard.2.load(Ordering::SeqCst) == 1), "the first ask is answered");
--- a/tests/later.rs
+++ b/tests/later.rs
@@ -11,7 +11,7 @@
 use hopwalk::fleet::wire::message::{DocumentKind, Hello, ReceivedFrame, ServerFrame};
 use hopwalk::fleet::wire::raft::{RaftRefusal, RaftRequest, RaftResponse};
 use hopwalk::fleet::wire::{
-    Caller, Client, FrameError, Local, Push, Request, Response, ResponseFuture, Server,
+    Client, FrameError, LocalEnd, Push, Request, RequestOrigin, Response, ResponseFuture, Server,
 };
 use hopwalk::fleet::wire::{WireError, RECONNECT_DELAY};
 use openraft::raft::VoteRequest;
@@ -166,8 +166,8 @@
 #[test]
 fn a_server_refuses_what_a_later_client_asks_and_goes_on_on_the_same_link() {
     run(async {
-        let local = Local::new("f", "s");
-        let handler = |from: Arc<Caller>, request: Request| -> ResponseFuture {
+        let local = LocalEnd::new("f", "s");
+        let handler = |from: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
             assert!(matches!(request, Request::Hello), "{request:?} came through");
             Box::pin(async move { Response::Hello(Hello { node: Some(from.link), ..Hello::default() }) })
         };
@@ -224,7 +224,7 @@
             }
         });
         let (pushes, mut pushed) = mpsc::channel(4);
-        let local = Local::new("f", "c");
+        let local = LocalEnd::new("f", "c");
         let client = Client::start(local.clone(), "s", address, Some(pushes));
         // What is not known costs the asker its answer at once, not the link and not its patience.
         let unread = loop {
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -19,7 +19,7 @@
 use hopwalk::fleet::routes::{MemberIncarnation, Refusal};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
-use hopwalk::fleet::wire::{Caller, Client, Local, Request, Response, ResponseFuture, Server};
+use hopwalk::fleet::wire::{Client, LocalEnd, Request, RequestOrigin, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use miette::Diagnostic;
 
@@ -119,13 +119,14 @@
 
     async fn start(&mut self, name: &'static str) -> &Voter {
         let clients = self.addresses.iter().filter(|(n, _)| n != name);
-        let clients =
-            clients.map(|(n, at)| (n.clone(), Client::start(Local::new("f", name), n, *at, None))).collect();
+        let clients = clients
+            .map(|(n, at)| (n.clone(), Client::start(LocalEnd::new("f", name), n, *at, None)))
+            .collect();
         let mut options = Options::new("f", name, self.base.join(name), self.addresses.clone());
         (options.heartbeat, options.election, options.entries) = (ms(100), self.election, self.entries);
         let record = Record::open(options, clients).await.unwrap();
         let (served, vote_delay) = (record.clone(), self.vote_delay);
-        let handler = move |_: Arc<Caller>, request: Request| -> ResponseFuture {
+        let handler = move |_: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
             let record = served.clone();
             Box::pin(async move {
                 match request {
@@ -141,7 +142,7 @@
             })
         };
         let address = self.addresses.iter().find(|(n, _)| n == name).unwrap().1;
-        let server = Server::start(address, Local::new("f", name), handler).await.unwrap();
+        let server = Server::start(address, LocalEnd::new("f", name), handler).await.unwrap();
         self.voters.insert(name, Voter { record, server });
         &self.voters[name]
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -10,7 +10,7 @@
 use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAGIC, MAX_FRAME};
 use hopwalk::fleet::wire::message::{Hello, ServerFrame};
 use hopwalk::fleet::wire::{
-    Caller, Client, FrameError, Local, Push, Request, Response, ResponseFuture, Server, WireError,
+    Client, FrameError, LocalEnd, Push, Request, RequestOrigin, Response, ResponseFuture, Server, WireError,
     MAX_IN_FLIGHT, RECONNECT_DELAY,
 };
 use proptest::prelude::*;
@@ -114,7 +114,7 @@
 }
 
 /// Answers `Hello` with the number of its link, `Submit`-like `Admit` never, and `DocumentKind` with more than a frame holds.
-fn handler(from: Arc<Caller>, request: Request) -> ResponseFuture {
+fn handler(from: Arc<RequestOrigin>, request: Request) -> ResponseFuture {
     Box::pin(async move {
         match request {
             Request::Hello => Response::Hello(Hello {
@@ -154,10 +154,10 @@
 #[test]
 fn a_link_carries_many_at_once_and_opens_again() {
     run(async {
-        let server = Server::start(any_loopback(), Local::new("f", "s"), handler).await.unwrap();
+        let server = Server::start(any_loopback(), LocalEnd::new("f", "s"), handler).await.unwrap();
         let address = server.address();
         let (pushes, mut pushed) = mpsc::channel(4);
-        let client = Client::start(Local::new("f", "c"), "s", address, Some(pushes));
+        let client = Client::start(LocalEnd::new("f", "c"), "s", address, Some(pushes));
         let (link, name) = hello(&client).await.unwrap();
         assert_eq!(name, "c");
         assert_eq!((server.push(Some("c"), Push::Nudge), server.push(Some("d"), Push::Nudge)), (1, 0));
@@ -191,7 +191,7 @@
                 other => panic!("{other:?}"),
             }
         }
-        let _server = Server::start(address, Local::new("f", "s"), handler).await.unwrap();
+        let _server = Server::start(address, LocalEnd::new("f", "s"), handler).await.unwrap();
         while hello(&client).await.is_err() {
             tokio::task::yield_now().await;
         }
@@ -201,7 +201,7 @@
 #[test]
 fn both_ends_count_the_same_frames_and_bytes() {
     run(async {
-        let (near, far) = (Local::new("f", "c"), Local::new("f", "s"));
+        let (near, far) = (LocalEnd::new("f", "c"), LocalEnd::new("f", "s"));
         let server = Server::start(any_loopback(), far.clone(), handler).await.unwrap();
         let (pushes, mut pushed) = mpsc::channel(4);
         let client = Client::start(near.clone(), "s", server.address(), Some(pushes));
@@ -227,15 +227,15 @@
 #[test]
 fn foreign_peers_are_told_and_counted() {
     run(async {
-        let local = Local::new("f", "s");
+        let local = LocalEnd::new("f", "s");
         let server = Server::start(any_loopback(), local.clone(), handler).await.unwrap();
-        let other = Client::start(Local::new("g", "c"), "s", server.address(), None);
+        let other = Client::start(LocalEnd::new("g", "c"), "s", server.address(), None);
         let error = FrameError::Fleet { theirs: "f".into() };
         assert_eq!(hello(&other).await, Err(WireError::Frame { peer: "s".into(), error }));
         while local.counters.foreign.load(Ordering::Relaxed) == 0 {
             tokio::task::yield_now().await;
         }
-        let other = Client::start(Local::new("f", "c"), "t", server.address(), None);
+        let other = Client::start(LocalEnd::new("f", "c"), "t", server.address(), None);
         let error = FrameError::Name { theirs: "s".into() };
         assert_eq!(hello(&other).await, Err(WireError::Frame { peer: "t".into(), error }));
         // Another program, one that says too much, and one that is no message after a right opening.
@@ -266,7 +266,7 @@
             let now = counts();
             assert_eq!([0, 1, 2].map(|i| now[i] - before[i]), counted, "{bytes:?}");
         }
-        let client = Client::start(Local::new("f", "c"), "s", server.address(), None);
+        let client = Client::start(LocalEnd::new("f", "c"), "s", server.address(), None);
         assert!(hello(&client).await.is_ok());
     });
 }
@@ -284,19 +284,19 @@
                 kept.push(stream);
             }
         });
-        let local = Local::new("f", "c");
+        let local = LocalEnd::new("f", "c");
         let client = Client::start(local.clone(), "s", address, None);
         let asking = tokio::spawn(async move { opened(&client, &Request::Hello).await });
 
         // A client that asks, and never reads: another one is answered all the while, and the link ends.
-        let deaf = Local::new("f", "s");
-        let big = |from: Arc<Caller>, _| -> ResponseFuture {
+        let deaf = LocalEnd::new("f", "s");
+        let big = |from: Arc<RequestOrigin>, _| -> ResponseFuture {
             let length = if from.name == "d" { MAX_FRAME / 4 } else { 1 };
             Box::pin(async move { Response::Document("x".repeat(length)) })
         };
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let server = Server::start(any_loopback(), deaf.clone(), big).await.unwrap();
-        let other = Local::new("f", "e");
+        let other = LocalEnd::new("f", "e");
         let client = Client::start(other.clone(), "s", server.address(), None);
         let answered = opened(&client, &Request::Hello).await;
         assert!(matches!(answered, Ok(Response::Document(_))), "{answered:?}");
