--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -242,7 +242,7 @@
 
     fn ask(number: u64) -> LeaseRequest {
         let life = MemberIncarnation { name: "m9".into(), incarnation: 1 };
-        LeaseRequest { member: life, number, heard: number - 1, answer: None, acknowledged: None }
+        LeaseRequest { member: life, number, last_reply: number - 1, answer: None, acknowledged: None }
     }
 
     fn lease(effects: &[Effect]) -> Option<Duration> {
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -215,8 +215,8 @@
         if ask.number <= given.number {
             return;
         }
-        if given.number == 0 || ask.heard > given.heard.0 {
-            given.heard = (ask.heard, now);
+        if given.number == 0 || ask.last_reply > given.heard.0 {
+            given.heard = (ask.last_reply, now);
         }
         given.number = ask.number;
         given.acknowledged = ask.acknowledged;
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -177,7 +177,13 @@
         }
         let (answer, acknowledged) = (self.answer(now), self.acknowledged());
         let (life, number, heard) = (self.life.clone(), self.number, self.heard);
-        effects.push(Effect::Ask(LeaseRequest { member: life, number, heard, answer, acknowledged }));
+        effects.push(Effect::Ask(LeaseRequest {
+            member: life,
+            number,
+            last_reply: heard,
+            answer,
+            acknowledged,
+        }));
     }
 
     /// What is in force, on its way, or about to be.
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -174,7 +174,7 @@
     /// Grows with each ask of this life.
     pub number: u64,
     /// The newest of its asks that it had a reply to, 0 for none: who is heard and hears nothing gets no lease.
-    pub heard: u64,
+    pub last_reply: u64,
     /// Its answer to a prepare: prepared with this clock bound, or refused.
     pub answer: Option<(Turn, Result<Duration, Refusal>)>,
     /// The commit whose moment it knows and has a table for. Not said any more once it lost either.
