--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -56,7 +56,7 @@
         document["turn"] = json!(active.fence.turn);
         return document;
     }
-    if routes.made() == Some(made) {
+    if routes.experiment_winner() == Some(made) {
         return told("waits", "it begins once the activation that is on its way has ended".into());
     }
     let begun = routes.history().filter(|past| its(past.fence)).skip_while(|past| past.by != WINNER);
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -285,7 +285,7 @@
     /// The version that a winner is to be switched to, for the leader to begin its activation now. None while another
     /// activation is on its way; and none any more once one of it was begun, or any other became active.
     pub fn to_activate(&self, routes: &routes::State) -> Option<Version> {
-        routes.made().filter(|_| routes.open_activation().is_none())
+        routes.experiment_winner().filter(|_| routes.open_activation().is_none())
     }
 }
 
--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -243,7 +243,7 @@
     }
 
     /// What [`State::make`] marked, and is still to be activated.
-    pub fn made(&self) -> Option<Version> {
+    pub fn experiment_winner(&self) -> Option<Version> {
         self.made
     }
 
