--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -61,7 +61,7 @@
     pub fault: Option<Fault>,
 }
 
-/// AbortReason the driver did not start.
+/// Why the driver did not start.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum DriverError {
     /// No thread, or no runtime on it.
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// AbortReason an answer of another kind than the order's is none to it.
+/// Why an answer of another kind than the order's is none to it.
 fn unlike(answer: &Response, patience: Duration) -> OrderError {
     match answer {
         Response::Unknown => OrderError::Unknown,
