--- a/src/fleet/routes/clock.rs
+++ b/src/fleet/routes/clock.rs
@@ -1,5 +1,6 @@
-//! The leader's clock as a member knows it: an offset between two bounds, from round trips (Cristian, "Probabilistic clock
-//! synchronization", 1989), several of them intersected (Marzullo, 1984) with the drift since each.
+//! A member's estimate of the leader's clock: an offset between two bounds, measured by round trips (Cristian,
+//! "Probabilistic clock synchronization", 1989). Several measurements are intersected (Marzullo, 1984), each widened by
+//! the drift since it was taken.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,59 +11,63 @@
 
 use super::{drift, TimeWindow, MAX_CLOCK_BOUND};
 
-/// Samples that are kept.
+/// The number of samples that are kept.
 pub const MAX_SAMPLES: usize = 8;
 
-/// AbortReason the fleet's time is not known.
+/// Why the leader's clock is not known, or not precisely enough.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 pub enum ClockError {
-    /// Nothing came from this leader yet.
+    /// This leader has sent no reply yet.
     #[error("the leader has not answered yet")]
-    #[diagnostic(help("wait for a leader; `hopwalk fleet status` shows whom this member hears"))]
+    #[diagnostic(help(
+        "wait for a leader; `hopwalk fleet status` shows from which members this one receives messages"
+    ))]
     NoSample,
     /// The bound is wider than [`MAX_CLOCK_BOUND`].
-    #[error("the bound is {} us, over {} us", bound.as_micros(), MAX_CLOCK_BOUND.as_micros())]
-    #[diagnostic(help("round trips to the leader take too long: look for load or loss on the way"))]
+    #[error("the clock bound is {} us, over the limit of {} us", bound.as_micros(), MAX_CLOCK_BOUND.as_micros())]
+    #[diagnostic(help(
+        "round trips to the leader take too long: check the network to it for load and loss"
+    ))]
     Wide {
         /// The bound.
         bound: Duration,
     },
-    /// No offset fits all samples: a clock was stepped, or runs faster or slower than the stated drift.
+    /// No offset fits all samples: a clock was stepped, or drifts faster than [`DRIFT_PPM`](super::DRIFT_PPM).
     #[error("the samples of the leader's clock contradict each other")]
     #[diagnostic(help(
-        "this machine's or the leader's clock runs wrong: check its time source, and restart the member"
+        "the clock of this machine or of the leader is wrong: check its time source, and restart the member"
     ))]
     Disagree,
-    /// An answer came before its question.
+    /// A reply was received before its request was sent.
     #[error("this member's clock went backwards")]
     #[diagnostic(help(
-        "the machine's monotonic clock is broken: take the member out, and restart the machine"
+        "the machine's monotonic clock is broken: take the member out of service, and restart the machine"
     ))]
     Backwards,
 }
 
-/// One round trip.
+/// The times of one round trip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// When the ask was sent, on the own clock.
+    /// When the request was sent, on the member's clock.
     pub sent: Duration,
-    /// When the reply came.
+    /// When the reply was received, on the member's clock.
     pub received: Duration,
-    /// The leader's clock, read somewhere between the two.
+    /// The leader's clock, read at some moment between the two.
     pub theirs: Duration,
 }
 
-/// The leader's clock less the own one, in nanoseconds, both ends included.
+/// The leader's clock minus the member's, in nanoseconds, as an interval with both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offset {
-    /// Not less.
+    /// The lowest possible value.
     pub low: i64,
-    /// Not more.
+    /// The highest possible value.
     pub high: i64,
 }
 
 impl Offset {
-    /// Half its width.
+    /// Returns half its width.
     pub fn bound(&self) -> Duration {
         Duration::from_nanos(self.high.abs_diff(self.low) / 2)
     }
@@ -76,14 +81,14 @@
     Duration::from_nanos(nanos.max(0) as u64)
 }
 
-/// What a member knows of one leader's clock. A new leader has another clock: [`Clock::default`] again.
+/// A member's estimate of one leader's clock. A new leader has another clock and needs a new [`Clock::default`].
 #[derive(Clone, Debug, Default)]
 pub struct Clock {
     samples: VecDeque<Sample>,
 }
 
 impl Clock {
-    /// Takes a round trip; refused if it ran backwards.
+    /// Adds a round trip; fails if the member's clock went backwards during it.
     pub fn add_sample(&mut self, sample: Sample) -> Result<(), ClockError> {
         if sample.received < sample.sent {
             return Err(ClockError::Backwards);
@@ -95,12 +100,12 @@
         Ok(())
     }
 
-    /// How many samples are kept.
+    /// Returns the number of samples.
     pub fn samples(&self) -> usize {
         self.samples.len()
     }
 
-    /// The offset at `now`: what all samples allow, each widened by the drift since it was sent.
+    /// Returns the offset at `now`: the intersection of all samples, each widened by the drift since it was sent.
     pub fn offset(&self, now: Duration) -> Result<Offset, ClockError> {
         let each = self.samples.iter().map(|s| {
             let slack = nanos(drift(now.saturating_sub(s.sent)));
@@ -114,7 +119,7 @@
         Ok(Offset { low, high })
     }
 
-    /// The bound at `now`, if it is narrow enough to be prepared with.
+    /// Returns the bound at `now`, if it is narrow enough to accept a prepare.
     pub fn usable_bound(&self, now: Duration) -> Result<Duration, ClockError> {
         let bound = self.offset(now)?.bound();
         if bound > MAX_CLOCK_BOUND {
@@ -123,7 +128,8 @@
         Ok(bound)
     }
 
-    /// A moment that lies in `theirs` on the leader's clock, on the own one; with the drift from `now` until then.
+    /// Converts a moment that lies in `theirs` on the leader's clock to the member's clock, widened by the drift
+    /// between `now` and that moment.
     pub fn to_own_clock(&self, now: Duration, theirs: TimeWindow) -> Result<TimeWindow, ClockError> {
         let offset = self.offset(now)?;
         let (low, high) = (nanos(theirs.low) - offset.high, nanos(theirs.high) - offset.low);
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -1,5 +1,6 @@
-//! The leader's part: it grants leases, and brings what the record holds to its end. It keeps nothing that a new leader
-//! would miss: that one starts from the record, and waits out what it cannot know.
+//! The leader's part: [`Leader`] grants leases and brings the open activation of the record to its end. It keeps no
+//! state that a new leader would need: a new leader starts from the record, and waits until the leases that it cannot
+//! know of have ended.
 
 use std::time::Duration;
 
@@ -9,230 +10,242 @@
     Activation, LeaseReply, LeaseRequest, MemberIncarnation, Pending, Refusal, TimeWindow, Timing, Turn,
 };
 
-/// An entry that the record did not take is proposed again after this long.
-const AGAIN: Duration = Duration::from_millis(500);
+/// The time after which an entry that the record has not applied is proposed again.
+const PROPOSE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// So many asks of a member that had no reply, by their time: it hears nothing, and a lease that it does not know of would
-/// only keep the others from going on.
-const DEAF_ASKS: u32 = 5;
+/// A member without a reply for the time of so many requests gets no lease: it receives nothing, and a lease that it
+/// does not know of would only delay the activation for all others.
+const MAX_UNANSWERED: u32 = 5;
 
-/// What happens to a leader.
+/// An event that the leader processes.
 #[derive(Clone, Debug)]
 #[allow(missing_docs)]
 pub enum Input {
-    /// It leads, and the record is applied up to an entry of this term. The window is where its own member's clock, which
-    /// is the fleet's time from now on, has the moment of the committed run; nothing if it does not know.
+    /// This process leads, and its record is applied up to an entry of this term. The window is where the clock of
+    /// its own member, which is the fleet's time from now on, has the moment of the committed activation; `None` if
+    /// unknown.
     Elected { term: u64, window: Option<(Turn, TimeWindow)> },
     /// A majority of the voters answered what was sent to them at `sent`.
     Confirmed { sent: Duration },
-    /// It leads no more.
+    /// This process no longer leads.
     Deposed,
-    /// A member asks.
+    /// A member requests a lease.
     Ask(LeaseRequest),
-    /// Time passed, or the record moved.
+    /// Time has passed, or the record has changed.
     Tick,
 }
 
-/// What a step asks for.
+/// An action that a step requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send this to the member that asked.
+    /// Send this reply to the member that sent the request.
     Reply(MemberIncarnation, LeaseReply),
-    /// Tell a member to ask at once.
+    /// Make this member send a lease request at once.
     Nudge(MemberIncarnation),
-    /// Put this into the log.
+    /// Append this entry to the log.
     Propose(Entry),
 }
 
-/// What it knows of the activation on its way.
+/// What the leader knows of the open activation.
 #[derive(Clone, Debug)]
-struct Watch {
+struct Progress {
     turn: Turn,
     began: Duration,
     committed: bool,
     refused: Option<(MemberIncarnation, Refusal)>,
-    /// Its commit, or abort, and when it was last proposed.
+    /// The commit or abort that was proposed, and when it was last proposed.
     proposed: Option<(Entry, Duration)>,
-    done: Option<Duration>,
+    done_proposed: Option<Duration>,
 }
 
+/// The state of one term in which this process leads.
 #[derive(Clone, Debug)]
-struct On {
+struct Leadership {
     term: u64,
     elected: Duration,
     confirmed: Duration,
-    book: LeaseTable,
+    leases: LeaseTable,
     window: Option<(Turn, TimeWindow)>,
-    watch: Option<Watch>,
+    progress: Option<Progress>,
 }
 
-/// One member as the leader, or as none.
+/// The leader's part of one process, which may lead or not.
 #[derive(Clone, Debug)]
 pub struct Leader {
-    pace: Timing,
-    on: Option<On>,
+    timing: Timing,
+    leadership: Option<Leadership>,
 }
 
 impl Leader {
-    /// It does not lead.
-    pub fn new(pace: Timing) -> Self {
-        Self { pace, on: None }
+    /// Creates a part that does not lead.
+    pub fn new(timing: Timing) -> Self {
+        Self { timing, leadership: None }
     }
 
-    /// What it knows of the leases of each life; nothing where it does not lead.
+    /// Returns what it knows of the lease of each incarnation; nothing if it does not lead.
     pub fn granted_leases(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
-        self.on.iter().flat_map(|on| on.book.iter())
+        self.leadership.iter().flat_map(|leadership| leadership.leases.iter())
     }
 
-    /// Takes what happened at `now` on this process's monotonic clock, with the record as it is applied here.
+    /// Processes an event at `now` on this process's monotonic clock, with the record as it is applied here.
     pub fn step(&mut self, now: Duration, state: &State, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         match &input {
             Input::Elected { term, window } => {
                 let (term, window) = (*term, *window);
-                // Nothing is granted before a majority confirmed: the step may come long after the election.
+                // No lease is granted before a majority confirmed: this step may come long after the election.
                 let (elected, confirmed) = (now, Duration::ZERO);
-                self.on =
-                    Some(On { term, elected, confirmed, book: LeaseTable::default(), window, watch: None });
+                self.leadership = Some(Leadership {
+                    term,
+                    elected,
+                    confirmed,
+                    leases: LeaseTable::default(),
+                    window,
+                    progress: None,
+                });
             }
-            Input::Deposed => self.on = None,
+            Input::Deposed => self.leadership = None,
             _ => {}
         }
-        // The record shows a moment of a later term: this one is over, whoever has yet to say so.
-        let later = |term| matches!(state.open_activation().map(|r| r.stage), Some(Stage::Committed(s)) if s.term > term);
-        self.on = self.on.take().filter(|on| !later(on.term));
-        let pace = self.pace;
-        let Some(on) = &mut self.on else { return effects };
+        // The record holds a commit of a later term, so this term has ended, whether or not it was deposed yet.
+        let is_later = |term| matches!(state.open_activation().map(|r| r.stage), Some(Stage::Committed(s)) if s.term > term);
+        self.leadership = self.leadership.take().filter(|leadership| !is_later(leadership.term));
+        let timing = self.timing;
+        let Some(leadership) = &mut self.leadership else { return effects };
         if let Input::Confirmed { sent } = &input {
-            on.confirmed = on.confirmed.max(*sent);
+            leadership.confirmed = leadership.confirmed.max(*sent);
         }
-        on.drive(now, pace, state, &mut effects);
-        if let Input::Ask(ask) = input {
-            on.ask(now, pace, state, ask, &mut effects);
-            on.drive(now, pace, state, &mut effects);
+        leadership.advance(now, timing, state, &mut effects);
+        if let Input::Ask(request) = input {
+            leadership.answer_request(now, timing, state, request, &mut effects);
+            leadership.advance(now, timing, state, &mut effects);
         }
         effects
     }
 }
 
-impl On {
-    /// Every lease of an earlier leader, and every moment that it recorded, is past from here on.
-    fn floor(&self, pace: Timing) -> Duration {
-        self.elected + pace.wait_out()
+impl Leadership {
+    /// Returns when every lease of an earlier leader has ended and every moment that it recorded is past.
+    fn predecessors_end(&self, timing: Timing) -> Duration {
+        self.elected + timing.wait_out()
     }
 
-    /// Where the moment of a committed run is on the own clock; `None` while that is not known and not surely past.
-    fn moment(&self, pace: Timing, turn: Turn, stamp: Stamp) -> TimeWindow {
+    /// Returns where the moment of a committed activation lies on the own clock: from zero until it is certainly past
+    /// if that is not known.
+    fn moment(&self, timing: Timing, turn: Turn, stamp: Stamp) -> TimeWindow {
         if stamp.term == self.term {
             return TimeWindow { low: stamp.at, high: stamp.at };
         }
         let known = self.window.filter(|(t, _)| *t == turn).map(|(_, w)| w);
-        known.unwrap_or(TimeWindow { low: Duration::ZERO, high: self.floor(pace) })
+        known.unwrap_or(TimeWindow { low: Duration::ZERO, high: self.predecessors_end(timing) })
     }
 
-    /// From where on no lease may reach whose holder has not acknowledged: the recorded moment, or a proposed one.
-    fn barrier(&self, pace: Timing, run: Option<&OpenActivation>) -> Option<(Turn, TimeWindow)> {
+    /// Returns the moment beyond which no lease may last whose holder has not acknowledged the commit: the recorded
+    /// moment, or a proposed one.
+    fn barrier(&self, timing: Timing, run: Option<&OpenActivation>) -> Option<(Turn, TimeWindow)> {
         let run = run?;
         let turn = run.activation.fence.turn;
         if let Stage::Committed(stamp) = run.stage {
-            return Some((turn, self.moment(pace, turn, stamp)));
+            return Some((turn, self.moment(timing, turn, stamp)));
         }
-        let watch = self.watch.as_ref().filter(|w| w.turn == turn)?;
-        match &watch.proposed {
+        let progress = self.progress.as_ref().filter(|p| p.turn == turn)?;
+        match &progress.proposed {
             Some((Entry::Commit { at, .. }, _)) => Some((turn, TimeWindow { low: at.at, high: at.at })),
             _ => None,
         }
     }
 
-    fn drive(&mut self, now: Duration, pace: Timing, state: &State, effects: &mut Vec<Effect>) {
-        self.book.remove_expired(now, pace.deadline * 4);
-        let Some(run) = state.open_activation() else { return self.watch = None };
+    fn advance(&mut self, now: Duration, timing: Timing, state: &State, effects: &mut Vec<Effect>) {
+        self.leases.remove_expired(now, timing.deadline * 4);
+        let Some(run) = state.open_activation() else { return self.progress = None };
         let turn = run.activation.fence.turn;
         let committed = run.stage != Stage::Preparing;
-        let new = self.watch.as_ref().is_none_or(|w| w.turn != turn);
+        let new = self.progress.as_ref().is_none_or(|p| p.turn != turn);
         if new {
-            let (refused, proposed, done) = (None, None, None);
-            self.watch = Some(Watch { turn, began: now, committed, refused, proposed, done });
+            let (refused, proposed, done_proposed) = (None, None, None);
+            self.progress = Some(Progress { turn, began: now, committed, refused, proposed, done_proposed });
         }
-        let floor = self.floor(pace);
-        let barrier = self.barrier(pace, Some(run));
-        let Some(watch) = &mut self.watch else { return };
-        if new || committed != watch.committed {
-            watch.committed = committed;
-            effects.extend(self.book.iter().map(|(life, _)| Effect::Nudge(life.clone())));
+        let predecessors_end = self.predecessors_end(timing);
+        let barrier = self.barrier(timing, Some(run));
+        let Some(progress) = &mut self.progress else { return };
+        if new || committed != progress.committed {
+            progress.committed = committed;
+            effects.extend(self.leases.iter().map(|(member, _)| Effect::Nudge(member.clone())));
         }
         if committed {
             let past = barrier.is_some_and(|(_, moment)| now >= moment.high);
-            if past && watch.done.is_none_or(|at| now >= at + AGAIN) {
-                watch.done = Some(now);
+            if past && progress.done_proposed.is_none_or(|at| now >= at + PROPOSE_INTERVAL) {
+                progress.done_proposed = Some(now);
                 effects.push(Effect::Propose(Entry::Done { turn }));
             }
             return;
         }
-        if let Some((entry, at)) = &mut watch.proposed {
-            // Once a commit was proposed nothing else is: it may be in the log already.
-            if now >= *at + AGAIN {
+        if let Some((entry, at)) = &mut progress.proposed {
+            // After a commit was proposed nothing else is proposed: the commit may be in the log already.
+            if now >= *at + PROPOSE_INTERVAL {
                 *at = now;
                 effects.push(Effect::Propose(entry.clone()));
             }
             return;
         }
-        let entry = if let Some((life, refusal)) = watch.refused.take() {
-            Entry::Abort { turn, why: AbortReason::Refused(life, refusal) }
+        let entry = if let Some((member, refusal)) = progress.refused.take() {
+            Entry::Abort { turn, why: AbortReason::Refused(member, refusal) }
         } else {
-            // Leases that an earlier leader granted are not in the book.
-            if now + pace.lead < floor {
+            // Leases that an earlier leader granted are not in this table.
+            if now + timing.lead < predecessors_end {
                 return;
             }
             let prepared = |g: &GrantedLease| g.prepared == Some(turn);
-            let ends = self.book.iter().filter(|(_, g)| prepared(g)).map(|(_, g)| g.end);
-            let at = ends.chain([now + pace.lead, floor]).max().unwrap_or(floor);
-            let over = now >= watch.began + pace.deadline;
-            let silent = |g: &GrantedLease| !prepared(g) && g.end > if over { at } else { now };
-            match self.book.iter().find(|(_, g)| silent(g)) {
-                None if self.book.iter().any(|(_, g)| prepared(g)) => {
+            let ends = self.leases.iter().filter(|(_, g)| prepared(g)).map(|(_, g)| g.end);
+            let at = ends.chain([now + timing.lead, predecessors_end]).max().unwrap_or(predecessors_end);
+            let is_overdue = now >= progress.began + timing.deadline;
+            let is_silent = |g: &GrantedLease| !prepared(g) && g.end > if is_overdue { at } else { now };
+            match self.leases.iter().find(|(_, g)| is_silent(g)) {
+                None if self.leases.iter().any(|(_, g)| prepared(g)) => {
                     Entry::Commit { turn, at: Stamp { term: self.term, at } }
                 }
-                Some((life, _)) if over => Entry::Abort { turn, why: AbortReason::Silent(life.clone()) },
+                Some((member, _)) if is_overdue => {
+                    Entry::Abort { turn, why: AbortReason::Silent(member.clone()) }
+                }
                 _ => return,
             }
         };
-        watch.proposed = Some((entry.clone(), now));
+        progress.proposed = Some((entry.clone(), now));
         effects.push(Effect::Propose(entry));
     }
 
-    fn ask(
+    fn answer_request(
         &mut self,
         now: Duration,
-        pace: Timing,
+        timing: Timing,
         state: &State,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
         let run = state.open_activation();
-        let barrier = self.barrier(pace, run);
-        let Some(given) = self.book.entry(&ask.member) else { return };
-        if ask.number <= given.number {
+        let barrier = self.barrier(timing, run);
+        let Some(granted) = self.leases.entry(&request.member) else { return };
+        if request.number <= granted.number {
             return;
         }
-        if given.number == 0 || ask.last_reply > given.heard.0 {
-            given.heard = (ask.last_reply, now);
+        if granted.number == 0 || request.last_reply > granted.last_reply.0 {
+            granted.last_reply = (request.last_reply, now);
         }
-        given.number = ask.number;
-        given.acknowledged = ask.acknowledged;
-        given.prepared = None;
+        granted.number = request.number;
+        granted.acknowledged = request.acknowledged;
+        granted.prepared = None;
         let turn = run.map(|r| r.activation.fence.turn);
-        if let Some((answered, answer)) = ask.answer.filter(|(answered, _)| Some(*answered) == turn) {
-            match (answer, &mut self.watch) {
-                (Ok(_), _) => given.prepared = Some(answered),
-                (Err(refusal), Some(watch)) => {
-                    watch.refused = Some((ask.member.clone(), refusal.truncated()))
+        if let Some((answered, answer)) = request.answer.filter(|(answered, _)| Some(*answered) == turn) {
+            match (answer, &mut self.progress) {
+                (Ok(_), _) => granted.prepared = Some(answered),
+                (Err(refusal), Some(progress)) => {
+                    progress.refused = Some((request.member.clone(), refusal.truncated()))
                 }
                 _ => {}
             }
         }
-        let mut length = pace.lease.min((self.confirmed + pace.lease).saturating_sub(now));
-        if now >= given.heard.1 + pace.ask * DEAF_ASKS {
+        let mut length = timing.lease.min((self.confirmed + timing.lease).saturating_sub(now));
+        if now >= granted.last_reply.1 + timing.ask * MAX_UNANSWERED {
             length = Duration::ZERO;
         }
         let (mut active, mut pending): (Option<Activation>, _) = (state.active(), None);
@@ -242,7 +255,7 @@
                 if committed && now >= moment.high {
                     active = Some(run.activation);
                 } else {
-                    if given.acknowledged != Some(turn) || !committed {
+                    if granted.acknowledged != Some(turn) || !committed {
                         length = length.min(moment.low.saturating_sub(now));
                     }
                     let known = moment.low > Duration::ZERO;
@@ -251,19 +264,19 @@
             }
             (Some(run), None) => {
                 pending = Some(Pending::Prepare(run.activation));
-                let began = self.watch.as_ref().map_or(now, |w| w.began);
-                if given.prepared.is_some() {
-                    length = length.min(pace.lead);
-                } else if given.end <= began || given.number == 1 {
-                    // Who comes during a prepare does not stop it.
-                    length = length.min((began + pace.deadline + pace.lead).saturating_sub(now));
+                let began = self.progress.as_ref().map_or(now, |p| p.began);
+                if granted.prepared.is_some() {
+                    length = length.min(timing.lead);
+                } else if granted.end <= began || granted.number == 1 {
+                    // A member that joins during a prepare does not delay it.
+                    length = length.min((began + timing.deadline + timing.lead).saturating_sub(now));
                 }
             }
             _ => {}
         }
-        given.end = given.end.max(now + length);
+        granted.end = granted.end.max(now + length);
         let reply =
-            LeaseReply { number: ask.number, term: self.term, time: now, lease: length, active, pending };
-        effects.push(Effect::Reply(ask.member, reply));
+            LeaseReply { number: request.number, term: self.term, time: now, lease: length, active, pending };
+        effects.push(Effect::Reply(request.member, reply));
     }
 }
--- a/src/fleet/routes/lease.rs
+++ b/src/fleet/routes/lease.rs
@@ -1,83 +1,84 @@
 //! The route lease: the right to act on the version in force until a moment on the holder's monotonic clock (Gray and
-//! Cheriton, "Leases", 1989). Both sides of it, so that their bounds are read side by side.
+//! Cheriton, "Leases", 1989). The module contains the holder's side ([`HeldLease`]) and the leader's side
+//! ([`LeaseTable`]), so that their bounds can be compared.
 //!
-//! A lease runs from when the ask was *sent* on the holder's clock, shortened by twice the drift; the leader counts it
-//! from when the ask *came* on its own clock, in full. The ask came after it was sent, so the holder's lease always ends
-//! first, by whatever the way took.
+//! The holder counts a lease from when its request was *sent*, on its own clock, shortened by twice the drift. The
+//! leader counts it from when the request was *received*, on its own clock, in full. A request is received after it was
+//! sent, so the holder's lease always ends first, by the time of the transfer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::{drift, MemberIncarnation, Turn};
 
-/// A lease as its holder has it.
+/// A lease as its holder knows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldLease {
     until: Duration,
 }
 
 impl HeldLease {
-    /// Takes a grant of `length` for an ask sent at `sent`; an earlier one that lasts longer stays.
+    /// Extends the lease by a grant of `length` for a request sent at `sent`; a lease that lasts longer stays.
     pub fn extend(&mut self, sent: Duration, length: Duration) {
         self.until = self.until.max(sent + length.saturating_sub(drift(length) * 2));
     }
 
-    /// Gives it up.
+    /// Ends the lease at once.
     pub fn release(&mut self) {
         self.until = Duration::ZERO;
     }
 
-    /// Whether it may be acted on at `now`.
+    /// Returns whether the lease is valid at `now`.
     pub fn holds(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// The moment from which on it does not hold; zero if there was none.
+    /// Returns the moment at which the lease ends; zero if there was none.
     pub fn until(&self) -> Duration {
         self.until
     }
 }
 
-/// What the leader knows of one life.
+/// What the leader knows of one incarnation of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GrantedLease {
-    /// On the leader's clock its lease has ended by then.
+    /// The moment on the leader's clock by which its lease has ended.
     pub end: Duration,
-    /// The newest ask that was taken.
+    /// The number of the newest request that was processed.
     pub number: u64,
-    /// The newest ask that it had a reply to, and when that was first said.
-    pub heard: (u64, Duration),
-    /// The prepare that it said yes to.
+    /// The newest request that it reports to have a reply to, and when it first reported that.
+    pub last_reply: (u64, Duration),
+    /// The turn that it reports to be prepared for.
     pub prepared: Option<Turn>,
-    /// The commit that it knows.
+    /// The turn whose commit it acknowledged.
     pub acknowledged: Option<Turn>,
 }
 
-/// The leases that a leader granted.
+/// The leases that a leader has granted.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
-    given: BTreeMap<MemberIncarnation, GrantedLease>,
+    granted: BTreeMap<MemberIncarnation, GrantedLease>,
 }
 
 impl LeaseTable {
-    /// Lives that are remembered at most; others get no lease.
-    pub const MOST: usize = 8192;
+    /// The highest number of incarnations that are remembered; others get no lease.
+    pub const MAX: usize = 8192;
 
-    /// The entry of a life, made if there is room.
-    pub fn entry(&mut self, life: &MemberIncarnation) -> Option<&mut GrantedLease> {
-        if self.given.len() >= Self::MOST && !self.given.contains_key(life) {
+    /// Returns the entry of an incarnation, which is created if there is room.
+    pub fn entry(&mut self, member: &MemberIncarnation) -> Option<&mut GrantedLease> {
+        if self.granted.len() >= Self::MAX && !self.granted.contains_key(member) {
             return None;
         }
-        Some(self.given.entry(life.clone()).or_default())
+        Some(self.granted.entry(member.clone()).or_default())
     }
 
-    /// All of them.
+    /// Returns all entries.
     pub fn iter(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
-        self.given.iter()
+        self.granted.iter()
     }
 
-    /// Forgets lives whose lease ended before `now` by more than `keep`.
-    pub fn remove_expired(&mut self, now: Duration, keep: Duration) {
-        self.given.retain(|_, g| g.end + keep > now);
+    /// Forgets the incarnations whose lease ended before `now` by more than `keep`.
+    pub fn remove_expired(&mut self, now: Duration, retention: Duration) {
+        self.granted.retain(|_, g| g.end + retention > now);
     }
 }
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -1,4 +1,5 @@
-//! A member's part: it asks for its lease, prepares tables, and says which version a request belongs to.
+//! A member's part: [`Member`] requests its lease, prepares tables, and decides under which version a request's call is
+//! sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,100 +13,103 @@
     Turn, MAX_CLOCK_BOUND,
 };
 
-/// Asks whose replies are still taken.
-const MOST_ASKS: usize = 16;
-/// More asks than these without a reply are a gap.
-const GAP: u64 = 2;
-/// A wide clock bound is refused with only after so many samples of a leader: the first may have been late by chance, on a
-/// busy machine several. At an ask each 200 ms that is 2 s, within the deadline of a prepare.
-const FAIR_SAMPLES: usize = 10;
+/// The number of the newest requests whose replies are processed.
+const MAX_OPEN_REQUESTS: usize = 16;
+/// After more consecutive requests without a reply than these, the member sends another one with the next reply.
+const MAX_REPLY_GAP: u64 = 2;
+/// The number of samples of a leader's clock from which on a wide bound makes the member refuse a prepare: the first
+/// sample may have been delayed by chance, on a busy machine several. With a request every 200 ms that is 2 s, less
+/// than the deadline of a prepare.
+const MIN_SAMPLES_TO_REFUSE: usize = 10;
 
-/// What happens to a member.
+/// An event that the member processes.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// The leader wants to be asked, or there is a new one.
+    /// The leader wants a lease request, or there is a new leader.
     Nudge,
     /// The leader replied.
     Reply(LeaseReply),
-    /// A table came, in whatever form.
+    /// A document was fetched for this hash. It has not been checked.
     Fetched(Hash, String),
-    /// The connections to a table's pools were opened for a turn, or one address could not be reached.
+    /// The connections to a table's pools were opened for a turn, or one address was unreachable.
     Opened(Turn, Hash, Result<(), SocketAddr>),
 }
 
-/// What a step asks for.
+/// An action that a step requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send this to the leader.
     Ask(LeaseRequest),
-    /// Fetch a table.
+    /// Fetch the table with this hash.
     Fetch(Hash),
     /// Open connections to the pools of this table, for this turn.
     Open(Turn, Hash),
-    /// This is in force here from now on.
+    /// This activation is in force here from now on.
     Switched(Fence),
 }
 
-/// A request, as far as its version goes.
+/// What decides under which version a request's call is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallRequest {
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub read: Duration,
-    /// What a call of it went out under, if one did.
+    /// The fence under which a call of the request was sent, if one was.
     pub tried: Option<Fence>,
-    /// What its key ran under, if it did.
+    /// The fence under which the request's key was run, if it was.
     pub ran: Option<Fence>,
 }
 
-/// What becomes of its call.
+/// What a member decides of a request's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallDecision {
-    /// Made now, with this fence.
+    /// The call is made now, with this fence.
     Go(Fence),
-    /// It came inside the uncertainty, or is of the old version there: asked again then, on the own clock.
+    /// `now` is inside the uncertainty of the switch: decide again at this moment of the member's clock.
     Wait(Duration),
-    /// Answered from its key, which ran under this.
+    /// The request is answered from its key, which was run under this fence.
     FromKey(Fence),
-    /// A call of it went out under this older version: it ends as failed, and is not tried under another.
+    /// A call of the request was sent under this older fence: the request fails, and is not tried under another one.
     Ended(Fence),
-    /// No lease, or no table: left out where the class allows that, else turned away at once.
+    /// The member has no lease or no table: the call is left out if the class allows it, otherwise the request is
+    /// refused at once.
     Barred,
 }
 
-/// One member.
+/// The member's part of one process.
 #[derive(Clone, Debug)]
 pub struct Member {
-    life: MemberIncarnation,
+    identity: MemberIncarnation,
     known: KnownNames,
-    pace: Timing,
+    timing: Timing,
     term: u64,
     clock: Clock,
     lease: HeldLease,
     active: Option<Activation>,
     switch: Option<(Activation, TimeWindow)>,
+    /// The activation that the leader last asked to prepare or commit.
     wanted: Option<Activation>,
-    /// The tables that were fetched, and for which turn their connections were opened last.
+    /// The tables that were fetched, and the turn for which their connections were last opened.
     tables: BTreeMap<Hash, (Table, Option<Turn>)>,
     refused: Option<(Hash, Refusal)>,
-    asks: BTreeMap<u64, Duration>,
+    open_requests: BTreeMap<u64, Duration>,
     number: u64,
-    /// Replies up to this number are not taken any more.
-    taken: u64,
-    /// The newest ask that had a reply.
-    heard: u64,
-    ask_at: Duration,
-    last: Duration,
+    /// Replies to requests up to this number are ignored.
+    ignored_up_to: u64,
+    /// The newest request that had a reply.
+    last_reply: u64,
+    request_at: Duration,
+    last_step: Duration,
 }
 
 impl Member {
-    /// One that knows nothing yet; its first tick asks.
-    pub fn new(life: MemberIncarnation, known: KnownNames, pace: Timing) -> Self {
+    /// Creates a member that knows nothing yet; its first tick sends a request.
+    pub fn new(identity: MemberIncarnation, known: KnownNames, timing: Timing) -> Self {
         Self {
-            life,
+            identity,
             known,
-            pace,
+            timing,
             term: 0,
             clock: Clock::default(),
             lease: HeldLease::default(),
@@ -114,26 +118,26 @@
             wanted: None,
             tables: BTreeMap::new(),
             refused: None,
-            asks: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             number: 0,
-            taken: 0,
-            heard: 0,
-            ask_at: Duration::ZERO,
-            last: Duration::ZERO,
+            ignored_up_to: 0,
+            last_reply: 0,
+            request_at: Duration::ZERO,
+            last_step: Duration::ZERO,
         }
     }
 
-    /// Takes what happened at `now` on this process's monotonic clock.
+    /// Processes an event at `now` on this process's monotonic clock.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if now < self.last {
-            self.give_up();
+        if now < self.last_step {
+            self.release_lease();
         }
-        self.last = now;
-        let said = (self.answer(now), self.acknowledged());
+        self.last_step = now;
+        let reported = (self.answer(now), self.acknowledged());
         match input {
             Input::Tick => {}
-            Input::Nudge => self.ask_at = now,
+            Input::Nudge => self.request_at = now,
             Input::Reply(reply) => self.reply(now, reply, &mut effects),
             Input::Fetched(hash, document) => self.fetched(hash, &document, &mut effects),
             Input::Opened(turn, hash, opened) => self.opened(turn, hash, opened),
@@ -142,56 +146,57 @@
             if self.lease.holds(now) {
                 self.adopt(next, &mut effects);
             } else {
-                // Cut off, or its clock was stepped past the moment: a leader tells what is in force.
+                // The member was cut off, or its clock was stepped past the moment. A leader's reply tells it which
+                // activation is in force.
                 self.switch = None;
             }
         }
-        let changed = said.1 != self.acknowledged()
-            || said.0.map(|(turn, a)| (turn, a.is_ok()))
+        let changed = reported.1 != self.acknowledged()
+            || reported.0.map(|(turn, a)| (turn, a.is_ok()))
                 != self.answer(now).map(|(turn, a)| (turn, a.is_ok()));
-        if changed || now >= self.ask_at {
-            self.ask(now, &mut effects);
+        if changed || now >= self.request_at {
+            self.request_lease(now, &mut effects);
         }
         effects
     }
 
-    /// When it wants to be asked again, at the latest.
+    /// Returns the latest moment by which the next step is due.
     pub fn next(&self) -> Duration {
-        self.switch.map_or(self.ask_at, |(_, window)| window.high.min(self.ask_at))
+        self.switch.map_or(self.request_at, |(_, window)| window.high.min(self.request_at))
     }
 
-    fn ask(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+    fn request_lease(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.number += 1;
-        self.ask_at = now + self.pace.ask;
-        self.asks.insert(self.number, now);
-        if self.asks.len() > MOST_ASKS {
-            self.asks.pop_first();
+        self.request_at = now + self.timing.ask;
+        self.open_requests.insert(self.number, now);
+        if self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_first();
         }
-        for a in self.concerned() {
-            let bad = self.refused.as_ref().is_some_and(|(hash, _)| *hash == a.hash);
+        for a in self.relevant_activations() {
+            let is_refused = self.refused.as_ref().is_some_and(|(hash, _)| *hash == a.hash);
             match self.tables.contains_key(&a.hash) {
-                false if !bad => effects.push(Effect::Fetch(a.hash)),
-                true if !bad && !self.is_open(a) => effects.push(Effect::Open(a.fence.turn, a.hash)),
+                false if !is_refused => effects.push(Effect::Fetch(a.hash)),
+                true if !is_refused && !self.is_open(a) => effects.push(Effect::Open(a.fence.turn, a.hash)),
                 _ => {}
             }
         }
         let (answer, acknowledged) = (self.answer(now), self.acknowledged());
-        let (life, number, heard) = (self.life.clone(), self.number, self.heard);
+        let (identity, number, last_reply) = (self.identity.clone(), self.number, self.last_reply);
         effects.push(Effect::Ask(LeaseRequest {
-            member: life,
+            member: identity,
             number,
-            last_reply: heard,
+            last_reply,
             answer,
             acknowledged,
         }));
     }
 
-    /// What is in force, on its way, or about to be.
-    fn concerned(&self) -> impl Iterator<Item = Activation> {
+    /// Returns the activations that are in force, wanted, or about to be switched to.
+    fn relevant_activations(&self) -> impl Iterator<Item = Activation> {
         [self.active, self.wanted, self.switch.map(|(a, _)| a)].into_iter().flatten()
     }
 
-    /// Its table is here, and the connections of it were opened for its own turn.
+    /// Returns whether its table was fetched and the connections to the pools were opened for this very turn.
     fn is_open(&self, activation: Activation) -> bool {
         let opened = self.tables.get(&activation.hash).and_then(|(_, turn)| *turn);
         opened == Some(activation.fence.turn)
@@ -208,7 +213,7 @@
         }
         match self.clock.usable_bound(now) {
             Ok(bound) => Some((turn, Ok(bound))),
-            Err(_) if self.clock.samples() < FAIR_SAMPLES => None,
+            Err(_) if self.clock.samples() < MIN_SAMPLES_TO_REFUSE => None,
             Err(problem) => Some((turn, Err(Refusal::Clock { problem }))),
         }
     }
@@ -217,42 +222,42 @@
         self.switch.map(|(next, _)| next.fence.turn)
     }
 
-    /// Gives up lease and moment; replies to what was asked before are not taken.
-    fn give_up(&mut self) {
+    /// Releases the lease and forgets the moment of a switch; replies to earlier requests are ignored.
+    fn release_lease(&mut self) {
         self.lease.release();
-        (self.switch, self.taken) = (None, self.number);
-        self.asks.clear();
+        (self.switch, self.ignored_up_to) = (None, self.number);
+        self.open_requests.clear();
     }
 
     fn reply(&mut self, now: Duration, reply: LeaseReply, effects: &mut Vec<Effect>) {
-        if reply.term < self.term || reply.number <= self.taken {
+        if reply.term < self.term || reply.number <= self.ignored_up_to {
             return;
         }
-        let Some(sent) = self.asks.remove(&reply.number) else { return };
-        if reply.number > self.heard + GAP {
-            // The leader took it for deaf: it is told at once that it is not.
-            self.ask_at = now;
+        let Some(sent) = self.open_requests.remove(&reply.number) else { return };
+        if reply.number > self.last_reply + MAX_REPLY_GAP {
+            // The leader may have concluded that this member receives no replies: the next request corrects that.
+            self.request_at = now;
         }
-        self.heard = reply.number;
-        self.taken = reply.number;
+        self.last_reply = reply.number;
+        self.ignored_up_to = reply.number;
         if reply.term > self.term {
             (self.term, self.clock) = (reply.term, Clock::default());
         }
-        let taken = self.clock.add_sample(Sample { sent, received: now, theirs: reply.time });
-        if taken.and_then(|()| self.clock.offset(now)).is_err() {
-            return self.give_up();
+        let added = self.clock.add_sample(Sample { sent, received: now, theirs: reply.time });
+        if added.and_then(|()| self.clock.offset(now)).is_err() {
+            return self.release_lease();
         }
         if let Some(active) = reply.active.filter(|a| self.turn() < a.fence.turn) {
             self.adopt(active, effects);
         }
         match reply.pending {
             Some(Pending::Prepare(next)) if next.fence.turn > self.turn() => {
-                if self.want(next) {
-                    self.ask_at = now;
+                if self.set_wanted(next) {
+                    self.request_at = now;
                 }
             }
             Some(Pending::Commit(next, moment)) if next.fence.turn > self.turn() => {
-                self.want(next);
+                self.set_wanted(next);
                 let here =
                     self.clock.to_own_clock(now, moment).ok().filter(|w| w.bound() <= MAX_CLOCK_BOUND * 2);
                 let is_ready = self.is_open(next);
@@ -268,8 +273,8 @@
         }
     }
 
-    /// Takes up what is on its way; true for another turn, of which nothing was refused yet.
-    fn want(&mut self, next: Activation) -> bool {
+    /// Sets the wanted activation. Returns true if its turn is another one, of which nothing was refused yet.
+    fn set_wanted(&mut self, next: Activation) -> bool {
         let before = self.wanted.replace(next);
         let is_other = before.is_none_or(|before| before.fence.turn != next.fence.turn);
         if is_other {
@@ -278,9 +283,9 @@
         is_other
     }
 
-    /// What came of connections that were opened for another turn says nothing of those of this one.
+    /// Takes the result of opening connections. The result for another turn is ignored: it says nothing of this one.
     fn opened(&mut self, turn: Turn, hash: Hash, opened: Result<(), SocketAddr>) {
-        if !self.concerned().any(|a| (a.fence.turn, a.hash) == (turn, hash)) {
+        if !self.relevant_activations().any(|a| (a.fence.turn, a.hash) == (turn, hash)) {
             return;
         }
         match opened {
@@ -292,7 +297,7 @@
     }
 
     fn adopt(&mut self, next: Activation, effects: &mut Vec<Effect>) {
-        // What was refused before is tried again: without the table in force nothing is served.
+        // A table that was refused before is tried again: without the table in force nothing is served.
         (self.active, self.wanted, self.refused) = (Some(next), None, None);
         self.switch = self.switch.filter(|(a, _)| a.fence.turn > next.fence.turn);
         let kept = [Some(next), self.switch.map(|(a, _)| a)];
@@ -305,7 +310,7 @@
         let refusal = match checked {
             Ok(table) if table.hash() == hash => {
                 if self.tables.insert(hash, (table, None)).is_none() {
-                    let wanted = self.concerned().filter(|a| a.hash == hash);
+                    let wanted = self.relevant_activations().filter(|a| a.hash == hash);
                     effects.extend(wanted.map(|a| Effect::Open(a.fence.turn, hash)).last());
                 }
                 return;
@@ -320,64 +325,64 @@
         self.active.map_or(0, |a| a.fence.turn)
     }
 
-    /// It has a lease, knows what is in force, and has its table. Before the first activation a lease is enough: it is
-    /// only held where the leader said that nothing is in force, and stands for turn 0.
+    /// Returns whether the member has a lease and the table in force. Before the first activation a lease is enough: it
+    /// is granted only after the leader reported that no activation is in force, and stands for turn 0.
     pub fn ready(&self, now: Duration) -> bool {
         self.lease.holds(now) && (self.active.is_none() || self.table().is_some())
     }
 
-    /// The table in force; none under turn 0.
+    /// Returns the table in force; none under turn 0.
     pub fn table(&self) -> Option<&Table> {
         self.tables.get(&self.active?.hash).map(|(table, _)| table)
     }
 
-    /// The table that goes with a fence which [`Member::route`] gave out; none under turn 0.
+    /// Returns the table of a fence that [`Member::route`] returned; none under turn 0.
     pub fn table_under(&self, fence: Fence) -> Option<&Table> {
         let known = [self.active, self.switch.map(|(next, _)| next)];
         let activation = known.into_iter().flatten().find(|a| a.fence == fence)?;
         self.tables.get(&activation.hash).map(|(table, _)| table)
     }
 
-    /// What is in force here; nothing before the first activation, or while it is not known.
+    /// Returns the activation in force here; none before the first one, or while it is not known.
     pub fn active(&self) -> Option<Activation> {
         self.active
     }
 
-    /// What is in force at `now` by this member's clock, with or without a lease.
+    /// Returns the fence in force at `now` by this member's clock, with or without a lease.
     pub fn in_force(&self, now: Duration) -> Option<Fence> {
         let next = self.switch.filter(|(_, window)| now >= window.high).map(|(next, _)| next);
         next.or(self.active).map(|a| a.fence)
     }
 
-    /// Which life it is.
+    /// Returns the member's name and incarnation.
     pub fn identity(&self) -> &MemberIncarnation {
-        &self.life
+        &self.identity
     }
 
-    /// Of a table that was fetched: where its pools are.
+    /// Returns the addresses of the pools of a table that was fetched.
     pub fn addresses(&self, hash: Hash) -> Vec<SocketAddr> {
         let pools = self.tables.get(&hash).into_iter().flat_map(|(table, _)| table.pools.values());
         pools.flatten().map(|a| a.address).collect()
     }
 
-    /// Its lease and the moment it waits for, for the leader's part of the same process and for operators.
+    /// Returns the lease and the moment of the next switch, for the leader's part of this process and for operators.
     pub fn lease_and_switch(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
         (self.lease, self.switch.map(|(next, window)| (next.fence.turn, window)))
     }
 
-    /// What is known of the leader's clock.
+    /// Returns the bound of the leader's clock.
     pub fn clock(&self, now: Duration) -> Result<Duration, ClockError> {
         self.clock.offset(now).map(|o| o.bound())
     }
 
-    /// What becomes of a request's call at `now`. Inside the uncertainty nothing goes out at all, so no two members act
-    /// on different versions at one moment. A request of the old version whose first call would only begin after the
-    /// switch goes by the new one: nothing of it has happened yet.
+    /// Decides what becomes of a request's call at `now`. Inside the uncertainty of a switch no call is sent, so no two
+    /// members act on different versions at the same moment. A request that was read before the switch and whose first
+    /// call begins after it uses the new version: nothing has happened under the old one yet.
     pub fn route(&self, now: Duration, request: CallRequest) -> CallDecision {
         if let Some(fence) = request.ran {
             return CallDecision::FromKey(fence);
         }
-        if now < self.last || !self.ready(now) {
+        if now < self.last_step || !self.ready(now) {
             return CallDecision::Barred;
         }
         let fence = match self.switch {
--- a/src/fleet/routes/mod.rs
+++ b/src/fleet/routes/mod.rs
@@ -1,16 +1,16 @@
-//! Route tables and their two-phase activation: every member switches versions at one moment. Decisions only: no I/O,
-//! no clock, no randomness. `docs/routes.md` weighs the ways and holds the argument why no two members ever act on
-//! different versions at the same moment.
+//! Route tables and their two-phase activation, by which all members switch to a new version at the same moment.
+//! The module contains decisions only: no I/O, no clock, no randomness. `docs/routes.md` compares the possible designs
+//! and shows why no two members ever act on different versions at the same moment.
 //!
-//! - [`table`]: the documents, checked whole, with a hash over a canonical form.
-//! - [`record`]: what the fleet has decided; the state machine of a replicated log.
-//! - [`leader`]: grants leases, runs prepare, commit and abort, and goes on after a change of leader.
-//! - [`member`]: leases, prepared tables, and the version that a request belongs to.
-//! - [`clock`] and [`lease`]: what is known of the leader's clock, and the right to act.
+//! - [`table`]: route tables, their validation, and a hash over their canonical form.
+//! - [`record`]: what the fleet has decided; the state machine of the replicated log.
+//! - [`leader`]: grants leases, runs prepare, commit and abort, and continues these after a change of leader.
+//! - [`member`]: leases, prepared tables, and the version under which a request's call is sent.
+//! - [`clock`] and [`lease`]: the estimate of the leader's clock, and the right to act on a version.
 //!
-//! One exchange carries all of it: a member asks ([`LeaseRequest`]) every [`Timing::ask`] and whenever it has something to say, and
-//! the leader replies ([`LeaseReply`]). A message that is lost is made good by the next one. A nudge makes a member ask at
-//! once.
+//! One exchange carries all of it: a member sends a [`LeaseRequest`] every [`Timing::ask`] and whenever its answer to a
+//! prepare or commit changes, and the leader replies with a [`LeaseReply`]. A lost message is compensated by the next
+//! one. A nudge makes a member send a request at once.
 
 pub mod clock;
 pub mod leader;
@@ -29,76 +29,77 @@
 use clock::ClockError;
 use table::{Hash, TableError};
 
-/// No two monotonic clocks of a fleet drift apart by more: 200 parts in a million. A clock outside of it is found by its
-/// samples ([`ClockError::Disagree`]), and its holder gives up its lease.
+/// The highest rate at which two monotonic clocks of a fleet may drift apart: 200 parts per million. A clock that
+/// drifts faster is detected by its samples ([`ClockError::Disagree`]), and its member releases its lease.
 pub const DRIFT_PPM: u64 = 200;
-/// The widest clock bound with which a member may be prepared.
+/// The widest clock bound with which a member accepts a prepare.
 pub const MAX_CLOCK_BOUND: Duration = Duration::from_millis(5);
 
-/// How far two clocks can drift apart in `span`, rounded up.
+/// Returns how far two clocks can drift apart in `span`, rounded up.
 pub fn drift(span: Duration) -> Duration {
     Duration::from_nanos((span.as_nanos() as u64 / 1_000_000 + 1) * DRIFT_PPM)
 }
 
-/// The number of a table, in the order of proposals.
+/// The number of a table; tables are numbered in the order in which they were proposed.
 pub type Version = u64;
-/// The number of an activation. It grows with a rollback too, which the version does not: so it is what fences.
+/// The number of an activation. Unlike the version it also grows with a rollback, so fences are ordered by it.
 pub type Turn = u64;
 
-/// One life of one member.
+/// One incarnation of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberIncarnation {
     /// The member's name.
     pub name: String,
-    /// Grows across restarts. In a handover two lives of one name are there at once, each with its own lease.
+    /// Grows with each restart. During a handover two incarnations of one name exist, each with its own lease.
     pub incarnation: u64,
 }
 
-/// What a call carries: a service below that saw a higher turn refuses a lower one. The default, turn 0, stands for the
-/// configuration's own services, before any activation.
+/// The fence that a call carries: a dependency that has seen a higher turn refuses a lower one. The default, turn 0,
+/// stands for the services of the configuration, before any activation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence {
-    /// Which activation; the order of fences.
+    /// The number of the activation, by which fences are ordered.
     pub turn: Turn,
-    /// Which table.
+    /// The version of the table.
     pub version: Version,
 }
 
-/// An activation, in force or on its way.
+/// An activation of a table, in force or in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Activation {
-    /// Its fence.
+    /// The fence of calls that are sent under it.
     pub fence: Fence,
     /// The table's hash.
     pub hash: Hash,
 }
 
-/// A moment that is known to lie in a stretch of a clock, both ends included.
+/// An interval of a clock, both ends included, in which a moment is known to lie.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeWindow {
-    /// Not before.
+    /// The earliest time.
     pub low: Duration,
-    /// Not after.
+    /// The latest time.
     pub high: Duration,
 }
 
 impl TimeWindow {
-    /// Half its width: the clock's bound.
+    /// Returns half its width, which is the bound of the clock.
     pub fn bound(&self) -> Duration {
         self.high.saturating_sub(self.low) / 2
     }
 }
 
-/// Lengths that all members of a fleet share; the leader's rules hold for any values with `ask < lead <= lease`.
+/// Intervals and time limits that all members of a fleet share. The leader's rules hold for any values with
+/// `ask < lead <= lease`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two asks of a member.
+    /// The interval between two lease requests of a member.
     pub ask: Duration,
-    /// The longest lease.
+    /// The length of the longest lease.
     pub lease: Duration,
-    /// From the decision to commit to the moment of the switch, at least. At most it is a lease.
+    /// The shortest time from the decision to commit until the moment of the switch; the longest is a lease.
     pub lead: Duration,
-    /// From the beginning of a prepare until silence aborts it.
+    /// The time from the start of a prepare after which a member that has not answered aborts it.
     pub deadline: Duration,
 }
 
@@ -110,54 +111,54 @@
 }
 
 impl Timing {
-    /// After this long on any clock every lease that was granted before, and every moment of a switch that was recorded
-    /// before, is past.
+    /// Returns the time, on any clock, after which every lease granted earlier has ended and every moment of a switch
+    /// recorded earlier is past.
     pub fn wait_out(&self) -> Duration {
         self.lease + drift(self.lease) * 2
     }
 }
 
-/// AbortReason a member cannot take a version. One refusal aborts the activation.
+/// Why a member cannot switch to a version. One refusal aborts the activation.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The table does not fit its settings.
-    #[error("the table does not fit this member: {problem}")]
+    /// The table does not match the member's settings.
+    #[error("the table does not match this member's settings: {problem}")]
     #[diagnostic(help(
-        "correct the table or this member's settings, propose it anew, then activate that version"
+        "correct the table or this member's settings, propose the table again, then activate that version"
     ))]
     Table {
         /// What is wrong.
         problem: TableError,
     },
-    /// Its clock is not known well enough.
-    #[error("the fleet's time is not known well enough here: {problem}")]
+    /// The member's estimate of the leader's clock is not precise enough.
+    #[error("this member's estimate of the leader's clock is not precise enough: {problem}")]
     #[diagnostic(help(
-        "look at the network and the load between this member and the leader, then activate again"
+        "check the network between this member and the leader and the load of both, then activate again"
     ))]
     Clock {
         /// What is wrong.
         problem: ClockError,
     },
-    /// A service of the new table cannot be reached.
+    /// A service of the new table is unreachable.
     #[error("no connection to {address}")]
-    #[diagnostic(help("start the service or open the way to it from this member, then activate again"))]
+    #[diagnostic(help("start the service or make it reachable from this member, then activate again"))]
     Connect {
-        /// Which.
+        /// The service's address.
         address: SocketAddr,
     },
-    /// What came by the hash has another one.
-    #[error("what was fetched as table {hash} is another")]
+    /// The document that was fetched by its hash has another hash.
+    #[error("the table fetched for hash {hash} has another hash")]
     #[diagnostic(help(
-        "the table came spoilt from a voter's store: propose it anew, and check that voter's disk"
+        "a voter's store holds a corrupt copy of the table: propose it again, and check that voter's disk"
     ))]
     Fetch {
-        /// The hash that was asked for.
+        /// The requested hash.
         hash: Hash,
     },
 }
 
 impl Refusal {
-    /// As the record keeps it: with the names in it cut short.
+    /// Returns the refusal as the record keeps it, with long names truncated.
     pub fn truncated(self) -> Self {
         match self {
             Self::Table { problem } => Self::Table { problem: problem.truncated() },
@@ -166,43 +167,43 @@
     }
 }
 
-/// What a member says to the leader.
+/// What a member sends to the leader: a request for a lease, with the state of its prepare and commit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who.
+    /// The sender.
     pub member: MemberIncarnation,
-    /// Grows with each ask of this life.
+    /// The number of the request; it grows with each request of this incarnation.
     pub number: u64,
-    /// The newest of its asks that it had a reply to, 0 for none: who is heard and hears nothing gets no lease.
+    /// The newest of its requests that had a reply, 0 for none. A member that receives no replies gets no lease.
     pub last_reply: u64,
-    /// Its answer to a prepare: prepared with this clock bound, or refused.
+    /// The answer to a prepare: prepared with this clock bound, or refused.
     pub answer: Option<(Turn, Result<Duration, Refusal>)>,
-    /// The commit whose moment it knows and has a table for. Not said any more once it lost either.
+    /// The commit whose moment the member knows and whose table it has; absent once it has lost either.
     pub acknowledged: Option<Turn>,
 }
 
-/// What the leader says to one ask.
+/// The leader's reply to one lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReply {
-    /// Of the ask.
+    /// The number of the request.
     pub number: u64,
     /// The leader's term.
     pub term: u64,
-    /// The leader's clock: the fleet's time in this term.
+    /// The reading of the leader's clock, which is the fleet's time in this term.
     pub time: Duration,
-    /// How long the lease is, from the moment at which the ask was sent; zero for none.
+    /// The length of the lease, counted from when the request was sent; zero for no lease.
     pub lease: Duration,
-    /// What is in force at that time; nothing before the first activation.
+    /// The activation in force at that time; none before the first one.
     pub active: Option<Activation>,
-    /// What is on its way.
+    /// The activation in progress.
     pub pending: Option<Pending>,
 }
 
-/// What is on its way.
+/// What the members are to do for the activation in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Pending {
-    /// Fetch and check the table, and say so.
+    /// Fetch and check the table, connect to its pools, and report the result.
     Prepare(Activation),
-    /// Switch to it at a moment in this stretch of the leader's clock.
+    /// Switch to it at a moment in this interval of the leader's clock.
     Commit(Activation, TimeWindow),
 }
