--- a/src/fleet/routes/record.rs
+++ b/src/fleet/routes/record.rs
@@ -1,5 +1,6 @@
-//! What the fleet has decided about routes: the state machine of a replicated log. [`State::apply`] is deterministic, and
-//! an entry that does not fit changes nothing: so of two operators at once the log picks one.
+//! What the fleet has decided about routes: [`State`] is the state machine of the replicated log, whose entries are
+//! [`Entry`]. [`State::apply`] is deterministic, and an entry that is not valid in the current state changes nothing:
+//! of two operators who act at the same time, the log accepts one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,30 +12,31 @@
 use super::table::{Table, TableError};
 use super::{Activation, Fence, MemberIncarnation, Refusal, Turn, Version};
 
-/// Tables that are kept; the oldest that is neither active, before that, nor on its way goes first.
+/// The number of tables that are kept. The oldest is dropped first, except for those that are active, were active
+/// before that, or are being activated.
 pub const MAX_TABLES: usize = 64;
-/// Bytes of an operator's name at most, in what is ordered.
+/// The longest name of an operator in an order, in bytes.
 pub const MAX_OPERATOR_NAME: usize = 256;
-/// Activations that the history keeps.
+/// The number of activations that the history keeps.
 pub const MAX_HISTORY: usize = 256;
 
 /// A moment on the clock of the leader of a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Whose clock.
+    /// The term of the leader whose clock it is.
     pub term: u64,
     /// The moment.
     pub at: Duration,
 }
 
-/// AbortReason an activation was given up.
+/// Why an activation was aborted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AbortReason {
     /// A member refused.
     Refused(MemberIncarnation, Refusal),
-    /// A member with a lease that cannot lapse in time said nothing until the deadline.
+    /// A member whose lease does not end in time sent no answer until the deadline.
     Silent(MemberIncarnation),
-    /// An operator did not want it any more.
+    /// An operator aborted it.
     Operator(String),
 }
 
@@ -42,86 +44,87 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum Entry {
-    /// A new table, by an operator.
+    /// Adds a table, by an operator.
     Propose { table: String, by: String },
-    /// Begin an activation of a version.
+    /// Begins an activation of a version.
     Prepare { version: Version, by: String },
-    /// Begin an activation of the version before the active one.
+    /// Begins an activation of the version that was active before the present one.
     Rollback { by: String },
-    /// Switch at this moment.
+    /// Commits the activation: members switch at this moment.
     Commit { turn: Turn, at: Stamp },
-    /// Stay.
+    /// Ends the activation without a switch.
     Abort { turn: Turn, why: AbortReason },
-    /// The moment is past.
+    /// Ends the activation after the moment of the switch.
     Done { turn: Turn },
 }
 
-/// Where an activation is.
+/// The stage of an activation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Members are asked.
+    /// Members are asked to prepare.
     Preparing,
-    /// It will be, or was, at this moment.
+    /// Members switch, or have switched, at this moment.
     Committed(Stamp),
 }
 
-/// The activation on its way.
+/// An activation that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenActivation {
-    /// What.
+    /// The activation.
     pub activation: Activation,
-    /// Whose.
+    /// The operator who ordered it.
     pub by: String,
-    /// How far.
+    /// Its stage.
     pub stage: Stage,
 }
 
-/// How an activation ended.
+/// An activation that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedActivation {
-    /// What.
+    /// Its fence.
     pub fence: Fence,
-    /// Whose.
+    /// The operator who ordered it.
     pub by: String,
-    /// AbortReason not, if it did not become active.
+    /// Why it was aborted; `None` if it became active.
     pub aborted: Option<AbortReason>,
 }
 
-/// AbortReason an entry changed nothing.
+/// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum RecordError {
-    #[error("a moment on the clock of the leader of term {stamped}, in term {term}")]
-    #[diagnostic(help("nothing is to be done: the leader of the new term decides again"))]
+    #[error("the commit is stamped by the clock of the leader of term {stamped}, but this is term {term}")]
+    #[diagnostic(help("no action is needed: the leader of the new term decides again"))]
     OtherTerm { stamped: u64, term: u64 },
-    #[error("version {version} of {by} is on its way")]
-    #[diagnostic(help("wait until it ends (`fleet routes show`), or end it with `fleet routes abort`"))]
+    #[error("the activation of version {version} by {by} has not ended")]
+    #[diagnostic(help("wait until it ends (`fleet routes show`), or abort it with `fleet routes abort`"))]
     Busy { version: Version, by: String },
-    #[error("version {version} is not kept")]
-    #[diagnostic(help("`fleet routes history` lists the versions; propose the table anew"))]
+    #[error("version {version} is unknown or no longer kept")]
+    #[diagnostic(help("`fleet routes history` lists the versions; propose the table again"))]
     UnknownVersion { version: Version },
-    #[error("version {version} is active")]
-    #[diagnostic(help("there is nothing to do; activate another version"))]
+    #[error("version {version} is already active")]
+    #[diagnostic(help("no action is needed, unless you meant another version"))]
     Active { version: Version },
     #[error("no version was active before this one")]
     #[diagnostic(help("activate a version by its number instead"))]
     NoEarlier,
-    #[error("activation {turn} is not on its way")]
-    #[diagnostic(help("it has ended: `fleet routes history` says how"))]
+    #[error("activation {turn} is not open")]
+    #[diagnostic(help("it has ended: `fleet routes history` shows how"))]
     NotPending { turn: Turn },
-    #[error("activation {turn} is committed")]
-    #[diagnostic(help("it can no longer be stopped: let it end, then `fleet routes rollback`"))]
+    #[error("activation {turn} is already committed")]
+    #[diagnostic(help("it can no longer be aborted: wait until it ends, then run `fleet routes rollback`"))]
     TooLate { turn: Turn },
-    #[error("no table: {problem}")]
+    #[error("invalid table: {problem}")]
     #[diagnostic(help("correct the document, and propose it again"))]
     Table { problem: TableError },
-    #[error("the name of the operator has {bytes} bytes")]
-    #[diagnostic(help("name who asks in {MAX_OPERATOR_NAME} bytes or less"))]
+    #[error("the operator's name has {bytes} bytes, over the limit of {MAX_OPERATOR_NAME}")]
+    #[diagnostic(help("give a name of at most {MAX_OPERATOR_NAME} bytes"))]
     By { bytes: usize },
 }
 
 impl Entry {
-    /// Whether it is within the record's bounds. Asked before it comes into the log: what is in there all voters take alike.
+    /// Checks that the entry is within the record's limits. This is done before it is appended to the log; entries in
+    /// the log are applied by all voters in the same way.
     ///
     /// # Errors
     /// [`RecordError::By`] and [`RecordError::Table`].
@@ -141,16 +144,16 @@
     }
 }
 
-/// What an entry did.
+/// What applying an entry did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Applied {
-    /// The table has this version; an equal one that is kept has it already.
+    /// The table has this version, which may be that of an equal table that is already kept.
     Proposed(Version),
-    /// The activation is at another stage, or has ended.
+    /// The activation has begun, reached another stage, or ended.
     Moved(Turn),
 }
 
-/// What all entries come to.
+/// The result of all entries applied so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     #[serde(with = "documents")]
@@ -159,13 +162,14 @@
     last_turn: Turn,
     active: Option<Activation>,
     before: Option<Version>,
-    run: Option<OpenActivation>,
+    open: Option<OpenActivation>,
     history: VecDeque<EndedActivation>,
-    /// Made by the fleet itself, of an experiment's winner, and not yet begun to be activated.
-    made: Option<Version>,
+    /// The version that the fleet made of an experiment's winner, as long as no activation of it has begun.
+    experiment_winner: Option<Version>,
 }
 
-/// Tables as their canonical form, since a table leaves out what is not set and so needs a format that names its fields.
+/// Serializes tables in their canonical JSON form, because a table omits fields that are not set and so needs a format
+/// that names its fields.
 mod documents {
     use std::collections::BTreeMap;
 
@@ -185,7 +189,7 @@
 }
 
 impl State {
-    /// Takes the next entry of the log.
+    /// Applies the next entry of the log.
     pub fn apply(&mut self, entry: &Entry) -> Result<Applied, RecordError> {
         match entry {
             Entry::Propose { table, .. } => {
@@ -194,7 +198,7 @@
             }
             Entry::Prepare { version, by } => self.begin(*version, by),
             Entry::Rollback { by } => match self.before {
-                // Which one is the earlier is only known once the one on its way has ended.
+                // The earlier version is only known once the open activation has ended.
                 Some(version) => self.begin(version, by),
                 None => Err(self.busy().unwrap_or(RecordError::NoEarlier)),
             },
@@ -208,13 +212,13 @@
                 Ok(Applied::Moved(*turn))
             }
             Entry::Done { turn } => {
-                let run = self.run.as_ref().filter(|r| r.activation.fence.turn == *turn);
-                match run.map(|r| (r.stage, r.activation)) {
+                let open = self.open.as_ref().filter(|r| r.activation.fence.turn == *turn);
+                match open.map(|r| (r.stage, r.activation)) {
                     Some((Stage::Committed(_), activation)) => {
                         self.before = self.active.map(|a| a.fence.version);
                         self.active = Some(activation);
-                        // Whatever became active is later than what an experiment wanted of the table before.
-                        self.made = None;
+                        // An experiment's winner was derived from the table that was active until now.
+                        self.experiment_winner = None;
                         self.end(None);
                         Ok(Applied::Moved(*turn))
                     }
@@ -230,26 +234,27 @@
         }
         self.last_version += 1;
         self.tables.insert(self.last_version, table);
-        self.thin();
+        self.drop_old_tables();
         self.last_version
     }
 
-    /// Keeps a table that the fleet made of an experiment's winner, and marks it as to be activated: until an activation
-    /// of it begins, or any other ends with its table active. An equal one that is kept has its version already.
+    /// Keeps a table that the fleet made of an experiment's winner, and marks it as to be activated. The mark is
+    /// removed when an activation of it begins or another activation becomes active. Returns the version, which may be
+    /// that of an equal table that is already kept.
     pub fn keep_experiment_winner(&mut self, table: Table) -> Version {
         let version = self.keep(table);
-        self.made = Some(version);
+        self.experiment_winner = Some(version);
         version
     }
 
-    /// What [`State::make`] marked, and is still to be activated.
+    /// Returns the version that [`State::keep_experiment_winner`] marked, if it is still to be activated.
     pub fn experiment_winner(&self) -> Option<Version> {
-        self.made
+        self.experiment_winner
     }
 
     fn busy(&self) -> Option<RecordError> {
-        let run = self.run.as_ref()?;
-        Some(RecordError::Busy { version: run.activation.fence.version, by: run.by.clone() })
+        let open = self.open.as_ref()?;
+        Some(RecordError::Busy { version: open.activation.fence.version, by: open.by.clone() })
     }
 
     fn begin(&mut self, version: Version, by: &str) -> Result<Applied, RecordError> {
@@ -260,33 +265,33 @@
         if self.active.is_some_and(|a| a.fence.version == version) {
             return Err(RecordError::Active { version });
         }
-        self.made = self.made.filter(|made| *made != version);
+        self.experiment_winner = self.experiment_winner.filter(|winner| *winner != version);
         self.last_turn += 1;
         let activation = Activation { fence: Fence { turn: self.last_turn, version }, hash: table.hash() };
-        self.run = Some(OpenActivation { activation, by: by.into(), stage: Stage::Preparing });
+        self.open = Some(OpenActivation { activation, by: by.into(), stage: Stage::Preparing });
         Ok(Applied::Moved(self.last_turn))
     }
 
     fn preparing(&mut self, turn: Turn) -> Result<&mut OpenActivation, RecordError> {
-        match self.run.as_mut().filter(|r| r.activation.fence.turn == turn) {
-            Some(run) if run.stage == Stage::Preparing => Ok(run),
+        match self.open.as_mut().filter(|r| r.activation.fence.turn == turn) {
+            Some(open) if open.stage == Stage::Preparing => Ok(open),
             Some(_) => Err(RecordError::TooLate { turn }),
             None => Err(RecordError::NotPending { turn }),
         }
     }
 
     fn end(&mut self, aborted: Option<AbortReason>) {
-        let Some(run) = self.run.take() else { return };
-        self.history.push_back(EndedActivation { fence: run.activation.fence, by: run.by, aborted });
+        let Some(open) = self.open.take() else { return };
+        self.history.push_back(EndedActivation { fence: open.activation.fence, by: open.by, aborted });
         if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
-    fn thin(&mut self) {
-        let run = self.run.as_ref().map(|r| r.activation.fence.version);
+    fn drop_old_tables(&mut self) {
+        let open = self.open.as_ref().map(|r| r.activation.fence.version);
         let active = self.active.map(|a| a.fence.version);
-        let kept = [run, self.before, active, self.made, Some(self.last_version)];
+        let kept = [open, self.before, active, self.experiment_winner, Some(self.last_version)];
         while self.tables.len() > MAX_TABLES {
             let Some(oldest) = self.tables.keys().copied().find(|v| !kept.contains(&Some(*v))) else {
                 return;
@@ -295,27 +300,27 @@
         }
     }
 
-    /// What is in force; while a committed run is open, until its moment.
+    /// Returns the activation in force. While a committed activation is open, this is the one before its moment.
     pub fn active(&self) -> Option<Activation> {
         self.active
     }
 
-    /// What is on its way.
+    /// Returns the activation that has not ended.
     pub fn open_activation(&self) -> Option<&OpenActivation> {
-        self.run.as_ref()
+        self.open.as_ref()
     }
 
-    /// A table by its version.
+    /// Returns the table of a version, if it is kept.
     pub fn table(&self, version: Version) -> Option<&Table> {
         self.tables.get(&version)
     }
 
-    /// The tables that are kept, oldest first.
+    /// Returns the tables that are kept, oldest first.
     pub fn tables(&self) -> impl Iterator<Item = (Version, &Table)> {
         self.tables.iter().map(|(version, table)| (*version, table))
     }
 
-    /// How activations ended, oldest first.
+    /// Returns the activations that have ended, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &EndedActivation> {
         self.history.iter()
     }
--- a/src/fleet/routes/table.rs
+++ b/src/fleet/routes/table.rs
@@ -1,4 +1,5 @@
-//! Route tables: a document in JSON, checked whole against a member's own settings, with a hash over a canonical form.
+//! Route tables: [`Table`] is read from a JSON document, validated against a member's own settings, and identified by a
+//! hash over its canonical form.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,19 +12,19 @@
 
 /// The longest document, and the longest canonical form, in bytes.
 pub const MAX_BYTES: usize = 65_536;
-/// Pools, addresses of one pool, and routes at most.
+/// The highest number of pools, of addresses of one pool, and of routes.
 pub const MAX_ENTRIES: usize = 256;
-/// Arms of one experiment at most.
+/// The highest number of arms of one experiment.
 pub const MAX_ARMS: usize = 8;
 /// The highest weight.
 pub const MAX_WEIGHT: u32 = 1000;
-/// The longest time of a call, in milliseconds.
+/// The longest timeout of a call, in milliseconds.
 pub const MAX_TIMEOUT_MS: u32 = 60_000;
-/// Tries of a call at most.
+/// The highest number of tries of a call.
 pub const MAX_TRIES: u32 = 10;
-/// Bytes of a name that the record keeps of why a table was refused.
+/// The longest part of a name, in bytes, that the record keeps of a table's refusal.
 pub const MAX_RECORDED_NAME: usize = 256;
-/// What the shares of an experiment add up to.
+/// The sum of the shares of an experiment.
 pub const SHARES: u32 = 1000;
 
 /// SHA-256 of a table's canonical form.
@@ -42,27 +43,27 @@
     }
 }
 
-/// What is wrong with a table.
+/// Why a table is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum TableError {
-    #[error("no table in JSON, line {line}, column {column}")]
-    #[diagnostic(help("docs/routes.md shows a table; unknown and missing fields are refused too"))]
+    #[error("invalid JSON document of a table, line {line}, column {column}")]
+    #[diagnostic(help("docs/routes.md shows a table; unknown and missing fields are errors too"))]
     Json { line: usize, column: usize },
-    #[error("{bytes} bytes, over {MAX_BYTES}")]
-    #[diagnostic(help("shorten names, or name fewer pools"))]
+    #[error("the document has {bytes} bytes, over the limit of {MAX_BYTES}")]
+    #[diagnostic(help("shorten names, or use fewer pools"))]
     Long { bytes: usize },
-    #[error("{what}: {count}, over {most}")]
-    #[diagnostic(help("lower the number to the bound named"))]
+    #[error("{what}: {count}, over the limit of {most}")]
+    #[diagnostic(help("lower the number to the limit"))]
     Many { what: String, count: u64, most: u64 },
     #[error("{what}: is 0")]
-    #[diagnostic(help("give a number of at least 1; leave out what is not to be used"))]
+    #[diagnostic(help("give a number of at least 1, or remove what is not used"))]
     Zero { what: String },
     #[error("pool {pool}: no address")]
-    #[diagnostic(help("name an address, or take the pool out of the table"))]
+    #[diagnostic(help("add an address, or remove the pool from the table"))]
     EmptyPool { pool: String },
-    #[error("pool {pool}: {address} twice")]
-    #[diagnostic(help("name it once, with the sum of the weights"))]
+    #[error("pool {pool}: duplicate address {address}")]
+    #[diagnostic(help("list it once, with the sum of the weights"))]
     AddressTwice { pool: String, address: SocketAddr },
     #[error("pool {pool} is not in the table")]
     #[diagnostic(help("add it to `pools`, or correct its name in the route"))]
@@ -82,18 +83,18 @@
     #[error("class {class}: the shares add up to {sum}, not {SHARES}")]
     #[diagnostic(help("shares are in thousandths: correct them so that they add up to 1000"))]
     Shares { class: String, sum: u32 },
-    #[error("class {class}: arm {arm} twice")]
-    #[diagnostic(help("give each arm a name of its own"))]
+    #[error("class {class}: duplicate arm {arm}")]
+    #[diagnostic(help("give each arm a unique name"))]
     ArmTwice { class: String, arm: String },
-    #[error("{bytes} bytes once all is written out, over {MAX_BYTES}")]
+    #[error("the canonical form has {bytes} bytes, over the limit of {MAX_BYTES}")]
     #[diagnostic(help(
-        "shorten names, or name fewer pools: a `without` that is left out counts as written"
+        "shorten names, or use fewer pools: the canonical form contains each `without`, also an omitted one"
     ))]
     Canonical { bytes: usize },
 }
 
 impl TableError {
-    fn texts(&mut self) -> Vec<&mut String> {
+    fn names_mut(&mut self) -> Vec<&mut String> {
         match self {
             Self::Json { .. } | Self::Long { .. } | Self::Canonical { .. } => Vec::new(),
             Self::Many { what, .. } | Self::Zero { what } => vec![what],
@@ -109,9 +110,10 @@
         }
     }
 
-    /// The same with names of at most [`MAX_RECORDED_NAME`] bytes and a sign that there was more: the record keeps hundreds of them.
+    /// Returns the same error with each name truncated to [`MAX_RECORDED_NAME`] bytes and an ellipsis, because the
+    /// record keeps hundreds of errors.
     pub fn truncated(mut self) -> Self {
-        for text in self.texts().into_iter().filter(|text| text.len() > MAX_RECORDED_NAME) {
+        for text in self.names_mut().into_iter().filter(|text| text.len() > MAX_RECORDED_NAME) {
             let end = (0..=MAX_RECORDED_NAME).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
             text.truncate(end);
             text.push('…');
@@ -124,9 +126,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Address {
-    /// Where.
+    /// The address of a service.
     pub address: SocketAddr,
-    /// Its part of the calls, from 1 to [`MAX_WEIGHT`].
+    /// The weight by which it gets a part of the pool's calls, from 1 to [`MAX_WEIGHT`].
     pub weight: u32,
 }
 
@@ -136,46 +138,46 @@
 pub struct Arm {
     /// Its name.
     pub name: String,
-    /// Where its calls go.
+    /// The pool that its calls go to.
     pub pool: String,
-    /// Its part of the subjects, in thousandths.
+    /// Its share of the subjects, in thousandths.
     pub share: u32,
 }
 
-/// How the calls of one class, and where set one tenant, are made.
+/// How the calls of one class, and optionally of one tenant only, are made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Of which class.
+    /// The class.
     pub class: String,
-    /// Of which tenant; every one that has no route of its own if left out.
+    /// The tenant; if omitted, the route applies to each tenant without a route of its own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// Where the calls go.
+    /// The pool that the calls go to.
     pub pool: String,
-    /// How long a call may take, in milliseconds.
+    /// The timeout of a call, in milliseconds.
     pub timeout_ms: u32,
-    /// How often it is tried.
+    /// The number of tries of a call.
     pub tries: u32,
-    /// A request may be answered without the call.
+    /// Whether a request may be answered without the call.
     #[serde(default)]
     pub without: bool,
-    /// During an experiment: the arms.
+    /// The arms, during an experiment.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub arms: Vec<Arm>,
 }
 
-/// A table.
+/// A route table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Table {
     /// The pools, by name.
     pub pools: BTreeMap<String, Vec<Address>>,
-    /// The routes; by class and tenant in the canonical form.
+    /// The routes; the canonical form sorts them by class and tenant.
     pub routes: Vec<Route>,
 }
 
-/// What a member's own settings name.
+/// The names of classes and tenants in a member's own settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownNames {
     /// The classes.
@@ -184,7 +186,7 @@
     pub tenants: BTreeSet<String>,
 }
 
-fn within(what: impl Fn() -> String, count: u64, most: u64) -> Result<(), TableError> {
+fn check_limit(what: impl Fn() -> String, count: u64, most: u64) -> Result<(), TableError> {
     match count {
         0 => Err(TableError::Zero { what: what() }),
         _ if count > most => Err(TableError::Many { what: what(), count, most }),
@@ -193,11 +195,13 @@
 }
 
 impl Table {
-    /// Reads a document and puts it into its canonical order; what it names is for [`Table::check`].
+    /// Parses a document and sorts its routes into the canonical order. The names in it are checked by
+    /// [`Table::check`].
     ///
     /// # Errors
-    /// [`TableError::Json`], and [`TableError::Long`] or [`TableError::Canonical`] for what is over [`MAX_BYTES`] as it
-    /// came or in its canonical form: that writes out what a document may leave out, and is what members fetch.
+    /// [`TableError::Json`], and [`TableError::Long`] or [`TableError::Canonical`] if the document or its canonical
+    /// form is longer than [`MAX_BYTES`]. The canonical form is what members fetch; it contains fields that a document
+    /// may omit.
     pub fn parse(json: &str) -> Result<Self, TableError> {
         let table = Self::parse_logged(json)?;
         match table.canonical().len() {
@@ -206,8 +210,8 @@
         }
     }
 
-    /// Reads a document of the log. It was let in once, and voters whose builds differ are to read it alike: so it is
-    /// turned down for nothing that is found out later.
+    /// Parses a document of the log. It was accepted once, and voters of different versions have to read it in the same
+    /// way, so only checks that have always been made are made here.
     ///
     /// # Errors
     /// [`TableError::Json`] and [`TableError::Long`].
@@ -221,30 +225,30 @@
         Ok(table)
     }
 
-    /// The canonical form: no blanks, pools by name, routes by class and tenant.
+    /// Returns the canonical form: without whitespace, pools sorted by name, routes by class and tenant.
     pub fn canonical(&self) -> String {
-        // Maps with text keys and plain values can always be written.
+        // Serialization of maps with string keys and plain values cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The hash of the canonical form.
+    /// Returns the hash of the canonical form.
     pub fn hash(&self) -> Hash {
         Hash(Sha256::digest(self.canonical()).into())
     }
 
-    /// Checks the whole table against what a member knows; the first error.
+    /// Validates the whole table against a member's settings, and returns the first error.
     pub fn check(&self, known: &KnownNames) -> Result<(), TableError> {
         let most = MAX_ENTRIES as u64;
-        within(|| "pools".into(), self.pools.len() as u64, most)?;
-        within(|| "routes".into(), self.routes.len() as u64, most)?;
+        check_limit(|| "pools".into(), self.pools.len() as u64, most)?;
+        check_limit(|| "routes".into(), self.routes.len() as u64, most)?;
         for (pool, addresses) in &self.pools {
             if addresses.is_empty() {
                 return Err(TableError::EmptyPool { pool: pool.clone() });
             }
-            within(|| format!("addresses of pool {pool}"), addresses.len() as u64, most)?;
+            check_limit(|| format!("addresses of pool {pool}"), addresses.len() as u64, most)?;
             let mut seen = BTreeSet::new();
             for a in addresses {
-                within(|| format!("weight of {}", a.address), a.weight.into(), MAX_WEIGHT.into())?;
+                check_limit(|| format!("weight of {}", a.address), a.weight.into(), MAX_WEIGHT.into())?;
                 if !seen.insert(a.address) {
                     return Err(TableError::AddressTwice { pool: pool.clone(), address: a.address });
                 }
@@ -270,8 +274,12 @@
         if let Some(tenant) = r.tenant.as_ref().filter(|t| !known.tenants.contains(*t)) {
             return Err(TableError::UnknownTenant { tenant: tenant.clone() });
         }
-        within(|| format!("timeout_ms of class {}", r.class), r.timeout_ms.into(), MAX_TIMEOUT_MS.into())?;
-        within(|| format!("tries of class {}", r.class), r.tries.into(), MAX_TRIES.into())?;
+        check_limit(
+            || format!("timeout_ms of class {}", r.class),
+            r.timeout_ms.into(),
+            MAX_TIMEOUT_MS.into(),
+        )?;
+        check_limit(|| format!("tries of class {}", r.class), r.tries.into(), MAX_TRIES.into())?;
         let pools = r.arms.iter().map(|a| &a.pool).chain([&r.pool]);
         if let Some(pool) = pools.into_iter().find(|p| !self.pools.contains_key(*p)) {
             return Err(TableError::UnknownPool { pool: pool.clone() });
@@ -279,7 +287,7 @@
         if r.arms.is_empty() {
             return Ok(());
         }
-        within(|| format!("arms of class {}", r.class), r.arms.len() as u64, MAX_ARMS as u64)?;
+        check_limit(|| format!("arms of class {}", r.class), r.arms.len() as u64, MAX_ARMS as u64)?;
         let mut seen = BTreeSet::new();
         if let Some(arm) = r.arms.iter().find(|a| !seen.insert(&a.name)) {
             return Err(TableError::ArmTwice { class: r.class.clone(), arm: arm.name.clone() });
@@ -290,7 +298,7 @@
         }
     }
 
-    /// The route of a class and tenant: the tenant's own, else the class's.
+    /// Returns the route of a class and tenant: the tenant's own, otherwise the class's.
     pub fn route(&self, class: &str, tenant: Option<&str>) -> Option<&Route> {
         let of = |t: Option<&str>| self.routes.iter().find(|r| r.class == class && r.tenant.as_deref() == t);
         of(tenant).or_else(|| of(None))
--- a/tests/routes_fleet.rs
+++ b/tests/routes_fleet.rs
@@ -403,7 +403,7 @@
         let over = of(MAX_BYTES);
         assert_eq!(over.len(), MAX_BYTES);
         let (status, told) = ok(case.order("m2", "propose", &over));
-        let says = format!("{} bytes once all is written out", MAX_BYTES + 48);
+        let says = format!("the canonical form has {} bytes", MAX_BYTES + 48);
         assert!(
             status == 409 && told.contains(&says) && told.contains("propose it again"),
             "{status} {told}"
