--- a/tests/later.rs
+++ b/tests/later.rs
@@ -1,4 +1,5 @@
-//! What a later version of hopwalk says to this one, and the reverse: links go on, what is not known is refused.
+//! Tests that this version and a later version of hopwalk can communicate: links stay open, and what is unknown is
+//! refused or ignored. The messages of the later version are composed of their encoded parts.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,8 +22,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-const PATIENCE: Duration = Duration::from_secs(30);
-/// A variant that no version has yet.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// The number of a variant that no version has.
 const UNKNOWN: u32 = 99;
 
 fn any_loopback() -> SocketAddr {
@@ -31,7 +32,7 @@
 
 fn run<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(PATIENCE * 3, test).await.expect("the test hangs") })
+    runtime.block_on(async { tokio::time::timeout(ANSWER_TIMEOUT * 3, test).await.expect("the test hangs") })
 }
 
 fn body(message: impl Serialize) -> Vec<u8> {
@@ -48,15 +49,15 @@
 }
 
 #[test]
-fn a_field_more_is_ignored_but_where_another_thing_would_be_done() {
-    let told = |request: &Request| format!("{request:?}");
+fn an_additional_field_is_ignored_except_where_the_effect_would_differ() {
+    let debug = |request: &Request| format!("{request:?}");
     for request in [Request::Hello, Request::Look(DocumentKind::History)] {
         let read = Request::read(&body((7u64, &request, "a later field"))).unwrap();
-        assert_eq!((read.0, read.1.as_ref().map(told)), (7, Some(told(&request))));
+        assert_eq!((read.0, read.1.as_ref().map(debug)), (7, Some(debug(&request))));
     }
     for request in [vote(), submit(), Request::Admit { name: "n".into() }] {
         let same = Request::read(&body((7u64, &request))).unwrap();
-        assert_eq!((same.0, same.1.as_ref().map(told)), (7, Some(told(&request))));
+        assert_eq!((same.0, same.1.as_ref().map(debug)), (7, Some(debug(&request))));
         let later = Request::read(&body((7u64, &request, false))).unwrap();
         assert!(matches!(later, (7, None)), "{later:?}");
     }
@@ -78,8 +79,8 @@
 }
 
 #[test]
-fn a_variant_that_is_not_known_is_told_from_bytes_that_are_no_message() {
-    // A request, a document to look at, an entry, a part of an entry, a message of the record.
+fn an_unknown_variant_is_distinguished_from_malformed_bytes() {
+    // A request, a kind of document, an entry, a part of an entry, a message of the record.
     for unknown in [
         body((7u64, UNKNOWN, "whatever")),
         body((7u64, 7u32, UNKNOWN)),
@@ -102,7 +103,7 @@
             (other, _) => panic!("{other:?} of {down:?}"),
         }
     }
-    // Cut short, or without a number: the link is closed, for nobody can say what was meant.
+    // Truncated, or without a number: the frame is malformed, which closes the link.
     let whole = body((7u64, Request::Admit { name: "name".into() }));
     for cut in 0..whole.len() {
         assert_eq!(Request::read(&whole[..cut]).err(), Some(FrameError::Malformed));
@@ -110,7 +111,7 @@
     assert_eq!(ServerFrame::read(&[]).err(), Some(FrameError::Malformed));
 }
 
-/// How a later version reads a field that it added at the end: what an earlier one did not send is the default.
+/// A field that a later version added at the end. It reads as the default if an earlier version did not send it.
 #[derive(Debug, PartialEq, Serialize)]
 struct Added<T>(T);
 
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_later_version_reads_what_an_earlier_one_did_not_send_as_the_default() {
+fn a_later_version_reads_fields_that_an_earlier_one_did_not_send_as_the_default() {
     let hello = Hello { node: Some(3), named: vec!["a".into()], ..Hello::default() };
     let (read, _) = take::<LaterHello>(&body(&hello)).unwrap();
     assert_eq!(read, LaterHello { hello: hello.clone(), region: Added(None), weight: Added(0) });
@@ -142,7 +143,7 @@
     counter.load(Ordering::Relaxed)
 }
 
-/// Reads frames off a link.
+/// Reads and writes frames on a link.
 struct Frames(TcpStream, Decoder);
 
 impl Frames {
@@ -158,13 +159,13 @@
         }
     }
 
-    async fn say(&mut self, message: impl Serialize) {
+    async fn send(&mut self, message: impl Serialize) {
         self.0.write_all(&encode(&message, MAX_FRAME).unwrap()).await.unwrap();
     }
 }
 
 #[test]
-fn a_server_refuses_what_a_later_client_asks_and_goes_on_on_the_same_link() {
+fn a_server_refuses_requests_of_a_later_client_and_keeps_the_link() {
     run(async {
         let local = LocalEnd::new("f", "s");
         let handler = |from: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
@@ -173,13 +174,13 @@
         };
         let server = Server::start(any_loopback(), local.clone(), handler).await.unwrap();
         let mut link = Frames(TcpStream::connect(server.address()).await.unwrap(), Decoder::new(MAX_FRAME));
-        link.say((Opening::new("f", "c"), "a later field")).await;
+        link.send((Opening::new("f", "c"), "a later field")).await;
         assert_eq!(Opening::read(&link.next().await, "f"), Ok(Opening::new("f", "s")));
         for id in 0..100u64 {
             match id % 3 {
-                0 => link.say((id, UNKNOWN, "a later request")).await,
-                1 => link.say((id, submit(), "a later field")).await,
-                _ => link.say((id, Request::Hello, "a later field")).await,
+                0 => link.send((id, UNKNOWN, "a later request")).await,
+                1 => link.send((id, submit(), "a later field")).await,
+                _ => link.send((id, Request::Hello, "a later field")).await,
             }
             let known = id % 3 == 2;
             match decode::<ServerFrame>(&link.next().await).unwrap() {
@@ -195,26 +196,26 @@
     });
 }
 
-/// Answers with what the earlier version does not know, but for a `DocumentKind`; pushes such things too.
+/// Answers each request other than `Look` in a way that the earlier version does not know; sends unknown pushes too.
 async fn answer_later(mut link: Frames) {
     link.next().await;
-    link.say((Opening::new("f", "s"), "a later field")).await;
+    link.send((Opening::new("f", "s"), "a later field")).await;
     loop {
         let (id, request) = Request::read(&link.next().await).unwrap();
-        link.say((UNKNOWN, "neither answer nor push")).await;
-        link.say((1u32, UNKNOWN)).await;
-        link.say((ServerFrame::Push(Push::Nudge), "a later field")).await;
+        link.send((UNKNOWN, "neither answer nor push")).await;
+        link.send((1u32, UNKNOWN)).await;
+        link.send((ServerFrame::Push(Push::Nudge), "a later field")).await;
         match request {
             Some(Request::Look(_)) => {
-                link.say((ServerFrame::Answer(id, Response::Document("{}".into())), "a later field")).await
+                link.send((ServerFrame::Answer(id, Response::Document("{}".into())), "a later field")).await
             }
-            _ => link.say((0u32, id, UNKNOWN, "a later answer")).await,
+            _ => link.send((0u32, id, UNKNOWN, "a later answer")).await,
         }
     }
 }
 
 #[test]
-fn a_client_passes_over_what_a_later_server_says_and_goes_on_on_the_same_link() {
+fn a_client_ignores_unknown_messages_of_a_later_server_and_keeps_the_link() {
     run(async {
         let listener = TcpListener::bind(any_loopback()).await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -226,18 +227,18 @@
         let (pushes, mut pushed) = mpsc::channel(4);
         let local = LocalEnd::new("f", "c");
         let client = Client::start(local.clone(), "s", address, Some(pushes));
-        // What is not known costs the asker its answer at once, not the link and not its patience.
-        let unread = loop {
-            match client.request(&Request::Hello, PATIENCE).await {
+        // An unknown answer fails its request at once, without a timeout, and the link stays open.
+        let unknown_answer = loop {
+            match client.request(&Request::Hello, ANSWER_TIMEOUT).await {
                 Err(WireError::Unreachable { .. }) => tokio::time::sleep(RECONNECT_DELAY).await,
                 other => break other,
             }
         };
         let later = || WireError::Frame { peer: "s".into(), error: FrameError::Later };
-        assert_eq!(unread.unwrap_err(), later());
-        let known = client.request(&Request::Look(DocumentKind::Routes), PATIENCE).await;
+        assert_eq!(unknown_answer.unwrap_err(), later());
+        let known = client.request(&Request::Look(DocumentKind::Routes), ANSWER_TIMEOUT).await;
         assert!(matches!(&known, Ok(Response::Document(text)) if text == "{}"), "{known:?}");
-        assert_eq!(client.request(&Request::Hello, PATIENCE).await.unwrap_err(), later());
+        assert_eq!(client.request(&Request::Hello, ANSWER_TIMEOUT).await.unwrap_err(), later());
         for _ in 0..3 {
             assert_eq!(pushed.recv().await, Some(("s".into(), Push::Nudge)));
         }
--- a/tests/model/rules.rs
+++ b/tests/model/rules.rs
@@ -1,45 +1,45 @@
-//! The rules of leases and activations in whole ticks, as they are in `src/fleet/routes`, in the same order.
+//! The rules of leases and activations of `src/fleet/routes`, in the same order, with time in whole ticks.
 
 use std::collections::BTreeMap;
 
 pub type Tick = i8;
 pub type Turn = u8;
 
-/// A defect that is planted in the rules.
+/// A fault that is planted in the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// The leader does not end leases at the moment T.
+    /// The leader does not limit leases to the moment of the switch.
     LongLease,
-    /// It commits at the least lead, whoever is prepared and whichever leases are open.
+    /// The leader commits with the shortest lead, regardless of prepared members and open leases.
     RashCommit,
-    /// An earlier leader that finds a moment of a later term goes on, and takes it for one of before its own.
+    /// An earlier leader that finds a commit of a later term continues, and treats it as one of a term before its own.
     StaleMoment,
-    /// Nobody says that the moment is past.
+    /// The leader never proposes that the moment of the switch is past.
     NeverDone,
 }
 
-/// Lengths, as `Pace` has them.
+/// Intervals and time limits, as in `fleet::routes::Timing`.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Timing {
     pub lease: Tick,
     pub lead: Tick,
     pub deadline: Tick,
-    /// The widest window that is acknowledged.
-    pub wide: Tick,
-    /// Whether clocks drift: each gains a tick at most in a play, so two part by one at most in any span.
+    /// The widest window with which a commit is acknowledged.
+    pub max_window: Tick,
+    /// Whether clocks drift. Each clock gains at most one tick, so two differ by at most one in any span.
     pub drifts: bool,
     pub fault: Fault,
 }
 
-impl Pace {
-    /// How far two clocks drift apart in a span at most.
+impl Timing {
+    /// Returns how far two clocks can drift apart in a span.
     fn drift(&self, span: Tick) -> Tick {
         Tick::from(self.drifts && span > 0)
     }
 
-    /// What its holder makes of a lease (`Held::take`).
-    pub fn held(&self, lease: Tick) -> Tick {
+    /// Returns the length of a lease as its holder counts it (`HeldLease::extend`).
+    pub fn held_length(&self, lease: Tick) -> Tick {
         (lease - 2 * self.drift(lease)).max(0)
     }
 
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Window {
+pub struct TimeWindow {
     pub low: Tick,
     pub high: Tick,
 }
@@ -68,7 +68,7 @@
     Committed { term: u8, by: u8, at: Tick },
 }
 
-/// What the entries come to (`State::apply`).
+/// The result of all entries (`State::apply`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Record {
     pub active: Turn,
@@ -85,7 +85,7 @@
         record
     }
 
-    /// Whether it changed anything.
+    /// Applies an entry. Returns whether it changed anything.
     pub fn apply(&mut self, entry: Entry) -> bool {
         match (entry, self.run) {
             (Entry::Prepare(turn), None) => (self.last, self.run) = (turn, Some((turn, Stage::Preparing))),
@@ -103,10 +103,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ask {
+pub struct LeaseRequest {
     pub from: u8,
-    pub life: u8,
-    /// On the asker's clock; its number too, as one is sent a tick.
+    pub incarnation: u8,
+    /// The time on the sender's clock, which is also the request's number because one is sent per tick.
     pub sent: Tick,
     pub prepared: Option<Turn>,
     pub acknowledged: Option<Turn>,
@@ -115,13 +115,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Pending {
     Prepare(Turn),
-    Commit(Turn, Window),
+    Commit(Turn, TimeWindow),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Reply {
+pub struct LeaseReply {
     pub to: u8,
-    pub life: u8,
+    pub incarnation: u8,
     pub sent: Tick,
     pub term: u8,
     pub time: Tick,
@@ -132,24 +132,24 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub life: u8,
+    pub incarnation: u8,
     pub term: u8,
     pub until: Tick,
     pub turn: Turn,
-    pub switch: Option<(Turn, Window)>,
+    pub switch: Option<(Turn, TimeWindow)>,
     pub wanted: Option<Turn>,
-    pub taken: Tick,
+    pub last_reply: Tick,
 }
 
 impl Member {
-    pub fn holds(&self, now: Tick) -> bool {
+    pub fn holds_lease(&self, now: Tick) -> bool {
         now < self.until
     }
 
-    /// `Member::route`: the turn that a call goes out under at `now`.
+    /// `Member::route`: the turn under which a call is sent at `now`.
     pub fn acts(&self, now: Tick) -> Option<Turn> {
         match self.switch {
-            _ if !self.holds(now) => None,
+            _ if !self.holds_lease(now) => None,
             Some((next, window)) if now >= window.high => Some(next),
             Some((_, window)) if now >= window.low => None,
             _ => Some(self.turn),
@@ -162,31 +162,31 @@
     }
 
     /// The end of `Member::step`.
-    pub fn settle(&mut self, now: Tick) {
+    pub fn finish_step(&mut self, now: Tick) {
         if let Some((next, _)) = self.switch.filter(|(_, window)| now >= window.high) {
-            match self.holds(now) {
+            match self.holds_lease(now) {
                 true => self.adopt(next),
                 false => self.switch = None,
             }
         }
     }
 
-    pub fn ask(&mut self, from: u8, now: Tick) -> Ask {
-        self.settle(now);
+    pub fn ask(&mut self, from: u8, now: Tick) -> LeaseRequest {
+        self.finish_step(now);
         let acknowledged = self.switch.map(|(next, _)| next);
-        Ask { from, life: self.life, sent: now, prepared: self.wanted, acknowledged }
+        LeaseRequest { from, incarnation: self.incarnation, sent: now, prepared: self.wanted, acknowledged }
     }
 
     /// `Member::reply`, with the window of this one round trip.
-    pub fn reply(&mut self, now: Tick, pace: Pace, reply: Reply) {
-        if reply.life == self.life && reply.term >= self.term && reply.sent > self.taken {
-            self.take(now, pace, reply);
+    pub fn reply(&mut self, now: Tick, timing: Timing, reply: LeaseReply) {
+        if reply.incarnation == self.incarnation && reply.term >= self.term && reply.sent > self.last_reply {
+            self.apply_reply(now, timing, reply);
         }
-        self.settle(now);
+        self.finish_step(now);
     }
 
-    fn take(&mut self, now: Tick, pace: Pace, reply: Reply) {
-        (self.taken, self.term) = (reply.sent, reply.term);
+    fn apply_reply(&mut self, now: Tick, timing: Timing, reply: LeaseReply) {
+        (self.last_reply, self.term) = (reply.sent, reply.term);
         if self.turn < reply.active {
             self.adopt(reply.active);
         }
@@ -194,12 +194,12 @@
             Some(Pending::Prepare(next)) if next > self.turn => self.wanted = Some(next),
             Some(Pending::Commit(next, moment)) if next > self.turn => {
                 self.wanted = Some(next);
-                let slack = pace.drift(now - reply.sent);
+                let slack = timing.drift(now - reply.sent);
                 let low = moment.low - (reply.time - reply.sent + slack);
                 let high = moment.high - (reply.time - now - slack);
-                let away = |at: Tick| pace.drift((at - now).abs());
-                let window = Window { low: low - away(low), high: high + away(high) };
-                if self.switch.is_none() && window.high - window.low <= pace.wide {
+                let away = |at: Tick| timing.drift((at - now).abs());
+                let window = TimeWindow { low: low - away(low), high: high + away(high) };
+                if self.switch.is_none() && window.high - window.low <= timing.max_window {
                     self.switch = Some((next, window));
                 }
             }
@@ -207,138 +207,144 @@
             None => self.wanted = self.switch.map(|(next, _)| next),
         }
         if reply.active == self.turn {
-            self.until = self.until.max(reply.sent + pace.held(reply.lease));
+            self.until = self.until.max(reply.sent + timing.held_length(reply.lease));
         }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Given {
+pub struct GrantedLease {
     pub end: Tick,
     pub number: Tick,
     pub prepared: Option<Turn>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Watch {
+pub struct Progress {
     pub turn: Turn,
     pub began: Tick,
     pub proposed: Option<Entry>,
 }
 
-/// A leader, or one that does not know yet that it is none.
+/// A leader, which may have been deposed without knowing it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leader {
     pub at: u8,
     pub term: u8,
     pub elected: Tick,
     pub confirmed: Tick,
-    pub book: BTreeMap<(u8, u8), Given>,
-    pub window: Option<(Turn, Window)>,
-    pub watch: Option<Watch>,
+    pub leases: BTreeMap<(u8, u8), GrantedLease>,
+    pub window: Option<(Turn, TimeWindow)>,
+    pub progress: Option<Progress>,
 }
 
 impl Leader {
-    pub fn new(at: u8, term: u8, now: Tick, window: Option<(Turn, Window)>) -> Self {
-        Self { at, term, elected: now, confirmed: now, book: BTreeMap::new(), window, watch: None }
+    pub fn new(at: u8, term: u8, now: Tick, window: Option<(Turn, TimeWindow)>) -> Self {
+        Self { at, term, elected: now, confirmed: now, leases: BTreeMap::new(), window, progress: None }
     }
 
-    /// `Leader::step`: a moment of a later term says that this one is over.
-    pub fn over(&self, pace: Pace, record: &Record) -> bool {
+    /// `Leader::step`: a commit of a later term shows that this term has ended.
+    pub fn has_ended(&self, timing: Timing, record: &Record) -> bool {
         let later = matches!(record.run, Some((_, Stage::Committed { term, .. })) if term > self.term);
-        later && pace.fault != Fault::StaleMoment
+        later && timing.fault != Fault::StaleMoment
     }
 
-    fn floor(&self, pace: Pace) -> Tick {
-        self.elected + pace.wait_out()
+    fn predecessors_end(&self, timing: Timing) -> Tick {
+        self.elected + timing.wait_out()
     }
 
-    fn barrier(&self, pace: Pace, record: &Record) -> Option<(Turn, Window)> {
+    fn barrier(&self, timing: Timing, record: &Record) -> Option<(Turn, TimeWindow)> {
         let (turn, stage) = record.run?;
-        let exact = |at| Window { low: at, high: at };
+        let exact = |at| TimeWindow { low: at, high: at };
         if let Stage::Committed { term, at, .. } = stage {
             let known = self.window.filter(|(t, _)| *t == turn).map(|(_, w)| w);
-            let unknown = Window { low: 0, high: self.floor(pace) };
+            let unknown = TimeWindow { low: 0, high: self.predecessors_end(timing) };
             return Some((turn, if term == self.term { exact(at) } else { known.unwrap_or(unknown) }));
         }
-        match self.watch.as_ref().filter(|w| w.turn == turn)?.proposed {
+        match self.progress.as_ref().filter(|p| p.turn == turn)?.proposed {
             Some(Entry::Commit { at, .. }) => Some((turn, exact(at))),
             _ => None,
         }
     }
 
-    /// `On::drive`; what it proposes is kept in the watch, a `Done` is returned.
-    pub fn drive(&mut self, now: Tick, pace: Pace, record: &Record) -> Option<Entry> {
+    /// `Leadership::advance`. A proposed commit or abort is kept in `progress`, a `Done` is returned.
+    pub fn advance(&mut self, now: Tick, timing: Timing, record: &Record) -> Option<Entry> {
         let Some((turn, stage)) = record.run else {
-            self.watch = None;
+            self.progress = None;
             return None;
         };
         if stage != Stage::Preparing {
-            self.watch = None;
-            let past = self.barrier(pace, record).is_some_and(|(_, moment)| now >= moment.high);
-            return (past && pace.fault != Fault::NeverDone).then_some(Entry::Done(turn));
+            self.progress = None;
+            let past = self.barrier(timing, record).is_some_and(|(_, moment)| now >= moment.high);
+            return (past && timing.fault != Fault::NeverDone).then_some(Entry::Done(turn));
         }
-        if self.watch.as_ref().is_none_or(|w| w.turn != turn) {
-            self.watch = Some(Watch { turn, began: now, proposed: None });
+        if self.progress.as_ref().is_none_or(|p| p.turn != turn) {
+            self.progress = Some(Progress { turn, began: now, proposed: None });
         }
-        let floor = self.floor(pace);
-        let watch = self.watch.as_mut()?;
-        let rash = pace.fault == Fault::RashCommit;
-        if watch.proposed.is_some() || (now + pace.lead < floor && !rash) {
+        let predecessors_end = self.predecessors_end(timing);
+        let progress = self.progress.as_mut()?;
+        let rash = timing.fault == Fault::RashCommit;
+        if progress.proposed.is_some() || (now + timing.lead < predecessors_end && !rash) {
             return None;
         }
-        let prepared = |g: &Given| g.prepared == Some(turn);
-        let ends = self.book.values().filter(|g| prepared(g)).map(|g| g.end);
-        let mut at = ends.chain([now + pace.lead, floor]).max()?;
-        let over = now >= watch.began + pace.deadline;
-        let silent = |g: &Given| !prepared(g) && g.end > if over { at } else { now };
-        let mut waits = self.book.values().any(silent);
-        let some = self.book.values().any(prepared);
+        let prepared = |g: &GrantedLease| g.prepared == Some(turn);
+        let ends = self.leases.values().filter(|g| prepared(g)).map(|g| g.end);
+        let mut at = ends.chain([now + timing.lead, predecessors_end]).max()?;
+        let is_overdue = now >= progress.began + timing.deadline;
+        let is_silent = |g: &GrantedLease| !prepared(g) && g.end > if is_overdue { at } else { now };
+        let mut waits = self.leases.values().any(is_silent);
+        let some = self.leases.values().any(prepared);
         if rash {
-            (at, waits) = (now + pace.lead, false);
+            (at, waits) = (now + timing.lead, false);
         }
         if !waits && some {
-            watch.proposed = Some(Entry::Commit { turn, term: self.term, by: self.at, at });
-        } else if waits && over {
-            watch.proposed = Some(Entry::Abort(turn));
+            progress.proposed = Some(Entry::Commit { turn, term: self.term, by: self.at, at });
+        } else if waits && is_overdue {
+            progress.proposed = Some(Entry::Abort(turn));
         }
         None
     }
 
-    /// Forgets what can matter no more, so that plays meet in one state.
-    pub fn forget(&mut self, now: Tick, pace: Pace, current: bool, record: &Record) {
+    /// Removes state that can no longer have an effect, so that equivalent states become equal.
+    pub fn forget(&mut self, now: Tick, timing: Timing, current: bool, record: &Record) {
         if current {
-            // Set anew before it is looked at.
+            // It is set again before it is read.
             self.confirmed = 0;
-        } else if self.confirmed + pace.lease <= now {
-            (self.confirmed, self.book) = Default::default();
+        } else if self.confirmed + timing.lease <= now {
+            (self.confirmed, self.leases) = Default::default();
         }
-        if self.floor(pace) <= now {
+        if self.predecessors_end(timing) <= now {
             self.elected = 0;
         }
         if record.run.is_none_or(|(turn, _)| self.window.is_none_or(|(known, _)| known < turn)) {
             self.window = None;
         }
-        let began = self.watch.as_ref().map_or(now, |w| w.began);
+        let began = self.progress.as_ref().map_or(now, |p| p.began);
         let prepares = matches!(record.run, Some((_, Stage::Preparing)));
-        for given in self.book.values_mut() {
-            if given.end <= began {
-                given.end = 0;
+        for granted in self.leases.values_mut() {
+            if granted.end <= began {
+                granted.end = 0;
             }
-            given.prepared = given.prepared.filter(|_| prepares);
+            granted.prepared = granted.prepared.filter(|_| prepares);
         }
     }
 
-    /// `On::ask`.
-    pub fn ask(&mut self, now: Tick, pace: Pace, record: &Record, ask: Ask) -> Option<Reply> {
-        let barrier = self.barrier(pace, record);
-        let given = self.book.entry((ask.from, ask.life)).or_default();
-        if ask.sent <= given.number {
+    /// `Leadership::answer_request`.
+    pub fn answer_request(
+        &mut self,
+        now: Tick,
+        timing: Timing,
+        record: &Record,
+        request: LeaseRequest,
+    ) -> Option<LeaseReply> {
+        let barrier = self.barrier(timing, record);
+        let granted = self.leases.entry((request.from, request.incarnation)).or_default();
+        if request.sent <= granted.number {
             return None;
         }
-        (given.number, given.prepared) = (ask.sent, None);
-        given.prepared = ask.prepared.filter(|turn| record.run.is_some_and(|(on, _)| on == *turn));
-        let mut length = pace.lease.min((self.confirmed + pace.lease - now).max(0));
+        (granted.number, granted.prepared) = (request.sent, None);
+        granted.prepared = request.prepared.filter(|turn| record.run.is_some_and(|(on, _)| on == *turn));
+        let mut length = timing.lease.min((self.confirmed + timing.lease - now).max(0));
         let (mut active, mut pending) = (record.active, None);
         match (record.run, barrier) {
             (Some((turn, stage)), Some((_, moment))) => {
@@ -346,8 +352,8 @@
                 if committed && now >= moment.high {
                     active = turn;
                 } else {
-                    let told = ask.acknowledged == Some(turn) && committed;
-                    if !told && pace.fault != Fault::LongLease {
+                    let is_acknowledged = request.acknowledged == Some(turn) && committed;
+                    if !is_acknowledged && timing.fault != Fault::LongLease {
                         length = length.min((moment.low - now).max(0));
                     }
                     pending = (committed && moment.low > 0).then_some(Pending::Commit(turn, moment));
@@ -355,17 +361,17 @@
             }
             (Some((turn, _)), None) => {
                 pending = Some(Pending::Prepare(turn));
-                let began = self.watch.as_ref().map_or(now, |w| w.began);
-                if given.prepared.is_some() {
-                    length = length.min(pace.lead);
-                } else if given.end <= began {
-                    length = length.min((began + pace.deadline + pace.lead - now).max(0));
+                let began = self.progress.as_ref().map_or(now, |p| p.began);
+                if granted.prepared.is_some() {
+                    length = length.min(timing.lead);
+                } else if granted.end <= began {
+                    length = length.min((began + timing.deadline + timing.lead - now).max(0));
                 }
             }
             _ => {}
         }
-        given.end = given.end.max(now + length);
-        let (to, life, sent) = (ask.from, ask.life, ask.sent);
-        Some(Reply { to, life, sent, term: self.term, time: now, lease: length, active, pending })
+        granted.end = granted.end.max(now + length);
+        let (to, incarnation, sent) = (request.from, request.incarnation, request.sent);
+        Some(LeaseReply { to, incarnation, sent, term: self.term, time: now, lease: length, active, pending })
     }
 }
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -1,5 +1,6 @@
-//! Postures, and route tables on a simulated fleet: clocks that are off and drift, messages lost, late and reordered,
-//! members paused and restarted, the leader replaced at every step. Every seed is printed when it fails.
+//! Tests of postures, and of route tables on a simulated fleet whose clocks have offsets and drift, whose messages are
+//! lost, delayed and reordered, whose members are paused and restarted, and whose leader changes at any step. A failing
+//! seed is printed.
 
 mod prepares;
 
@@ -54,10 +55,10 @@
     leader: Leader,
     offset: u64,
     ppm: i64,
-    life: u64,
+    incarnation: u64,
     paused_until: u64,
     cut: bool,
-    slow: bool,
+    fetches_nothing: bool,
 }
 
 struct Fleet {
@@ -65,17 +66,17 @@
     now: u64,
     nodes: Vec<Node>,
     state: State,
-    leads: usize,
+    leader_index: usize,
     term: u64,
     queue: BTreeMap<(u64, u64), Message>,
     number: u64,
     fault: Fault,
     loss: f64,
-    newest: u64,
-    broken: Option<String>,
+    highest_turn: u64,
+    violation: Option<String>,
     refuses: Option<usize>,
-    /// Hears nothing of the others, and is heard.
-    deaf: Option<usize>,
+    /// A member to which no message of the others is delivered, while its own messages are.
+    receives_nothing: Option<usize>,
 }
 
 impl Fleet {
@@ -90,10 +91,10 @@
             leader: Leader::new(Timing::default()),
             offset: rng.random_range(0..100_000_000_000),
             ppm: rng.random_range(-90..90),
-            life: 1,
+            incarnation: 1,
             paused_until: 0,
             cut: false,
-            slow: false,
+            fetches_nothing: false,
         };
         let nodes = (0..N).map(|at| node(at, &mut rng)).collect();
         let mut fleet = Self {
@@ -101,16 +102,16 @@
             now: 1_000_000_000,
             nodes,
             state: State::default(),
-            leads: 0,
+            leader_index: 0,
             term: 0,
             queue: BTreeMap::new(),
             number: 0,
             fault,
             loss: 0.0,
-            newest: 0,
-            broken: None,
+            highest_turn: 0,
+            violation: None,
             refuses: None,
-            deaf: None,
+            receives_nothing: None,
         };
         fleet.elect(0);
         for port in [1, 2, 3] {
@@ -129,43 +130,44 @@
     }
 
     fn elect(&mut self, at: usize) {
-        (self.leads, self.term) = (at, self.term + 1);
+        (self.leader_index, self.term) = (at, self.term + 1);
         let window = self.nodes[at].member.lease_and_switch().1;
         let sent = self.local(at);
-        // The old leader does not learn of it at once: it is stale until a reply of the new term would tell it.
+        // The previous leader is not told, and acts as a stale leader.
         self.lead(at, leader::Input::Elected { term: self.term, window });
         self.lead(at, leader::Input::Confirmed { sent });
     }
 
-    fn post(&mut self, from: usize, to: usize, message: Message) {
-        let log = matches!(message, Message::Log(..));
-        let apart = from != to && (self.nodes[from].cut || self.nodes[to].cut);
-        let unheard = from != to && self.deaf == Some(to) && matches!(message, Message::Member(..));
-        if !log && (apart || unheard || from != to && self.rng.random_bool(self.loss)) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let is_log = matches!(message, Message::Log(..));
+        let is_cut = from != to && (self.nodes[from].cut || self.nodes[to].cut);
+        let is_not_received =
+            from != to && self.receives_nothing == Some(to) && matches!(message, Message::Member(..));
+        if !is_log && (is_cut || is_not_received || from != to && self.rng.random_bool(self.loss)) {
             return;
         }
-        let late = if self.rng.random_bool(0.03) { 40_000_000 } else { 3_000_000 };
-        let wait = if from == to { 1000 } else { self.rng.random_range(100_000..late) };
+        let max_delay = if self.rng.random_bool(0.03) { 40_000_000 } else { 3_000_000 };
+        let delay = if from == to { 1000 } else { self.rng.random_range(100_000..max_delay) };
         self.number += 1;
-        self.queue.insert((self.now + wait, self.number), message);
+        self.queue.insert((self.now + delay, self.number), message);
     }
 
     fn lead(&mut self, at: usize, input: leader::Input) {
         let now = self.local(at);
         for effect in self.nodes[at].leader.step(now, &self.state, input) {
             match effect {
-                leader::Effect::Reply(life, mut reply) => {
-                    let to: usize = life.name[1..].parse().unwrap();
+                leader::Effect::Reply(member, mut reply) => {
+                    let to: usize = member.name[1..].parse().unwrap();
                     if self.fault == Fault::LongLease {
                         reply.lease = Timing::default().lease;
                     }
-                    self.post(at, to, Message::Member(to, life.incarnation, member::Input::Reply(reply)));
+                    self.send(at, to, Message::Member(to, member.incarnation, member::Input::Reply(reply)));
                 }
-                leader::Effect::Nudge(life) => {
-                    let to: usize = life.name[1..].parse().unwrap();
-                    self.post(at, to, Message::Member(to, life.incarnation, member::Input::Nudge));
+                leader::Effect::Nudge(member) => {
+                    let to: usize = member.name[1..].parse().unwrap();
+                    self.send(at, to, Message::Member(to, member.incarnation, member::Input::Nudge));
                 }
-                leader::Effect::Propose(entry) => self.post(at, at, Message::Log(at, entry)),
+                leader::Effect::Propose(entry) => self.send(at, at, Message::Log(at, entry)),
             }
         }
     }
@@ -173,31 +175,36 @@
     fn step(&mut self, at: usize, input: member::Input) {
         let now = self.local(at);
         for effect in self.nodes[at].member.step(now, input) {
-            let life = self.nodes[at].life;
+            let incarnation = self.nodes[at].incarnation;
             match effect {
                 member::Effect::Ask(ask) => {
-                    // Some still ask an earlier leader, which may not know that it is none.
-                    let stray = self.rng.random_bool(0.15);
-                    let to = if stray { self.rng.random_range(0..N) } else { self.leads };
-                    self.post(at, to, Message::Leader(to, leader::Input::Ask(ask)));
+                    // Some requests go to another node, such as an earlier leader that does not know it was deposed.
+                    let is_misdirected = self.rng.random_bool(0.15);
+                    let to = if is_misdirected { self.rng.random_range(0..N) } else { self.leader_index };
+                    self.send(at, to, Message::Leader(to, leader::Input::Ask(ask)));
                 }
-                member::Effect::Fetch(hash) if !self.nodes[at].slow => {
+                member::Effect::Fetch(hash) if !self.nodes[at].fetches_nothing => {
                     let tables = (1..=3).filter_map(|v| self.state.table(v));
                     let text = tables.filter(|t| t.hash() == hash).map(Table::canonical).next().unwrap();
-                    self.post(at, at, Message::Member(at, life, member::Input::Fetched(hash, text)));
+                    self.send(at, at, Message::Member(at, incarnation, member::Input::Fetched(hash, text)));
                 }
                 member::Effect::Open(turn, hash) => {
                     let open =
                         if self.refuses == Some(at) { Err("127.0.0.1:2".parse().unwrap()) } else { Ok(()) };
-                    self.post(at, at, Message::Member(at, life, member::Input::Opened(turn, hash, open)));
+                    self.send(
+                        at,
+                        at,
+                        Message::Member(at, incarnation, member::Input::Opened(turn, hash, open)),
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    /// No member acts on a turn once any acted on a higher one, and no lease reaches past the moment unacknowledged.
-    fn look(&mut self) {
+    /// Checks that no member acts on a turn after any member acted on a higher one, and that no lease lasts beyond the
+    /// moment of a commit that its holder has not acknowledged.
+    fn check_invariants(&mut self) {
         let mut turns = Vec::new();
         for at in (0..N).filter(|at| self.now >= self.nodes[*at].paused_until) {
             let now = self.local(at);
@@ -210,21 +217,25 @@
         if let Some((turn, Stage::Committed(stamp))) =
             self.state.open_activation().map(|r| (r.activation.fence.turn, r.stage))
         {
-            // Before the moment: at it, who acknowledged has switched and waits for nothing any more.
-            let left = stamp.at.saturating_sub(self.local(self.leads));
-            for at in (0..N).filter(|_| stamp.term == self.term && left > ms(1)) {
+            // Only before the moment: from then on, members that acknowledged have switched and have no pending switch.
+            let remaining = stamp.at.saturating_sub(self.local(self.leader_index));
+            for at in (0..N).filter(|_| stamp.term == self.term && remaining > ms(1)) {
                 let (lease, switch) = self.nodes[at].member.lease_and_switch();
                 // Both clocks drift by at most 90 ppm.
-                let most = self.local(at) + left + left / 5000;
-                if lease.until() > most && switch.is_none() {
-                    self.broken = Some(format!("m{at}: a lease past the moment of {turn}, not acknowledged"));
+                let limit = self.local(at) + remaining + remaining / 5000;
+                if lease.until() > limit && switch.is_none() {
+                    self.violation =
+                        Some(format!("m{at}: a lease beyond the moment of {turn}, not acknowledged"));
                 }
             }
         }
-        self.newest = self.newest.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
-        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.newest) {
-            self.broken =
-                Some(format!("m{at} acts on {turn} after {} at {} ms", self.newest, self.now / 1_000_000));
+        self.highest_turn = self.highest_turn.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
+        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.highest_turn) {
+            self.violation = Some(format!(
+                "m{at} acts on {turn} after {} at {} ms",
+                self.highest_turn,
+                self.now / 1_000_000
+            ));
         }
     }
 
@@ -238,10 +249,10 @@
                 let message = self.queue.remove(&(at, number)).unwrap();
                 self.now = self.now.max(at);
                 match message {
-                    Message::Member(to, life, input) if self.nodes[to].life == life => {
+                    Message::Member(to, incarnation, input) if self.nodes[to].incarnation == incarnation => {
                         let until = self.nodes[to].paused_until;
                         if self.now < until {
-                            self.queue.insert((until, number), Message::Member(to, life, input));
+                            self.queue.insert((until, number), Message::Member(to, incarnation, input));
                         } else {
                             self.step(to, input);
                         }
@@ -249,17 +260,17 @@
                     Message::Leader(to, input) if self.now >= self.nodes[to].paused_until => {
                         self.lead(to, input)
                     }
-                    Message::Log(from, entry) if from == self.leads && !self.nodes[from].cut => {
+                    Message::Log(from, entry) if from == self.leader_index && !self.nodes[from].cut => {
                         let _ = self.apply(entry);
                     }
                     _ => {}
                 }
-                self.look();
+                self.check_invariants();
             }
             self.now = tick;
             for at in (0..N).filter(|at| tick >= self.nodes[*at].paused_until).collect::<Vec<_>>() {
                 self.step(at, member::Input::Tick);
-                if at == self.leads && !self.nodes[at].cut {
+                if at == self.leader_index && !self.nodes[at].cut {
                     let sent = self.local(at).saturating_sub(ms(5));
                     self.lead(at, leader::Input::Confirmed { sent });
                 }
@@ -268,24 +279,24 @@
             if self.fault == Fault::RashCommit {
                 if let Some(run) = self.state.open_activation().filter(|r| r.stage == Stage::Preparing) {
                     let (turn, term, at) =
-                        (run.activation.fence.turn, self.term, self.local(self.leads) + ms(100));
+                        (run.activation.fence.turn, self.term, self.local(self.leader_index) + ms(100));
                     let _ = self.apply(Entry::Commit { turn, at: Stamp { term, at } });
                 }
             }
-            self.look();
+            self.check_invariants();
             tick += 5_000_000;
         }
     }
 
     fn restart(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.life += 1;
-        let life = MemberIncarnation { name: format!("m{at}"), incarnation: node.life };
+        node.incarnation += 1;
+        let identity = MemberIncarnation { name: format!("m{at}"), incarnation: node.incarnation };
         (node.member, node.leader) =
-            (Member::new(life, known(), Timing::default()), Leader::new(Timing::default()));
+            (Member::new(identity, known(), Timing::default()), Leader::new(Timing::default()));
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.rng.random_range(0..N);
         match self.rng.random_range(0..6) {
             0 => self.nodes[at].paused_until = self.now + self.rng.random_range(10_000_000..4_000_000_000),
@@ -295,23 +306,26 @@
             4 => self.loss = self.rng.random_range(0.0..0.3),
             _ => self.elect(at),
         }
-        let led = &self.nodes[self.leads];
-        if led.cut || led.paused_until > self.now || self.term > 1 && self.nodes[self.leads].life > 1 {
-            let up = (0..N).find(|n| !self.nodes[*n].cut && self.nodes[*n].paused_until <= self.now);
-            if let Some(up) = up.filter(|_| self.rng.random_bool(0.8)) {
-                self.elect(up);
+        let leader = &self.nodes[self.leader_index];
+        if leader.cut
+            || leader.paused_until > self.now
+            || self.term > 1 && self.nodes[self.leader_index].incarnation > 1
+        {
+            let reachable = (0..N).find(|n| !self.nodes[*n].cut && self.nodes[*n].paused_until <= self.now);
+            if let Some(reachable) = reachable.filter(|_| self.rng.random_bool(0.8)) {
+                self.elect(reachable);
             }
         }
     }
 
-    fn begin(&mut self, version: u64) -> Result<hopwalk::fleet::routes::record::Applied, RecordError> {
+    fn prepare(&mut self, version: u64) -> Result<hopwalk::fleet::routes::record::Applied, RecordError> {
         self.apply(Entry::Prepare { version, by: "anna".into() })
     }
 
-    fn ready(seed: u64) -> Self {
+    fn with_version_1(seed: u64) -> Self {
         let mut fleet = Self::new(seed, Fault::None);
         fleet.run(1500);
-        fleet.begin(1).unwrap();
+        fleet.prepare(1).unwrap();
         fleet.run(6000);
         assert_eq!(fleet.state.active().unwrap().fence.version, 1);
         fleet
@@ -322,19 +336,19 @@
     }
 }
 
-fn play(seed: u64, fault: Fault) -> (Option<String>, u64) {
+fn run_seed(seed: u64, fault: Fault) -> (Option<String>, u64) {
     let mut fleet = Fleet::new(seed, fault);
     fleet.run(1500);
     for round in 0..4 {
-        let _ = fleet.begin(1 + round % 3);
+        let _ = fleet.prepare(1 + round % 3);
         for _ in 0..6 {
-            // The steps of prepare and commit are all within the first 3 s.
+            // All steps of prepare and commit happen within the first 3 s.
             let pause = fleet.rng.random_range(5..900);
             fleet.run(pause);
-            fleet.disturb();
+            fleet.inject_fault();
         }
-        if fleet.broken.is_some() {
-            return (fleet.broken, fleet.newest);
+        if fleet.violation.is_some() {
+            return (fleet.violation, fleet.highest_turn);
         }
     }
     fleet.loss = 0.0;
@@ -342,10 +356,10 @@
     let at = fleet.rng.random_range(0..N);
     fleet.elect(at);
     fleet.run(9000);
-    if fleet.broken.is_none() && fleet.state.open_activation().is_some() {
-        fleet.broken = Some("an activation did not end after the heal".into());
+    if fleet.violation.is_none() && fleet.state.open_activation().is_some() {
+        fleet.violation = Some("an activation did not end after the heal".into());
     }
-    (fleet.broken, fleet.newest)
+    (fleet.violation, fleet.highest_turn)
 }
 
 #[test]
@@ -353,101 +367,101 @@
     let seeds = std::env::var("ROUTES_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
     let mut switches = 0;
     for seed in 0..seeds {
-        let (broken, newest) = play(seed, Fault::None);
-        assert_eq!(broken, None, "seed {seed}");
-        switches += newest;
+        let (violation, highest_turn) = run_seed(seed, Fault::None);
+        assert_eq!(violation, None, "seed {seed}");
+        switches += highest_turn;
     }
     println!("{seeds} seeds, turns reached {switches}");
-    assert!(switches > seeds, "too few switches to show anything");
+    assert!(switches > seeds, "too few switches for a meaningful test");
 }
 
 #[test]
 fn the_invariant_finds_planted_faults() {
     for fault in [Fault::LongLease, Fault::RashCommit] {
-        let found = (0..50).filter(|seed| play(*seed, fault).0.is_some()).count();
-        assert!(found > 0, "not found");
+        let found = (0..50).filter(|seed| run_seed(*seed, fault).0.is_some()).count();
+        assert!(found > 0, "the planted fault is not found");
         println!("found in {found} of 50 seeds");
     }
 }
 
 #[test]
-fn before_any_activation_turn_0_is_acted_on_under_a_lease_and_left_at_one_moment() {
+fn before_the_first_activation_members_with_a_lease_act_on_turn_0_and_leave_it_together() {
     let mut fleet = Fleet::new(7, Fault::None);
     let route = |fleet: &Fleet, at: usize| {
         let now = fleet.local(at);
         fleet.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
     };
-    assert_eq!(route(&fleet, 1), CallDecision::Barred, "no word of a leader yet");
+    assert_eq!(route(&fleet, 1), CallDecision::Barred, "no reply of a leader yet");
     fleet.run(1500);
     assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(Fence::default())));
-    fleet.begin(1).unwrap();
+    fleet.prepare(1).unwrap();
     fleet.run(4000);
     let first = Fence { turn: 1, version: 1 };
     assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(first)));
     let member = &fleet.nodes[0].member;
     assert!(member.table_under(first).is_some() && member.table_under(Fence::default()).is_none());
-    // Without a leader the lease lapses.
+    // Without a leader the lease ends.
     fleet.nodes.iter_mut().for_each(|n| n.cut = true);
-    fleet.nodes[fleet.leads].paused_until = u64::MAX;
+    fleet.nodes[fleet.leader_index].paused_until = u64::MAX;
     fleet.run(2500);
-    assert_eq!((route(&fleet, 1), fleet.broken), (CallDecision::Barred, None));
+    assert_eq!((route(&fleet, 1), fleet.violation), (CallDecision::Barred, None));
 }
 
 #[test]
-fn one_refusal_aborts_and_a_rollback_goes_back() {
-    let mut fleet = Fleet::ready(1);
+fn one_refusal_aborts_and_a_rollback_activates_the_previous_version() {
+    let mut fleet = Fleet::with_version_1(1);
     fleet.refuses = Some(3);
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(1500);
     assert!(
-        matches!(fleet.aborted(), Some(AbortReason::Refused(life, Refusal::Connect { .. })) if life.name == "m3")
+        matches!(fleet.aborted(), Some(AbortReason::Refused(member, Refusal::Connect { .. })) if member.name == "m3")
     );
     fleet.refuses = None;
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(5000);
     fleet.apply(Entry::Rollback { by: "anna".into() }).unwrap();
     fleet.run(5000);
     let fence = fleet.state.active().unwrap().fence;
     assert_eq!((fence.version, fence.turn), (1, 4), "an older version under a newer turn");
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn silence_aborts_unless_the_lease_lapses_in_time() {
-    let mut fleet = Fleet::ready(2);
-    fleet.nodes[3].slow = true;
-    fleet.begin(2).unwrap();
+fn a_silent_member_aborts_unless_its_lease_ends_in_time() {
+    let mut fleet = Fleet::with_version_1(2);
+    fleet.nodes[3].fetches_nothing = true;
+    fleet.prepare(2).unwrap();
     fleet.run(5000);
-    assert!(matches!(fleet.aborted(), Some(AbortReason::Silent(life)) if life.name == "m3"));
+    assert!(matches!(fleet.aborted(), Some(AbortReason::Silent(member)) if member.name == "m3"));
     fleet.nodes[3].cut = true;
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(6000);
     assert_eq!((fleet.aborted(), fleet.state.active().unwrap().fence.version), (None, 2));
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn who_is_heard_and_hears_nobody_gets_no_lease_and_stops_no_switch() {
-    let mut fleet = Fleet::ready(5);
-    fleet.deaf = Some((fleet.leads + 1) % N);
-    fleet.begin(2).unwrap();
+fn a_member_that_receives_nothing_gets_no_lease_and_delays_no_switch() {
+    let mut fleet = Fleet::with_version_1(5);
+    fleet.receives_nothing = Some((fleet.leader_index + 1) % N);
+    fleet.prepare(2).unwrap();
     fleet.run(6000);
     assert_eq!((fleet.aborted(), fleet.state.active().unwrap().fence.version), (None, 2));
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_is_told() {
-    let mut fleet = Fleet::ready(3);
-    fleet.begin(2).unwrap();
-    let told = fleet.apply(Entry::Prepare { version: 3, by: "ben".into() });
-    assert_eq!(told, Err(RecordError::Busy { version: 2, by: "anna".into() }));
+fn of_two_concurrent_operators_one_succeeds_and_the_other_gets_an_error() {
+    let mut fleet = Fleet::with_version_1(3);
+    fleet.prepare(2).unwrap();
+    let result = fleet.apply(Entry::Prepare { version: 3, by: "ben".into() });
+    assert_eq!(result, Err(RecordError::Busy { version: 2, by: "anna".into() }));
 }
 
 #[test]
 fn inside_the_uncertainty_a_request_waits_for_at_most_twice_the_bound() {
-    let mut fleet = Fleet::ready(4);
-    fleet.begin(2).unwrap();
+    let mut fleet = Fleet::with_version_1(4);
+    fleet.prepare(2).unwrap();
     while fleet.nodes[2].member.lease_and_switch().1.is_none() {
         fleet.run(5);
     }
@@ -465,7 +479,7 @@
 }
 
 #[test]
-fn a_wide_bound_and_a_clock_that_runs_wrong_are_told_apart() {
+fn a_wide_bound_and_a_wrong_clock_are_different_errors() {
     let mut clock = Clock::default();
     let s = |sent, received, theirs| Sample { sent: ms(sent), received: ms(received), theirs: ms(theirs) };
     clock.add_sample(s(100, 111, 1105)).unwrap();
@@ -478,7 +492,7 @@
 }
 
 #[test]
-fn a_member_that_is_cut_off_leaves_its_posture_without_waiting_for_deaths() {
+fn the_posture_of_a_member_that_is_cut_off_changes_before_the_others_are_declared_dead() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let mut ears = Ears::new("m0", &voters, ms(200));
     assert_eq!(ears.posture(ms(0)), Posture::Alone);
@@ -494,11 +508,11 @@
 }
 
 #[test]
-fn the_membership_tells_a_minority_from_nobody_and_allows_nothing() {
+fn the_membership_distinguishes_a_minority_from_alone_and_permits_nothing_more() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let all: Vec<String> = (0..7).map(|n| format!("m{n}")).collect();
-    // Every set of voters heard by the record, with every set of members heard by the membership, for a voter
-    // and for none.
+    // Each set of voters that answer the record, with each set of members that answer the membership, for a voter and
+    // for a member that is not a voter.
     for (own, record, membership) in ["m0", "m6"]
         .into_iter()
         .flat_map(|own| (0..32u32).flat_map(move |r| (0..128u32).map(move |m| (own, r, m))))
@@ -518,7 +532,7 @@
         assert_eq!(with.may(), without.may(), "{own} {record:b} {membership:b}");
         let expected = if without == Posture::Alone && others { Posture::Minority } else { without };
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
-        // Its answers count for five periods of its own, and are kept no longer.
+        // The membership's answers count for five of its own periods, and are then forgotten.
         assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
         beside.acked("m5", ms(2000));
         assert_eq!(beside.by_membership(ms(2100)), ["m5"]);
@@ -526,7 +540,7 @@
 }
 
 #[test]
-fn a_table_is_checked_whole() {
+fn the_whole_table_is_validated() {
     let table = Table::parse(&document(1)).unwrap();
     assert_eq!(table.check(&known()), Ok(()));
     assert_eq!(Table::parse(&table.canonical()).unwrap().hash(), table.hash());
@@ -542,7 +556,7 @@
     assert!(matches!(with("\"tries\"", arms), Err(TableError::Shares { sum: 999, .. })));
 }
 
-/// A document that is `bytes` long, without blanks, with `routes` routes that leave `without` out.
+/// A document of `bytes` bytes, without whitespace, with `routes` routes that omit `without`.
 fn document_of(bytes: usize, routes: usize) -> String {
     let route = |n: usize| format!(r#"{{"class":"c{n}","pool":"a","timeout_ms":9,"tries":1}}"#);
     let routes: Vec<_> = (0..routes).map(route).collect();
@@ -555,7 +569,7 @@
 }
 
 #[test]
-fn a_table_that_is_too_long_once_written_out_is_refused_to_its_proposer() {
+fn a_table_whose_canonical_form_is_too_long_is_refused_when_proposed() {
     // Each route's `without` is 16 bytes longer in the canonical form.
     let fits = Table::parse(&document_of(MAX_BYTES - 20 * 16, 20)).unwrap();
     assert_eq!(fits.canonical().len(), MAX_BYTES);
@@ -567,12 +581,12 @@
     assert_eq!(Table::parse(&one), Err(TableError::Canonical { bytes: MAX_BYTES + 1 }));
     let propose = Entry::Propose { table: over, by: "o".into() };
     assert_eq!(propose.bounded(), Err(RecordError::Table { problem }));
-    // What is in a log already is taken as before, by all voters alike.
+    // An entry that is already in a log is still applied, by all voters in the same way.
     assert!(State::default().apply(&propose).is_ok());
 }
 
 #[test]
-fn an_order_under_a_name_without_end_does_not_come_into_the_log() {
+fn an_order_with_a_too_long_operator_name_is_not_logged() {
     let by = |bytes: usize| "x".repeat(bytes);
     let all = |bytes: usize| {
         [
@@ -589,7 +603,7 @@
 }
 
 #[test]
-fn of_a_refusal_the_record_keeps_names_cut_short() {
+fn the_record_keeps_a_refusal_with_truncated_names() {
     let name = "é".repeat(MAX_BYTES / 2);
     let problem = TableError::RouteTwice { class: name.clone(), tenant: Some("t".into()) };
     let kept = Refusal::Table { problem }.truncated();
--- a/tests/routes/prepares.rs
+++ b/tests/routes/prepares.rs
@@ -1,17 +1,17 @@
-//! What a member answers to a prepare: by connections that were opened for its own turn.
+//! Tests that a member answers a prepare by the connections that were opened for this very turn.
 
 use super::*;
 
-/// One member that a leader's word comes to at once.
-struct Told {
+/// One member, to which the leader's replies are delivered at once.
+struct PreparingMember {
     member: Member,
     now: Duration,
 }
 
-impl Told {
+impl PreparingMember {
     fn new() -> Self {
-        let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
-        Self { member: Member::new(life, known(), Timing::default()), now: ms(1) }
+        let identity = MemberIncarnation { name: "m1".into(), incarnation: 1 };
+        Self { member: Member::new(identity, known(), Timing::default()), now: ms(1) }
     }
 
     fn step(&mut self, input: member::Input) -> Vec<member::Effect> {
@@ -19,7 +19,7 @@
         self.member.step(self.now, input)
     }
 
-    /// Has it ask, and replies that this is on its way.
+    /// Makes the member send a lease request, and replies with this activation in progress.
     fn reply(&mut self, pending: Option<Pending>) -> Vec<member::Effect> {
         let asked = self.step(member::Input::Nudge);
         let ask = asked.iter().find_map(|effect| match effect {
@@ -31,7 +31,7 @@
         self.member.step(self.now, member::Input::Reply(reply))
     }
 
-    /// Has it prepare a turn with the only table; true if it wants to open connections.
+    /// Makes the member prepare a turn with the only table. Returns whether it wants to open connections.
     fn prepare(&mut self, turn: u64) -> bool {
         let table = Table::parse(&document(1)).unwrap();
         let activation = Activation { fence: Fence { turn, version: 1 }, hash: table.hash() };
@@ -47,7 +47,7 @@
         self.step(member::Input::Opened(turn, hash, opened));
     }
 
-    /// What it says to a prepare.
+    /// Returns the member's answer to a prepare.
     fn answer(&mut self) -> Option<(u64, bool)> {
         let asked = self.step(member::Input::Nudge);
         asked.into_iter().find_map(|effect| match effect {
@@ -58,28 +58,28 @@
 }
 
 #[test]
-fn a_prepare_is_not_answered_by_connections_that_were_opened_for_an_earlier_turn() {
-    // Guards against a switch to services that were in reach an hour ago, when the activation was aborted.
-    let mut told = Told::new();
-    assert!(told.prepare(1));
-    told.opened(1, Ok(()));
-    assert_eq!(told.answer(), Some((1, true)));
-    told.reply(None);
-    assert!(told.prepare(2), "it tries them anew");
-    assert_eq!(told.answer(), None);
-    told.opened(2, Ok(()));
-    assert_eq!(told.answer(), Some((2, true)));
+fn connections_opened_for_an_earlier_turn_do_not_accept_a_prepare() {
+    // Guards against a switch to services that were reachable only when an earlier activation was aborted.
+    let mut member = PreparingMember::new();
+    assert!(member.prepare(1));
+    member.opened(1, Ok(()));
+    assert_eq!(member.answer(), Some((1, true)));
+    member.reply(None);
+    assert!(member.prepare(2), "it opens them again");
+    assert_eq!(member.answer(), None);
+    member.opened(2, Ok(()));
+    assert_eq!(member.answer(), Some((2, true)));
 }
 
 #[test]
-fn a_prepare_is_not_refused_by_a_connection_that_failed_for_an_earlier_turn() {
-    // Guards against an activation that is aborted again though the service is there by now.
-    let mut told = Told::new();
-    assert!(told.prepare(1));
-    told.reply(None);
-    told.prepare(2);
-    told.opened(1, Err("127.0.0.1:1".parse().unwrap()));
-    assert_eq!(told.answer(), None);
-    told.opened(2, Ok(()));
-    assert_eq!(told.answer(), Some((2, true)));
+fn a_connection_that_failed_for_an_earlier_turn_does_not_refuse_a_prepare() {
+    // Guards against aborting an activation again although the service has become reachable.
+    let mut member = PreparingMember::new();
+    assert!(member.prepare(1));
+    member.reply(None);
+    member.prepare(2);
+    member.opened(1, Err("127.0.0.1:1".parse().unwrap()));
+    assert_eq!(member.answer(), None);
+    member.opened(2, Ok(()));
+    assert_eq!(member.answer(), Some((2, true)));
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The fleet's links: frames however bytes are split, and the two ends over loopback.
+//! Tests of the fleet's links: the decoder with bytes split in any way, and the two ends over loopback.
 
 use std::future::pending;
 use std::io::ErrorKind;
@@ -19,16 +19,16 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 
-/// Within which an answer comes, also on a machine that is starved.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// No test waits for longer.
-const HANGS: Duration = Duration::from_secs(100);
+/// The time limit of an answer, which is sufficient on an overloaded machine too.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time limit of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(100);
 
 fn any_loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
 }
 
-/// Bodies, and where the stream of their frames is cut.
+/// Bodies of frames, and the sizes of the parts in which their stream is delivered.
 fn streams() -> impl Strategy<Value = (Vec<Vec<u8>>, Vec<usize>)> {
     let bodies = prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..12);
     (bodies, prop::collection::vec(1usize..60, 1..40))
@@ -41,7 +41,7 @@
     fn any_split_of_the_bytes_gives_the_same_frames((bodies, cuts) in streams()) {
         let stream: Vec<u8> =
             bodies.iter().flat_map(|b| [&(b.len() as u32).to_be_bytes()[..], b].concat()).collect();
-        let (mut decoder, mut got, mut rest) = (Decoder::new(64), Vec::new(), &stream[..]);
+        let (mut decoder, mut received, mut rest) = (Decoder::new(64), Vec::new(), &stream[..]);
         for cut in cuts.iter().cycle() {
             if rest.is_empty() {
                 break;
@@ -49,15 +49,15 @@
             let (now, later) = rest.split_at((*cut).min(rest.len()));
             decoder.push(now);
             while let Some(body) = decoder.frame().unwrap() {
-                got.push(body.to_vec());
+                received.push(body.to_vec());
             }
             rest = later;
         }
-        prop_assert_eq!(got, bodies);
+        prop_assert_eq!(received, bodies);
     }
 
     #[test]
-    fn what_is_too_long_is_told_from_its_length_on(over in 1u32..=u32::MAX - 64, good in 0usize..4) {
+    fn a_too_long_frame_is_an_error_as_soon_as_its_length_is_known(over in 1u32..=u32::MAX - 64, good in 0usize..4) {
         let mut decoder = Decoder::new(64);
         for _ in 0..good {
             decoder.push(&[0, 0, 0, 1, 7]);
@@ -87,7 +87,7 @@
         let mut body = encode(&(id, Request::Admit { name: name.clone() }), MAX_FRAME).unwrap().split_off(4);
         body.resize(body.len().saturating_add_signed(off.into()), 0);
         match decode::<(u64, Request)>(&body) {
-            Ok((got, Request::Admit { name: same })) => prop_assert_eq!((off, got, same), (0, id, name)),
+            Ok((received, Request::Admit { name: same })) => prop_assert_eq!((off, received, same), (0, id, name)),
             other => {
                 prop_assert!(off != 0);
                 prop_assert_eq!(other.err(), Some(FrameError::Malformed));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_opening_says_what_is_foreign() {
+fn an_opening_of_a_foreign_peer_is_an_error() {
     let body = |opening: &Opening| encode(opening, MAX_FRAME).unwrap().split_off(4);
     let own = Opening::new("f", "a");
     assert_eq!(Opening::read(&body(&own), "f"), Ok(own.clone()));
@@ -110,10 +110,10 @@
 
 fn run<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(HANGS, test).await.expect("the test hangs") })
+    runtime.block_on(async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test hangs") })
 }
 
-/// Answers `Hello` with the number of its link, `Submit`-like `Admit` never, and `DocumentKind` with more than a frame holds.
+/// Answers `Hello` with the number of its link, `Look` with more than a frame can contain, and all others never.
 fn handler(from: Arc<RequestOrigin>, request: Request) -> ResponseFuture {
     Box::pin(async move {
         match request {
@@ -128,10 +128,10 @@
     })
 }
 
-/// Asks, and again while the link did not open in time: so long nothing was sent.
-async fn opened(client: &Client, request: &Request) -> Result<Response, WireError> {
+/// Sends a request, and repeats it while the link does not open in time, because the request was not sent then.
+async fn request_when_open(client: &Client, request: &Request) -> Result<Response, WireError> {
     loop {
-        match client.request(request, PATIENCE).await {
+        match client.request(request, ANSWER_TIMEOUT).await {
             Err(WireError::Unreachable { kind: ErrorKind::TimedOut, .. }) => {
                 tokio::time::sleep(RECONNECT_DELAY).await
             }
@@ -141,18 +141,18 @@
 }
 
 async fn hello(client: &Client) -> Result<(u64, String), WireError> {
-    match opened(client, &Request::Hello).await? {
+    match request_when_open(client, &Request::Hello).await? {
         Response::Hello(hello) => Ok((hello.node.unwrap(), hello.leader.unwrap())),
         other => panic!("{other:?}"),
     }
 }
 
-fn never() -> Request {
+fn unanswered_request() -> Request {
     Request::Admit { name: "n".into() }
 }
 
 #[test]
-fn a_link_carries_many_at_once_and_opens_again() {
+fn a_link_transfers_concurrent_requests_and_reconnects() {
     run(async {
         let server = Server::start(any_loopback(), LocalEnd::new("f", "s"), handler).await.unwrap();
         let address = server.address();
@@ -162,24 +162,25 @@
         assert_eq!(name, "c");
         assert_eq!((server.push(Some("c"), Push::Nudge), server.push(Some("d"), Push::Nudge)), (1, 0));
         assert_eq!(pushed.recv().await, Some(("s".into(), Push::Nudge)));
-        // What is never answered holds up nothing else, until the link is full.
-        let ask_in_vain = |patience| {
+        // Requests without an answer do not delay others until the link is full.
+        let request_without_answer = |time_limit| {
             let client = client.clone();
-            tokio::spawn(async move { client.request(&never(), patience).await.err() })
+            tokio::spawn(async move { client.request(&unanswered_request(), time_limit).await.err() })
         };
-        let stuck: Vec<_> = (0..MAX_IN_FLIGHT - 1).map(|_| ask_in_vain(PATIENCE)).collect();
+        let unanswered: Vec<_> =
+            (0..MAX_IN_FLIGHT - 1).map(|_| request_without_answer(ANSWER_TIMEOUT)).collect();
         tokio::task::yield_now().await;
         assert_eq!(hello(&client).await, Ok((link, "c".into())));
         let too_long = client
-            .request(&Request::Look(hopwalk::fleet::wire::message::DocumentKind::Routes), PATIENCE)
+            .request(&Request::Look(hopwalk::fleet::wire::message::DocumentKind::Routes), ANSWER_TIMEOUT)
             .await;
         assert!(matches!(too_long, Ok(Response::TooLong)), "{too_long:?}");
-        let one_more = ask_in_vain(Duration::from_millis(200));
+        let one_more = request_without_answer(Duration::from_millis(200));
         tokio::task::yield_now().await;
         assert_eq!(hello(&client).await, Err(WireError::Busy { peer: "s".into() }));
         let silent = one_more.await.unwrap();
         assert!(matches!(silent, Some(WireError::Silent { .. })), "{silent:?}");
-        stuck.iter().for_each(|stuck| stuck.abort());
+        unanswered.iter().for_each(|unanswered| unanswered.abort());
 
         drop(server);
         loop {
@@ -212,7 +213,7 @@
         pushed.recv().await.unwrap();
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (n, f) = (&near.counters, &far.counters);
-        // An opening each way, three requests there, three answers and a push back.
+        // An opening in each direction, three requests, three answers and a push.
         assert_eq!((get(&n.frames_out), get(&f.frames_in)), (4, 4));
         assert_eq!((get(&f.frames_out), get(&n.frames_in)), (5, 5));
         let (there, back) = (get(&n.bytes_out), get(&f.bytes_out));
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn foreign_peers_are_told_and_counted() {
+fn foreign_peers_get_an_error_and_are_counted() {
     run(async {
         let local = LocalEnd::new("f", "s");
         let server = Server::start(any_loopback(), local.clone(), handler).await.unwrap();
@@ -238,7 +239,8 @@
         let other = Client::start(LocalEnd::new("f", "c"), "t", server.address(), None);
         let error = FrameError::Name { theirs: "s".into() };
         assert_eq!(hello(&other).await, Err(WireError::Frame { peer: "t".into(), error }));
-        // Another program, one that says too much, and one that is no message after a right opening.
+        // Another program, one whose first bytes are too long a length, a malformed message after a valid opening, and
+        // a too long frame after one.
         let opening = encode(&Opening::new("f", "c"), MAX_FRAME).unwrap();
         let malformed = [&opening[..], &[0, 0, 0, 3, 1, 250, 250]].concat();
         let long = [&opening[..], &[255; 8]].concat();
@@ -258,7 +260,7 @@
                 stream.write_all(&bytes).await.unwrap();
                 let mut rest = Vec::new();
                 let _ = stream.read_to_end(&mut rest).await;
-                // One that did not open in time is none of this.
+                // A connection that did not open in time does not count.
                 if counters.stalled.load(Ordering::Relaxed) == stalled || counts() != before {
                     break;
                 }
@@ -272,36 +274,37 @@
 }
 
 #[test]
-fn a_peer_that_neither_reads_nor_answers_costs_its_own_link() {
+fn a_peer_that_neither_reads_nor_answers_loses_only_its_own_link() {
     run(async {
-        // A server that opens each link, and then does nothing any more.
+        // A server that opens each link, and then neither reads nor writes.
         let listener = TcpListener::bind(any_loopback()).await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::spawn(async move {
-            let mut kept = Vec::new();
+            let mut streams = Vec::new();
             while let Ok((mut stream, _)) = listener.accept().await {
                 let _ = stream.write_all(&encode(&Opening::new("f", "s"), MAX_FRAME).unwrap()).await;
-                kept.push(stream);
+                streams.push(stream);
             }
         });
         let local = LocalEnd::new("f", "c");
         let client = Client::start(local.clone(), "s", address, None);
-        let asking = tokio::spawn(async move { opened(&client, &Request::Hello).await });
+        let pending_request = tokio::spawn(async move { request_when_open(&client, &Request::Hello).await });
 
-        // A client that asks, and never reads: another one is answered all the while, and the link ends.
-        let deaf = LocalEnd::new("f", "s");
-        let big = |from: Arc<RequestOrigin>, _| -> ResponseFuture {
+        // A client that sends requests and never reads. Another client is answered meanwhile, and the first one's link
+        // is closed.
+        let server_end = LocalEnd::new("f", "s");
+        let long_answers = |from: Arc<RequestOrigin>, _| -> ResponseFuture {
             let length = if from.name == "d" { MAX_FRAME / 4 } else { 1 };
             Box::pin(async move { Response::Document("x".repeat(length)) })
         };
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let server = Server::start(any_loopback(), deaf.clone(), big).await.unwrap();
+        let server = Server::start(any_loopback(), server_end.clone(), long_answers).await.unwrap();
         let other = LocalEnd::new("f", "e");
         let client = Client::start(other.clone(), "s", server.address(), None);
-        let answered = opened(&client, &Request::Hello).await;
+        let answered = request_when_open(&client, &Request::Hello).await;
         assert!(matches!(answered, Ok(Response::Document(_))), "{answered:?}");
-        // What a link that opens too late would count is behind us once both are there.
-        let mut silent = loop {
+        // The counters are read after both links are open, so that a link that opened too late is not counted.
+        let mut stream_without_reads = loop {
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4096).unwrap();
             let mut stream = socket.connect(server.address()).await.unwrap();
@@ -314,17 +317,20 @@
         while server.push(Some("d"), Push::Nudge) == 0 {
             tokio::task::yield_now().await;
         }
-        let (stalled, closed) = (count(&deaf.counters.stalled), count(&deaf.counters.closed));
-        let ask = |id| encode(&(id, Request::Hello), MAX_FRAME).unwrap();
-        silent.write_all(&(0..4 * MAX_IN_FLIGHT as u64).flat_map(ask).collect::<Vec<_>>()).await.unwrap();
-        while count(&deaf.counters.stalled) == stalled {
-            let answer = client.request(&Request::Hello, PATIENCE).await;
+        let (stalled, closed) = (count(&server_end.counters.stalled), count(&server_end.counters.closed));
+        let hello = |id| encode(&(id, Request::Hello), MAX_FRAME).unwrap();
+        stream_without_reads
+            .write_all(&(0..4 * MAX_IN_FLIGHT as u64).flat_map(hello).collect::<Vec<_>>())
+            .await
+            .unwrap();
+        while count(&server_end.counters.stalled) == stalled {
+            let answer = client.request(&Request::Hello, ANSWER_TIMEOUT).await;
             assert!(matches!(answer, Ok(Response::Document(_))), "{answer:?}");
         }
-        let answer = client.request(&Request::Hello, PATIENCE).await;
+        let answer = client.request(&Request::Hello, ANSWER_TIMEOUT).await;
         assert!(matches!(answer, Ok(Response::Document(_))), "{answer:?}");
-        assert_eq!((count(&deaf.counters.closed) - closed, count(&other.counters.opened)), (1, 1));
-        let error = asking.await.unwrap().unwrap_err();
+        assert_eq!((count(&server_end.counters.closed) - closed, count(&other.counters.opened)), (1, 1));
+        let error = pending_request.await.unwrap().unwrap_err();
         assert!(matches!(error, WireError::Closed { .. }), "{error:?}");
         assert_eq!(count(&local.counters.stalled), 1);
     });
