--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -142,10 +142,10 @@
 
     /// Returns the moment beyond which no lease may last whose holder has not acknowledged the commit: the recorded
     /// moment, or a proposed one.
-    fn barrier(&self, timing: Timing, run: Option<&OpenActivation>) -> Option<(Turn, TimeWindow)> {
-        let run = run?;
-        let turn = run.activation.fence.turn;
-        if let Stage::Committed(stamp) = run.stage {
+    fn barrier(&self, timing: Timing, open: Option<&OpenActivation>) -> Option<(Turn, TimeWindow)> {
+        let open = open?;
+        let turn = open.activation.fence.turn;
+        if let Stage::Committed(stamp) = open.stage {
             return Some((turn, self.moment(timing, turn, stamp)));
         }
         let progress = self.progress.as_ref().filter(|p| p.turn == turn)?;
@@ -157,16 +157,16 @@
 
     fn advance(&mut self, now: Duration, timing: Timing, state: &State, effects: &mut Vec<Effect>) {
         self.leases.remove_expired(now, timing.deadline * 4);
-        let Some(run) = state.open_activation() else { return self.progress = None };
-        let turn = run.activation.fence.turn;
-        let committed = run.stage != Stage::Preparing;
+        let Some(open) = state.open_activation() else { return self.progress = None };
+        let turn = open.activation.fence.turn;
+        let committed = open.stage != Stage::Preparing;
         let new = self.progress.as_ref().is_none_or(|p| p.turn != turn);
         if new {
             let (refused, proposed, done_proposed) = (None, None, None);
             self.progress = Some(Progress { turn, began: now, committed, refused, proposed, done_proposed });
         }
         let predecessors_end = self.predecessors_end(timing);
-        let barrier = self.barrier(timing, Some(run));
+        let barrier = self.barrier(timing, Some(open));
         let Some(progress) = &mut self.progress else { return };
         if new || committed != progress.committed {
             progress.committed = committed;
@@ -222,8 +222,8 @@
         request: LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let run = state.open_activation();
-        let barrier = self.barrier(timing, run);
+        let open = state.open_activation();
+        let barrier = self.barrier(timing, open);
         let Some(granted) = self.leases.entry(&request.member) else { return };
         if request.number <= granted.number {
             return;
@@ -234,7 +234,7 @@
         granted.number = request.number;
         granted.acknowledged = request.acknowledged;
         granted.prepared = None;
-        let turn = run.map(|r| r.activation.fence.turn);
+        let turn = open.map(|r| r.activation.fence.turn);
         if let Some((answered, answer)) = request.answer.filter(|(answered, _)| Some(*answered) == turn) {
             match (answer, &mut self.progress) {
                 (Ok(_), _) => granted.prepared = Some(answered),
@@ -249,21 +249,21 @@
             length = Duration::ZERO;
         }
         let (mut active, mut pending): (Option<Activation>, _) = (state.active(), None);
-        match (run, barrier) {
-            (Some(run), Some((turn, moment))) => {
-                let committed = run.stage != Stage::Preparing;
+        match (open, barrier) {
+            (Some(open), Some((turn, moment))) => {
+                let committed = open.stage != Stage::Preparing;
                 if committed && now >= moment.high {
-                    active = Some(run.activation);
+                    active = Some(open.activation);
                 } else {
                     if granted.acknowledged != Some(turn) || !committed {
                         length = length.min(moment.low.saturating_sub(now));
                     }
                     let known = moment.low > Duration::ZERO;
-                    pending = (committed && known).then_some(Pending::Commit(run.activation, moment));
+                    pending = (committed && known).then_some(Pending::Commit(open.activation, moment));
                 }
             }
-            (Some(run), None) => {
-                pending = Some(Pending::Prepare(run.activation));
+            (Some(open), None) => {
+                pending = Some(Pending::Prepare(open.activation));
                 let began = self.progress.as_ref().map_or(now, |p| p.began);
                 if granted.prepared.is_some() {
                     length = length.min(timing.lead);
--- a/src/fleet/wire/server.rs
+++ b/src/fleet/wire/server.rs
@@ -244,7 +244,7 @@
     loop {
         loop {
             let (id, request) = match decoder.frame().and_then(|body| body.map(Request::read).transpose()) {
-                Ok(Some(request)) => request,
+                Ok(Some(numbered)) => numbered,
                 Ok(None) => break,
                 Err(error) => return CloseReason::Frame(error),
             };
--- a/tests/model/model.rs
+++ b/tests/model/model.rs
@@ -372,11 +372,11 @@
         state.append(Entry::Prepare(1));
         // Each member has a lease that was granted just now, or none.
         let lease = self.timing.lease;
-        let each = (0..1u8 << n).map(|leases| {
+        let each = (0..1u8 << n).map(|lease_mask| {
             let mut state = state.clone();
             let Some(leader) = state.leaders.get_mut(&0) else { return state };
             leader.elected = START_TIME - self.timing.wait_out();
-            for at in (0..self.members).filter(|at| leases >> at & 1 == 1) {
+            for at in (0..self.members).filter(|at| lease_mask >> at & 1 == 1) {
                 leader
                     .leases
                     .insert((at, 0), GrantedLease { end: START_TIME + lease, ..GrantedLease::default() });
