--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -1,6 +1,5 @@
-//! Tests of postures, and of route tables on a simulated fleet whose clocks have offsets and drift, whose messages are
-//! lost, delayed and reordered, whose members are paused and restarted, and whose leader changes at any step. A failing
-//! seed is printed.
+//! Tests of postures, and of route tables on a simulated fleet: clocks with offsets and drift, messages lost, late and
+//! reordered, members paused and restarted, the leader replaced at any step. A failing seed is printed.
 
 mod prepares;
 
@@ -55,7 +54,7 @@
     leader: Leader,
     offset: u64,
     ppm: i64,
-    incarnation: u64,
+    starts: u64,
     paused_until: u64,
     cut: bool,
     fetches_nothing: bool,
@@ -66,17 +65,17 @@
     now: u64,
     nodes: Vec<Node>,
     state: State,
-    leader_index: usize,
+    lead_at: usize,
     term: u64,
     queue: BTreeMap<(u64, u64), Message>,
     number: u64,
     fault: Fault,
     loss: f64,
-    highest_turn: u64,
+    highest: u64,
     violation: Option<String>,
     refuses: Option<usize>,
     /// A member to which no message of the others is delivered, while its own messages are.
-    receives_nothing: Option<usize>,
+    unreached: Option<usize>,
 }
 
 impl Fleet {
@@ -91,7 +90,7 @@
             leader: Leader::new(Timing::default()),
             offset: rng.random_range(0..100_000_000_000),
             ppm: rng.random_range(-90..90),
-            incarnation: 1,
+            starts: 1,
             paused_until: 0,
             cut: false,
             fetches_nothing: false,
@@ -102,16 +101,16 @@
             now: 1_000_000_000,
             nodes,
             state: State::default(),
-            leader_index: 0,
+            lead_at: 0,
             term: 0,
             queue: BTreeMap::new(),
             number: 0,
             fault,
             loss: 0.0,
-            highest_turn: 0,
+            highest: 0,
             violation: None,
             refuses: None,
-            receives_nothing: None,
+            unreached: None,
         };
         fleet.elect(0);
         for port in [1, 2, 3] {
@@ -130,7 +129,7 @@
     }
 
     fn elect(&mut self, at: usize) {
-        (self.leader_index, self.term) = (at, self.term + 1);
+        (self.lead_at, self.term) = (at, self.term + 1);
         let window = self.nodes[at].member.lease_and_switch().1;
         let sent = self.local(at);
         // The previous leader is not told, and acts as a stale leader.
@@ -141,9 +140,8 @@
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let is_log = matches!(message, Message::Log(..));
         let is_cut = from != to && (self.nodes[from].cut || self.nodes[to].cut);
-        let is_not_received =
-            from != to && self.receives_nothing == Some(to) && matches!(message, Message::Member(..));
-        if !is_log && (is_cut || is_not_received || from != to && self.rng.random_bool(self.loss)) {
+        let is_blocked = from != to && self.unreached == Some(to) && matches!(message, Message::Member(..));
+        if !is_log && (is_cut || is_blocked || from != to && self.rng.random_bool(self.loss)) {
             return;
         }
         let max_delay = if self.rng.random_bool(0.03) { 40_000_000 } else { 3_000_000 };
@@ -175,35 +173,30 @@
     fn step(&mut self, at: usize, input: member::Input) {
         let now = self.local(at);
         for effect in self.nodes[at].member.step(now, input) {
-            let incarnation = self.nodes[at].incarnation;
+            let starts = self.nodes[at].starts;
             match effect {
                 member::Effect::Ask(ask) => {
                     // Some requests go to another node, such as an earlier leader that does not know it was deposed.
                     let is_misdirected = self.rng.random_bool(0.15);
-                    let to = if is_misdirected { self.rng.random_range(0..N) } else { self.leader_index };
+                    let to = if is_misdirected { self.rng.random_range(0..N) } else { self.lead_at };
                     self.send(at, to, Message::Leader(to, leader::Input::Ask(ask)));
                 }
                 member::Effect::Fetch(hash) if !self.nodes[at].fetches_nothing => {
                     let tables = (1..=3).filter_map(|v| self.state.table(v));
                     let text = tables.filter(|t| t.hash() == hash).map(Table::canonical).next().unwrap();
-                    self.send(at, at, Message::Member(at, incarnation, member::Input::Fetched(hash, text)));
+                    self.send(at, at, Message::Member(at, starts, member::Input::Fetched(hash, text)));
                 }
                 member::Effect::Open(turn, hash) => {
                     let open =
                         if self.refuses == Some(at) { Err("127.0.0.1:2".parse().unwrap()) } else { Ok(()) };
-                    self.send(
-                        at,
-                        at,
-                        Message::Member(at, incarnation, member::Input::Opened(turn, hash, open)),
-                    );
+                    self.send(at, at, Message::Member(at, starts, member::Input::Opened(turn, hash, open)));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Checks that no member acts on a turn after any member acted on a higher one, and that no lease lasts beyond the
-    /// moment of a commit that its holder has not acknowledged.
+    /// Checks that no member acts on a turn after a higher one, and no lease outlasts an unacknowledged moment.
     fn check_invariants(&mut self) {
         let mut turns = Vec::new();
         for at in (0..N).filter(|at| self.now >= self.nodes[*at].paused_until) {
@@ -218,24 +211,21 @@
             self.state.open_activation().map(|r| (r.activation.fence.turn, r.stage))
         {
             // Only before the moment: from then on, members that acknowledged have switched and have no pending switch.
-            let remaining = stamp.at.saturating_sub(self.local(self.leader_index));
+            let remaining = stamp.at.saturating_sub(self.local(self.lead_at));
             for at in (0..N).filter(|_| stamp.term == self.term && remaining > ms(1)) {
                 let (lease, switch) = self.nodes[at].member.lease_and_switch();
                 // Both clocks drift by at most 90 ppm.
                 let limit = self.local(at) + remaining + remaining / 5000;
                 if lease.until() > limit && switch.is_none() {
                     self.violation =
-                        Some(format!("m{at}: a lease beyond the moment of {turn}, not acknowledged"));
+                        Some(format!("m{at}: lease past the moment of {turn}, not acknowledged"));
                 }
             }
         }
-        self.highest_turn = self.highest_turn.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
-        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.highest_turn) {
-            self.violation = Some(format!(
-                "m{at} acts on {turn} after {} at {} ms",
-                self.highest_turn,
-                self.now / 1_000_000
-            ));
+        self.highest = self.highest.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
+        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.highest) {
+            self.violation =
+                Some(format!("m{at} acts on {turn} after {} at {} ms", self.highest, self.now / 1_000_000));
         }
     }
 
@@ -249,10 +239,10 @@
                 let message = self.queue.remove(&(at, number)).unwrap();
                 self.now = self.now.max(at);
                 match message {
-                    Message::Member(to, incarnation, input) if self.nodes[to].incarnation == incarnation => {
+                    Message::Member(to, starts, input) if self.nodes[to].starts == starts => {
                         let until = self.nodes[to].paused_until;
                         if self.now < until {
-                            self.queue.insert((until, number), Message::Member(to, incarnation, input));
+                            self.queue.insert((until, number), Message::Member(to, starts, input));
                         } else {
                             self.step(to, input);
                         }
@@ -260,7 +250,7 @@
                     Message::Leader(to, input) if self.now >= self.nodes[to].paused_until => {
                         self.lead(to, input)
                     }
-                    Message::Log(from, entry) if from == self.leader_index && !self.nodes[from].cut => {
+                    Message::Log(from, entry) if from == self.lead_at && !self.nodes[from].cut => {
                         let _ = self.apply(entry);
                     }
                     _ => {}
@@ -270,7 +260,7 @@
             self.now = tick;
             for at in (0..N).filter(|at| tick >= self.nodes[*at].paused_until).collect::<Vec<_>>() {
                 self.step(at, member::Input::Tick);
-                if at == self.leader_index && !self.nodes[at].cut {
+                if at == self.lead_at && !self.nodes[at].cut {
                     let sent = self.local(at).saturating_sub(ms(5));
                     self.lead(at, leader::Input::Confirmed { sent });
                 }
@@ -279,7 +269,7 @@
             if self.fault == Fault::RashCommit {
                 if let Some(run) = self.state.open_activation().filter(|r| r.stage == Stage::Preparing) {
                     let (turn, term, at) =
-                        (run.activation.fence.turn, self.term, self.local(self.leader_index) + ms(100));
+                        (run.activation.fence.turn, self.term, self.local(self.lead_at) + ms(100));
                     let _ = self.apply(Entry::Commit { turn, at: Stamp { term, at } });
                 }
             }
@@ -290,8 +280,8 @@
 
     fn restart(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.incarnation += 1;
-        let identity = MemberIncarnation { name: format!("m{at}"), incarnation: node.incarnation };
+        node.starts += 1;
+        let identity = MemberIncarnation { name: format!("m{at}"), incarnation: node.starts };
         (node.member, node.leader) =
             (Member::new(identity, known(), Timing::default()), Leader::new(Timing::default()));
     }
@@ -306,11 +296,8 @@
             4 => self.loss = self.rng.random_range(0.0..0.3),
             _ => self.elect(at),
         }
-        let leader = &self.nodes[self.leader_index];
-        if leader.cut
-            || leader.paused_until > self.now
-            || self.term > 1 && self.nodes[self.leader_index].incarnation > 1
-        {
+        let node = &self.nodes[self.lead_at];
+        if node.cut || node.paused_until > self.now || self.term > 1 && self.nodes[self.lead_at].starts > 1 {
             let reachable = (0..N).find(|n| !self.nodes[*n].cut && self.nodes[*n].paused_until <= self.now);
             if let Some(reachable) = reachable.filter(|_| self.rng.random_bool(0.8)) {
                 self.elect(reachable);
@@ -348,7 +335,7 @@
             fleet.inject_fault();
         }
         if fleet.violation.is_some() {
-            return (fleet.violation, fleet.highest_turn);
+            return (fleet.violation, fleet.highest);
         }
     }
     fleet.loss = 0.0;
@@ -359,7 +346,7 @@
     if fleet.violation.is_none() && fleet.state.open_activation().is_some() {
         fleet.violation = Some("an activation did not end after the heal".into());
     }
-    (fleet.violation, fleet.highest_turn)
+    (fleet.violation, fleet.highest)
 }
 
 #[test]
@@ -367,9 +354,9 @@
     let seeds = std::env::var("ROUTES_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
     let mut switches = 0;
     for seed in 0..seeds {
-        let (violation, highest_turn) = run_seed(seed, Fault::None);
+        let (violation, highest) = run_seed(seed, Fault::None);
         assert_eq!(violation, None, "seed {seed}");
-        switches += highest_turn;
+        switches += highest;
     }
     println!("{seeds} seeds, turns reached {switches}");
     assert!(switches > seeds, "too few switches for a meaningful test");
@@ -402,7 +389,7 @@
     assert!(member.table_under(first).is_some() && member.table_under(Fence::default()).is_none());
     // Without a leader the lease ends.
     fleet.nodes.iter_mut().for_each(|n| n.cut = true);
-    fleet.nodes[fleet.leader_index].paused_until = u64::MAX;
+    fleet.nodes[fleet.lead_at].paused_until = u64::MAX;
     fleet.run(2500);
     assert_eq!((route(&fleet, 1), fleet.violation), (CallDecision::Barred, None));
 }
@@ -443,7 +430,7 @@
 #[test]
 fn a_member_that_receives_nothing_gets_no_lease_and_delays_no_switch() {
     let mut fleet = Fleet::with_version_1(5);
-    fleet.receives_nothing = Some((fleet.leader_index + 1) % N);
+    fleet.unreached = Some((fleet.lead_at + 1) % N);
     fleet.prepare(2).unwrap();
     fleet.run(6000);
     assert_eq!((fleet.aborted(), fleet.state.active().unwrap().fence.version), (None, 2));
