--- a/fuzz/src/targets/links.rs
+++ b/fuzz/src/targets/links.rs
@@ -1,7 +1,7 @@
 //! The links between members of a fleet: frames in pieces, and messages of any bytes.
 
-use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MOST_FRAME};
-use hopwalk::fleet::wire::message::{Down, Request};
+use hopwalk::fleet::wire::codec::{decode, encode, Decoder, Opening, MAX_FRAME};
+use hopwalk::fleet::wire::message::{Request, ServerFrame};
 use hopwalk::fleet::wire::FrameError;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -32,9 +32,9 @@
 fn again<T: Serialize + DeserializeOwned>(body: &[u8]) {
     match decode::<T>(body) {
         Ok(message) => {
-            let frame = encode(&message, MOST_FRAME).expect("a short message is a short frame");
+            let frame = encode(&message, MAX_FRAME).expect("a short message is a short frame");
             let same = decode::<T>(&frame[4..]).expect("what was written can be read");
-            assert_eq!(encode(&same, MOST_FRAME), Ok(frame));
+            assert_eq!(encode(&same, MAX_FRAME), Ok(frame));
         }
         Err(error) => assert!(matches!(error, FrameError::Malformed | FrameError::Later), "{error}"),
     }
@@ -49,7 +49,7 @@
         assert!(body.len() <= MOST);
         left -= 4 + body.len();
         again::<(u64, Request)>(body);
-        again::<Down>(body);
+        again::<ServerFrame>(body);
         if let Ok(opening) = Opening::read(body, "f") {
             assert_eq!(opening, Opening::new("f", opening.name.clone()));
         }
--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -10,12 +10,12 @@
 use crate::fleet::experiment::words;
 use crate::fleet::posture::Ears;
 use crate::fleet::record::Standing;
-use crate::fleet::routes::lease::Given;
+use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::member::Member;
-use crate::fleet::routes::record::{self as routes, Stage, Why};
-use crate::fleet::routes::{Activation, Fence, Life, Version};
+use crate::fleet::routes::record::{self as routes, AbortReason, Stage};
+use crate::fleet::routes::{Activation, Fence, MemberIncarnation, Version};
 use crate::fleet::state_machine::{Applied, State};
-use crate::fleet::wire::message::Look;
+use crate::fleet::wire::message::DocumentKind;
 
 fn ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
@@ -29,11 +29,13 @@
     json!({ "turn": a.fence.turn, "version": a.fence.version, "hash": a.hash.to_string() })
 }
 
-fn abort_reason(why: &Why) -> Value {
+fn abort_reason(why: &AbortReason) -> Value {
     match why {
-        Why::Refused(life, refusal) => json!({ "refused_by": life.name, "because": refusal.to_string() }),
-        Why::Silent(life) => json!({ "silent": life.name }),
-        Why::Operator(by) => json!({ "operator": by }),
+        AbortReason::Refused(life, refusal) => {
+            json!({ "refused_by": life.name, "because": refusal.to_string() })
+        }
+        AbortReason::Silent(life) => json!({ "silent": life.name }),
+        AbortReason::Operator(by) => json!({ "operator": by }),
     }
 }
 
@@ -46,7 +48,7 @@
         Some(_) => format!("`hopwalk fleet routes activate {made}`"),
         None => format!("propose the table anew, as version {made} is not kept any more, and activate that"),
     };
-    if let Some(run) = routes.run().filter(|run| is_of_winner(run.activation.fence)) {
+    if let Some(run) = routes.open_activation().filter(|run| is_of_winner(run.activation.fence)) {
         let mut document = document_of("on its way", "`hopwalk fleet routes show` says how far it is".into());
         document["turn"] = json!(run.activation.fence.turn);
         return document;
@@ -56,7 +58,7 @@
         document["turn"] = json!(active.fence.turn);
         return document;
     }
-    if routes.made() == Some(made) {
+    if routes.experiment_winner() == Some(made) {
         return document_of("waits", "it begins once the activation that is on its way has ended".into());
     }
     let begun = routes.history().filter(|past| is_of_winner(past.fence)).skip_while(|past| past.by != WINNER);
@@ -82,15 +84,15 @@
 
 /// The document that the leader returns at `now`. `given` are the leases that it knows of.
 pub fn leader_document<'a>(
-    look: Look,
+    look: DocumentKind,
     state: &State,
     standing: &Standing,
-    given: impl Iterator<Item = (&'a Life, &'a Given)>,
+    given: impl Iterator<Item = (&'a MemberIncarnation, &'a GrantedLease)>,
     now: Duration,
 ) -> Value {
     match look {
-        Look::Routes => {
-            let member = |(life, g): (&Life, &Given)| {
+        DocumentKind::Routes => {
+            let member = |(life, g): (&MemberIncarnation, &GrantedLease)| {
                 json!({
                     "name": life.name,
                     "incarnation": life.incarnation,
@@ -99,7 +101,7 @@
                     "acknowledged": g.acknowledged,
                 })
             };
-            let run = state.routes.run().map(|run| {
+            let run = state.routes.open_activation().map(|run| {
                 let mut pending = activation(run.activation);
                 pending["by"] = json!(run.by);
                 pending["stage"] = match run.stage {
@@ -121,8 +123,8 @@
                 "members": given.map(member).collect::<Vec<_>>(),
             })
         }
-        Look::History => {
-            let past = |past: &routes::Past| {
+        DocumentKind::History => {
+            let past = |past: &routes::EndedActivation| {
                 json!({
                     "turn": past.fence.turn,
                     "version": past.fence.version,
@@ -132,7 +134,7 @@
             };
             json!({ "activations": state.routes.history().map(past).collect::<Vec<_>>() })
         }
-        Look::Experiments => {
+        DocumentKind::Experiments => {
             let run = state.experiments.run().map(|run| {
                 json!({
                     "name": run.experiment.name,
@@ -172,14 +174,14 @@
 
 /// The document about what a member knows itself, also without a leader.
 pub fn member_document(member: &Member, now: Duration, reachability: &Ears, leader: Option<&str>) -> Value {
-    let (lease, switch) = member.promises();
+    let (lease, switch) = member.lease_and_switch();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
         Err(e) => json!({ "problem": e.to_string() }),
     };
     json!({
-        "name": member.life().name,
-        "incarnation": member.life().incarnation,
+        "name": member.identity().name,
+        "incarnation": member.identity().incarnation,
         "posture": reachability.posture(now).name(),
         "unheard": reachability.unheard(now),
         "membership_hears": reachability.by_membership(now),
@@ -244,17 +246,17 @@
         let on = state.active().unwrap().fence;
         // An activation of the same table before the end of the experiment does not count.
         let turn = begin(&mut state, 2, "o");
-        state.apply(&Entry::Abort { turn, why: Why::Operator("o".into()) }).unwrap();
+        state.apply(&Entry::Abort { turn, why: AbortReason::Operator("o".into()) }).unwrap();
         let document = |state: &routes::State| winner_activation(2, on, state);
         assert_eq!(document(&state)["stage"], "not begun");
-        assert_eq!(state.make(Table::parse(&table(2)).unwrap()), 2);
+        assert_eq!(state.keep_experiment_winner(Table::parse(&table(2)).unwrap()), 2);
         assert_eq!(document(&state)["stage"], "waits");
         let turn = begin(&mut state, 2, WINNER);
         assert_eq!(
             (&document(&state)["stage"], &document(&state)["turn"]),
             (&json!("on its way"), &json!(turn))
         );
-        let silent = Why::Silent(Life { name: "m3".into(), incarnation: 1 });
+        let silent = AbortReason::Silent(MemberIncarnation { name: "m3".into(), incarnation: 1 });
         state.apply(&Entry::Abort { turn, why: silent }).unwrap();
         let aborted = document(&state);
         assert_eq!((&aborted["stage"], &aborted["turn"]), (&json!("aborted"), &json!(turn)));
--- a/src/fleet/driver/leader_role.rs
+++ b/src/fleet/driver/leader_role.rs
@@ -11,9 +11,9 @@
 use crate::fleet::posture::May;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::leader::{Effect, Input, Leader};
-use crate::fleet::routes::lease::Given;
+use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::record as routes;
-use crate::fleet::routes::{Ask, Life, Pace, Turn, Window};
+use crate::fleet::routes::{LeaseRequest, MemberIncarnation, TimeWindow, Timing, Turn};
 use crate::fleet::state_machine::{Applied, Entry, State};
 
 /// The end of a block does not wait for a member that has not sent an ask for this long.
@@ -36,7 +36,7 @@
 pub struct LeaderRole {
     leader: Leader,
     voters: BTreeSet<String>,
-    pace: Pace,
+    pace: Timing,
     term: Option<u64>,
     /// When it was elected, or when the last request that a majority answered was sent.
     confirmed_at: Duration,
@@ -47,7 +47,7 @@
 
 impl LeaderRole {
     /// Creates the state of a voter that does not lead.
-    pub fn new(voters: BTreeSet<String>, pace: Pace) -> Self {
+    pub fn new(voters: BTreeSet<String>, pace: Timing) -> Self {
         let (last_asks, collector) = Default::default();
         let (leader, confirmed_at) = (Leader::new(pace), Duration::ZERO);
         Self {
@@ -73,7 +73,7 @@
         &mut self,
         context: &Context,
         standing: &Standing,
-        window: Option<(Turn, Window)>,
+        window: Option<(Turn, TimeWindow)>,
     ) -> Vec<Effect> {
         let input = match (standing.leads, self.term) {
             (true, Some(term)) if term == standing.term => return Vec::new(),
@@ -106,9 +106,9 @@
     }
 
     /// Handles an ask of a member.
-    pub fn handle_ask(&mut self, context: &Context, ask: Ask) -> Vec<Effect> {
-        if self.last_asks.len() < MAX_MEMBERS || self.last_asks.contains_key(&ask.life.name) {
-            self.last_asks.insert(ask.life.name.clone(), context.now);
+    pub fn handle_ask(&mut self, context: &Context, ask: LeaseRequest) -> Vec<Effect> {
+        if self.last_asks.len() < MAX_MEMBERS || self.last_asks.contains_key(&ask.member.name) {
+            self.last_asks.insert(ask.member.name.clone(), context.now);
         }
         self.step(context, Input::Ask(ask))
     }
@@ -134,8 +134,8 @@
     }
 
     /// What the leader knows of the leases of each incarnation.
-    pub fn given(&self) -> impl Iterator<Item = (&Life, &Given)> {
-        self.leader.given()
+    pub fn given(&self) -> impl Iterator<Item = (&MemberIncarnation, &GrantedLease)> {
+        self.leader.granted_leases()
     }
 
     /// Takes over the counts of a matcher; returns false if they were not accepted.
@@ -189,14 +189,14 @@
 /// Whether operators may order this entry. The other entries are proposed only by a leader itself.
 pub fn is_operator_order(entry: &Entry) -> bool {
     use experiments::Entry as E;
-    use routes::{Entry as R, Why};
+    use routes::{AbortReason, Entry as R};
     matches!(
         entry,
         Entry::Routes(
             R::Propose { .. }
                 | R::Prepare { .. }
                 | R::Rollback { .. }
-                | R::Abort { why: Why::Operator(_), .. }
+                | R::Abort { why: AbortReason::Operator(_), .. }
         ) | Entry::Experiment(E::Start { .. } | E::Stop { .. })
     )
 }
@@ -205,15 +205,16 @@
 /// recognized by its name, which holds the operator and the time and is unique.
 pub fn earlier_result(state: &State, entry: &Entry) -> Option<Applied> {
     use experiments::{End, Entry as E};
-    use routes::{Entry as R, Why};
+    use routes::{AbortReason, Entry as R};
     match entry {
         Entry::Routes(R::Prepare { by, .. } | R::Rollback { by }) => {
-            let run = state.routes.run().filter(|run| run.by == *by).map(|run| run.activation.fence);
+            let run =
+                state.routes.open_activation().filter(|run| run.by == *by).map(|run| run.activation.fence);
             let past = || state.routes.history().find(|past| past.by == *by).map(|past| past.fence);
             run.or_else(past).map(|fence| Applied::Routes(routes::Applied::Moved(fence.turn)))
         }
-        Entry::Routes(R::Abort { turn, why: Why::Operator(by) }) => {
-            let by = Why::Operator(by.clone());
+        Entry::Routes(R::Abort { turn, why: AbortReason::Operator(by) }) => {
+            let by = AbortReason::Operator(by.clone());
             let past = state.routes.history().find(|past| past.aborted.as_ref() == Some(&by))?;
             (past.fence.turn == *turn).then_some(Applied::Routes(routes::Applied::Moved(*turn)))
         }
@@ -232,7 +233,7 @@
 }
 
 /// Removes a member's acceptance of a prepare from an ask if its posture does not permit it.
-pub fn filter_answer(mut ask: Ask, may: May) -> Ask {
+pub fn filter_answer(mut ask: LeaseRequest, may: May) -> LeaseRequest {
     if !may.prepare && matches!(ask.answer, Some((_, Ok(_)))) {
         ask.answer = None;
     }
@@ -244,7 +245,7 @@
     use super::*;
     use crate::fleet::posture::Posture;
     use crate::fleet::record::Seat;
-    use crate::fleet::routes::record::Why;
+    use crate::fleet::routes::record::AbortReason;
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":1}]},
         "routes":[{"class":"seat","pool":"a","timeout_ms":100,"tries":2}]}"#;
@@ -253,9 +254,9 @@
         Duration::from_secs(n)
     }
 
-    fn ask(number: u64) -> Ask {
-        let life = Life { name: "m9".into(), incarnation: 1 };
-        Ask { life, number, heard: number - 1, answer: None, acknowledged: None }
+    fn ask(number: u64) -> LeaseRequest {
+        let life = MemberIncarnation { name: "m9".into(), incarnation: 1 };
+        LeaseRequest { member: life, number, last_reply: number - 1, answer: None, acknowledged: None }
     }
 
     fn lease(effects: &[Effect]) -> Option<Duration> {
@@ -271,7 +272,7 @@
 
     #[test]
     fn it_leads_in_exactly_the_terms_in_which_the_record_leads() {
-        let mut role = LeaderRole::new(["m1".to_string()].into(), Pace::default());
+        let mut role = LeaderRole::new(["m1".to_string()].into(), Timing::default());
         let state = State::default();
         let context = |now| Context { now, unix: now, state: &state, may: Posture::Whole.may() };
         let seat = Seat::Voter;
@@ -321,12 +322,12 @@
         ] {
             assert!(is_allowed(&entry, majority) && !is_allowed(&entry, minority), "{entry:?}");
         }
-        assert!(is_allowed(&abort(Why::Operator(by())), minority));
+        assert!(is_allowed(&abort(AbortReason::Operator(by())), minority));
         // A member cannot order what only a leader decides.
-        assert!(is_operator_order(&prepare("anna")) && is_operator_order(&abort(Why::Operator(by()))));
-        assert!(!is_operator_order(&abort(Why::Silent(ask(1).life))));
+        assert!(is_operator_order(&prepare("anna")) && is_operator_order(&abort(AbortReason::Operator(by()))));
+        assert!(!is_operator_order(&abort(AbortReason::Silent(ask(1).member))));
         assert!(!is_operator_order(&Entry::Routes(routes::Entry::Done { turn: 1 })));
-        let accepted = Ask { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
+        let accepted = LeaseRequest { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
         assert_eq!(
             (filter_answer(accepted.clone(), majority), filter_answer(accepted.clone(), minority).answer),
             (accepted, None)
@@ -341,7 +342,8 @@
         let first = state.apply(&prepare("anna, 1")).unwrap();
         assert_eq!(earlier_result(&state, &prepare("anna, 1")), Some(first.clone()));
         assert_eq!(earlier_result(&state, &prepare("ben, 2")), None);
-        let abort = Entry::Routes(routes::Entry::Abort { turn: 1, why: Why::Operator("ben, 3".into()) });
+        let abort =
+            Entry::Routes(routes::Entry::Abort { turn: 1, why: AbortReason::Operator("ben, 3".into()) });
         let aborted = state.apply(&abort).unwrap();
         assert_eq!(
             (earlier_result(&state, &abort), earlier_result(&state, &prepare("anna, 1"))),
--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -37,8 +37,8 @@
 use super::metrics::Metrics;
 use super::record::disk::Disk;
 use super::routes::member::Member;
-use super::routes::table::Known;
-use super::routes::{Life, Pace};
+use super::routes::table::KnownNames;
+use super::routes::{MemberIncarnation, Timing};
 use super::routing::{QueuedOrder, Routing};
 use super::wire::net::{Net, Tcp};
 
@@ -59,7 +59,7 @@
     /// The folder of the record, and the address of this voter's socket; `None` for a matcher that does not vote.
     pub record: Option<(PathBuf, SocketAddr)>,
     /// The classes and tenants of this matcher's settings.
-    pub known: Known,
+    pub known: KnownNames,
     /// A fault of the clock, for the lab.
     pub clock_fault: Option<Fault>,
 }
@@ -109,9 +109,13 @@
     }
 }
 
-fn routing(options: &Options, clock: Clock, life: Life) -> (Routing, mpsc::Receiver<QueuedOrder>, Metrics) {
+fn routing(
+    options: &Options,
+    clock: Clock,
+    life: MemberIncarnation,
+) -> (Routing, mpsc::Receiver<QueuedOrder>, Metrics) {
     let metrics = Metrics::new();
-    let member = Member::new(life, options.known.clone(), Pace::default());
+    let member = Member::new(life, options.known.clone(), Timing::default());
     let (routing, order_queue) = Routing::new(member, clock, metrics.clone());
     (routing, order_queue, metrics)
 }
@@ -142,8 +146,10 @@
         let environment = Environment { answers, ..Environment::of_this_machine(options.clock_fault) };
         // As in the membership, the incarnation increases with each restart, as long as the system's clock is not set
         // back.
-        let life =
-            Life { name: options.name.clone(), incarnation: environment.clock.unix().as_millis() as u64 };
+        let life = MemberIncarnation {
+            name: options.name.clone(),
+            incarnation: environment.clock.unix().as_millis() as u64,
+        };
         let (routing, order_queue, metrics) = routing(&options, environment.clock, life);
         let (controls, control_queue) = mpsc::channel(MAX_QUEUED_CONTROLS);
         let (ended_sender, ended) = sync_channel(1);
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -13,11 +13,11 @@
 use super::tasks::DriverState;
 use crate::fleet::experiment::record::Entry as Experiments;
 use crate::fleet::experiment::Experiment;
-use crate::fleet::routes::record::{Entry as Routes, RecordError, Why};
+use crate::fleet::routes::record::{AbortReason, Entry as Routes, RecordError};
 use crate::fleet::routes::table::Table;
 use crate::fleet::routing::{Order, OrderError};
 use crate::fleet::state_machine::{Entry, Rejection};
-use crate::fleet::wire::message::Look;
+use crate::fleet::wire::message::DocumentKind;
 use crate::fleet::wire::{Request, Response};
 
 /// How long an order waits for the answer of a leader.
@@ -56,16 +56,16 @@
         Order::Activate { version } => submit(driver, Entry::Routes(Routes::Prepare { version, by })).await?,
         Order::Rollback => submit(driver, Entry::Routes(Routes::Rollback { by })).await?,
         Order::Abort => {
-            let shown = query(driver, Look::Routes, ORDER_TIMEOUT).await?;
+            let shown = query(driver, DocumentKind::Routes, ORDER_TIMEOUT).await?;
             let turn = shown["pending"]["turn"].as_u64().unwrap_or(0);
-            submit(driver, Entry::Routes(Routes::Abort { turn, why: Why::Operator(by) })).await?
+            submit(driver, Entry::Routes(Routes::Abort { turn, why: AbortReason::Operator(by) })).await?
         }
         Order::Show => {
-            let shown = query(driver, Look::Routes, SHOW_TIMEOUT).await;
+            let shown = query(driver, DocumentKind::Routes, SHOW_TIMEOUT).await;
             let problem = shown.as_ref().err().map(ToString::to_string);
             json!({ "here": driver.document(), "fleet": shown.ok(), "problem": problem })
         }
-        Order::History => query(driver, Look::History, ORDER_TIMEOUT).await?,
+        Order::History => query(driver, DocumentKind::History, ORDER_TIMEOUT).await?,
         Order::Start { document } => {
             let start: StartDocument = serde_json::from_str(&document)
                 .map_err(|e| OrderError::InvalidDocument { line: e.line(), column: e.column() })?;
@@ -76,12 +76,12 @@
             json!({ "started": name })
         }
         Order::Stop => {
-            let shown = query(driver, Look::Experiments, ORDER_TIMEOUT).await?;
+            let shown = query(driver, DocumentKind::Experiments, ORDER_TIMEOUT).await?;
             let name = shown["running"]["name"].as_str().unwrap_or_default().to_string();
             submit(driver, Entry::Experiment(Experiments::Stop { name: name.clone(), by })).await?;
             json!({ "stopped": name })
         }
-        Order::ShowExperiment => query(driver, Look::Experiments, ORDER_TIMEOUT).await?,
+        Order::ShowExperiment => query(driver, DocumentKind::Experiments, ORDER_TIMEOUT).await?,
         Order::Admit { name } => {
             let request = Request::Admit { name: name.clone() };
             match request_until_answered(driver, &request, ORDER_TIMEOUT).await? {
@@ -102,7 +102,7 @@
     }
 }
 
-async fn query(driver: &Arc<DriverState>, look: Look, limit: Duration) -> Result<Value, OrderError> {
+async fn query(driver: &Arc<DriverState>, look: DocumentKind, limit: Duration) -> Result<Value, OrderError> {
     match request_until_answered(driver, &Request::Look(look), limit).await? {
         // The leader wrote the text as JSON.
         Response::Document(text) => Ok(serde_json::from_str(&text).unwrap_or_default()),
--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -10,8 +10,8 @@
 use super::tasks::{self, lock, DriverState};
 use super::{routing, Control, Environment, Options, MAX_QUEUED_CONTROLS};
 use crate::fleet::record::{Record, Standing};
-use crate::fleet::routes::lease::Held;
-use crate::fleet::routes::{Life, Turn, Window};
+use crate::fleet::routes::lease::HeldLease;
+use crate::fleet::routes::{MemberIncarnation, TimeWindow, Turn};
 use crate::fleet::routing::Routing;
 use crate::fleet::state_machine::{Entry, State};
 
@@ -35,7 +35,7 @@
     environment: Environment,
     incarnation: u64,
 ) -> (SimulatedDriver, impl Future<Output = ()> + Send) {
-    let life = Life { name: options.name.clone(), incarnation };
+    let life = MemberIncarnation { name: options.name.clone(), incarnation };
     let (routing, order_queue, metrics) = routing(&options, environment.clock, life);
     let (controls, control_queue) = mpsc::channel(MAX_QUEUED_CONTROLS);
     let (driver, pushes) = DriverState::new(options, environment, metrics, routing);
@@ -62,8 +62,8 @@
     }
 
     /// The member's lease, and the pending switch that it knows of.
-    pub fn promises(&self) -> (Held, Option<(Turn, Window)>) {
-        self.driver.routing.state().member.promises()
+    pub fn promises(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
+        self.driver.routing.state().member.lease_and_switch()
     }
 
     fn record(&self) -> Option<Record> {
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -24,11 +24,11 @@
 use crate::fleet::posture::{Ears, May};
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
-use crate::fleet::routes::table::{Hash, Known};
-use crate::fleet::routes::{Ask, Fence, Pace, Turn};
+use crate::fleet::routes::table::{Hash, KnownNames};
+use crate::fleet::routes::{Fence, LeaseRequest, Timing, Turn};
 use crate::fleet::routing::{QueuedOrder, Routing};
 use crate::fleet::wire::message::Running;
-use crate::fleet::wire::{Client, Local, Pushed, Request, Response};
+use crate::fleet::wire::{Client, LocalEnd, Pushed, Request, Response};
 
 /// Orders that are executed concurrently.
 const MAX_CONCURRENT_ORDERS: usize = 16;
@@ -61,7 +61,7 @@
 /// The state that the tasks of the thread share.
 pub struct DriverState {
     pub(super) options: Options,
-    pub(super) local: Local,
+    pub(super) local: LocalEnd,
     pub(super) clock: Clock,
     pub(super) disk: Disk,
     /// The answers that the membership has received.
@@ -99,7 +99,7 @@
     ) -> (Arc<Self>, mpsc::Receiver<Pushed>) {
         let Environment { clock, net, disk, answers } = environment;
         let counters = metrics.links.clone();
-        let local = Local { net, counters, ..Local::new(&*options.fleet, &*options.name) };
+        let local = LocalEnd { net, counters, ..LocalEnd::new(&*options.fleet, &*options.name) };
         let (push_sender, pushes) = mpsc::channel(MAX_QUEUED_PUSHES);
         let client = |(name, address): &(String, SocketAddr)| {
             (name.clone(), Client::start(local.clone(), name, *address, Some(push_sender.clone())))
@@ -111,7 +111,7 @@
             reachability: Mutex::new(
                 Ears::new(&options.name, &names, HELLO_INTERVAL).beside(answers.period()),
             ),
-            role: Mutex::new(LeaderRole::new(voters, Pace::default())),
+            role: Mutex::new(LeaderRole::new(voters, Timing::default())),
             voter: Mutex::default(),
             known_leader: Mutex::default(),
             next_voter: AtomicUsize::new(0),
@@ -199,7 +199,7 @@
     loop {
         let (next, switch) = {
             let state = driver.routing.state();
-            let (lease, switch) = state.member.promises();
+            let (lease, switch) = state.member.lease_and_switch();
             let now = driver.clock.now();
             // A step at the end of the lease logs that end on time.
             let ends = Some(lease.until()).filter(|until| *until > now);
@@ -273,7 +273,7 @@
     }
 
     /// The classes and tenants that its settings name.
-    pub fn known(&self) -> &Known {
+    pub fn known(&self) -> &KnownNames {
         &self.options.known
     }
 
@@ -326,7 +326,7 @@
             let mut state = self.routing.state();
             let now = self.clock.now();
             let effects = state.member.step(now, input);
-            (effects, state.member.promises().0.holds(now))
+            (effects, state.member.lease_and_switch().0.holds(now))
         };
         for effect in effects {
             match effect {
@@ -380,7 +380,7 @@
     }
 
     /// Sends an ask to the leader, and takes over the reply.
-    async fn send_ask(self: Arc<Self>, ask: Ask) {
+    async fn send_ask(self: Arc<Self>, ask: LeaseRequest) {
         let ask = filter_answer(ask, self.permissions());
         if let Some(Response::Reply { reply, running }) =
             self.request_leader(&Request::Ask(ask), REQUEST_TIMEOUT).await
@@ -402,7 +402,7 @@
         state.counter_source = source;
         let Some(Running { experiment, closed, members }) = running else { return state.counter = None };
         if state.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
-            let life = state.member.life();
+            let life = state.member.identity();
             let life = (life.name.clone(), life.incarnation);
             state.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
         }
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -23,10 +23,10 @@
 use crate::fleet::routes::member::Input;
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::table::{Hash, Table};
-use crate::fleet::routes::{Ask, Reply};
+use crate::fleet::routes::{LeaseReply, LeaseRequest};
 use crate::fleet::state_machine::{Applied, Entry};
 use crate::fleet::wire::message::{AdmitError, Hello, Running};
-use crate::fleet::wire::{Answering, Caller, Push, Request, Response, Server};
+use crate::fleet::wire::{Push, Request, RequestOrigin, Response, ResponseFuture, Server};
 
 /// Interval at which the leader's state is informed of the time.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -110,7 +110,7 @@
     listen: SocketAddr,
 ) -> Result<Arc<Voter>, Box<dyn Diagnostic + Send + Sync>> {
     let answering = driver.clone();
-    let handler = move |from: Arc<Caller>, request: Request| -> Answering {
+    let handler = move |from: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
         let driver = answering.clone();
         Box::pin(async move {
             let voter = lock(&driver.voter).clone();
@@ -119,7 +119,7 @@
                     driver.metrics.count_request(request_kind(&request));
                     match &request {
                         // A lease is granted only to the member that opened the link.
-                        Request::Ask(ask) if ask.life.name != from.name => Response::Busy,
+                        Request::Ask(ask) if ask.member.name != from.name => Response::Busy,
                         _ => driver.answer(&voter, request).await,
                     }
                 }
@@ -184,7 +184,7 @@
             _ = ticks.tick() => {}
         }
         let standing = standings.borrow_and_update().clone();
-        let window = driver.routing.state().member.promises().1;
+        let window = driver.routing.state().member.lease_and_switch().1;
         let (before, after, effects, entry) = driver.with_leader_role(voter, |context, role| {
             let before = role.term();
             let mut effects = role.follow_record(context, &standing, window);
@@ -222,7 +222,7 @@
 }
 
 /// Performs the effects of the leader's decisions. Returns the reply, if there is one.
-fn perform_effects(driver: &Arc<DriverState>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<Reply> {
+fn perform_effects(driver: &Arc<DriverState>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<LeaseReply> {
     let mut sent_reply = None;
     for effect in effects {
         match effect {
@@ -320,7 +320,7 @@
         Response::NotLeader { leader }
     }
 
-    fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: Ask) -> Response {
+    fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: LeaseRequest) -> Response {
         let (effects, leads, running) = self.with_leader_role(voter, |context, role| {
             let running = context.state.experiments.run().map(|run| {
                 let experiment = run.experiment.clone();
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -18,7 +18,7 @@
 use super::experiment::counter::Counter;
 use super::experiment::counts::Kind;
 use super::metrics::Metrics;
-use super::routes::member::{Member, Request, Route};
+use super::routes::member::{CallDecision, CallRequest, Member};
 use super::routes::table::{self, Table};
 use super::routes::{Fence, Version};
 
@@ -45,7 +45,7 @@
 /// What a route allows of the calls of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// Upper bound of the tries of each call, from 1 to [`table::MOST_TRIES`].
+    /// Upper bound of the tries of each call, from 1 to [`table::MAX_TRIES`].
     pub max_tries: u8,
     /// The request may be answered without the call.
     pub may_skip: bool,
@@ -54,7 +54,7 @@
 impl CallLimits {
     fn of_route(route: &table::Route) -> Self {
         // A checked table has no higher number. The bound prevents the conversion from truncating one.
-        Self { max_tries: route.tries.min(table::MOST_TRIES) as u8, may_skip: route.without }
+        Self { max_tries: route.tries.min(table::MAX_TRIES) as u8, may_skip: route.without }
     }
 }
 
@@ -263,12 +263,12 @@
     pub fn route(&self, call: &Call) -> RouteDecision {
         let mut state = self.state();
         let now = self.0.clock.now();
-        let decision = match state.member.route(now, Request { read: now, tried: call.last_fence, ran: None })
+        let decision = match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None })
         {
-            Route::Go(fence) => state.route_under(fence, call, &self.0.clock),
-            Route::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT)),
-            Route::Ended(fence) => RouteDecision::Ended(fence),
-            Route::FromKey(_) | Route::Barred => RouteDecision::Barred,
+            CallDecision::Go(fence) => state.route_under(fence, call, &self.0.clock),
+            CallDecision::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT)),
+            CallDecision::Ended(fence) => RouteDecision::Ended(fence),
+            CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
         };
         if decision == RouteDecision::Barred {
             self.0.metrics.barred_calls.inc();
@@ -346,8 +346,8 @@
     use crate::fleet::experiment::counts::Cell;
     use crate::fleet::experiment::{self, Experiment};
     use crate::fleet::routes::member::{Effect, Input};
-    use crate::fleet::routes::table::Known;
-    use crate::fleet::routes::{Activation, Life, Pace, Reply};
+    use crate::fleet::routes::table::KnownNames;
+    use crate::fleet::routes::{Activation, LeaseReply, MemberIncarnation, Timing};
 
     const TABLE: &str = r#"{"pools":{"a":[{"address":"127.0.0.1:1","weight":3},{"address":"127.0.0.1:2","weight":1}],
         "b":[{"address":"127.0.0.1:3","weight":1}]},
@@ -357,9 +357,10 @@
           {"class":"look","tenant":"t","pool":"b","timeout_ms":50,"tries":1,"without":true}]}"#;
 
     fn routing() -> Routing {
-        let known = Known { classes: ["seat".into(), "look".into()].into(), tenants: ["t".into()].into() };
-        let life = Life { name: "m1".into(), incarnation: 1 };
-        let member = Member::new(life, known, Pace::default());
+        let known =
+            KnownNames { classes: ["seat".into(), "look".into()].into(), tenants: ["t".into()].into() };
+        let life = MemberIncarnation { name: "m1".into(), incarnation: 1 };
+        let member = Member::new(life, known, Timing::default());
         Routing::new(member, Clock::start(None), Metrics::new()).0
     }
 
@@ -373,7 +374,7 @@
             _ => None,
         });
         let number = number.unwrap();
-        let reply = Reply { number, term: 1, time: now, lease, active, pending: None };
+        let reply = LeaseReply { number, term: 1, time: now, lease, active, pending: None };
         state.member.step(routing.0.clock.now(), Input::Reply(reply));
         if let Some(a) = active {
             state.member.step(routing.0.clock.now(), Input::Fetched(a.hash, TABLE.into()));
@@ -492,8 +493,9 @@
 
     #[test]
     fn orders_beyond_the_queue_bound_are_rejected_immediately() {
-        let known = Known::default();
-        let member = Member::new(Life { name: "m1".into(), incarnation: 1 }, known, Pace::default());
+        let known = KnownNames::default();
+        let member =
+            Member::new(MemberIncarnation { name: "m1".into(), incarnation: 1 }, known, Timing::default());
         let (routing, queue) = Routing::new(member, Clock::start(None), Metrics::new());
         let waiting: Vec<_> = (0..MAX_QUEUED_ORDERS).map(|_| routing.order(Order::Show, "anna")).collect();
         assert!(waiting.iter().all(|w| w.try_recv().is_err()));
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -10,12 +10,12 @@
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::Experiment;
 use hopwalk::fleet::routes::record::{Applied, Entry, RecordError};
-use hopwalk::fleet::routes::table::Known;
-use hopwalk::fleet::routes::{Ask, Reply};
+use hopwalk::fleet::routes::table::KnownNames;
+use hopwalk::fleet::routes::{LeaseReply, LeaseRequest};
 use hopwalk::fleet::routing::{Call, Order, OrderError, RouteDecision, RouteState};
 use hopwalk::fleet::state_machine::{self, Rejection};
 use hopwalk::fleet::wire::message::Running;
-use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
+use hopwalk::fleet::wire::{Client, LocalEnd, Request, RequestOrigin, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use hopwalk::lab::stand_in::wait_until;
 use serde_json::Value;
@@ -64,7 +64,7 @@
     fn driver(&self, at: usize) -> Driver {
         let name = format!("m{}", at + 1);
         let record = self.voters.get(at).map(|(_, listen)| (self.folder.join(&name), *listen));
-        let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
+        let known = KnownNames { classes: ["seat".to_string()].into(), tenants: [].into() };
         let (voters, fleet) = (self.voters.clone(), "test".into());
         Driver::start(Options { name, fleet, voters, record, known, clock_fault: None }).unwrap()
     }
@@ -219,7 +219,7 @@
     let prepare = Entry::Prepare { version: 1, by: "anna at m2, number 1".into() };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let answers = runtime.block_on(async {
-        let client = Client::start(Local::new("test", "m2"), &name, address, None);
+        let client = Client::start(LocalEnd::new("test", "m2"), &name, address, None);
         let request = Request::Submit(state_machine::Entry::Routes(prepare));
         let submit = || client.request(&request, TIMEOUT);
         // The disk is slower than the link: the second request arrives while the entry of the first is being written.
@@ -236,7 +236,7 @@
     // Guards against a late answer that restarts or drops the counts of an experiment.
     let port = ReservedPort::any().unwrap();
     let (voters, record, clock_fault) = (vec![("m1".to_string(), port.address())], None, None);
-    let known = Known { classes: ["seat".to_string()].into(), tenants: [].into() };
+    let known = KnownNames { classes: ["seat".to_string()].into(), tenants: [].into() };
     let (name, fleet) = ("m2".into(), "test".to_string());
     let options = Options { name, fleet: fleet.clone(), voters, record, known, clock_fault };
     let document = r#"{"name":"e","salt":[1,2],"arms":[{"name":"old","share":0.5},{"name":"new","share":0.5}],
@@ -248,12 +248,12 @@
     let (first, reports, late) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
     let progress = std::sync::Arc::new((first, reports, late));
     let observed = progress.clone();
-    let answer = move |ask: Ask, running| {
+    let answer = move |ask: LeaseRequest, running| {
         let (time, lease) = (Duration::from_secs(1), Duration::ZERO);
-        let reply = Reply { number: ask.number, term: 1, time, lease, active: None, pending: None };
+        let reply = LeaseReply { number: ask.number, term: 1, time, lease, active: None, pending: None };
         Response::Reply { reply: Box::new(reply), running }
     };
-    let handler = move |_: std::sync::Arc<Caller>, request: Request| -> Answering {
+    let handler = move |_: std::sync::Arc<RequestOrigin>, request: Request| -> ResponseFuture {
         let (progress, running) = (progress.clone(), running.clone());
         Box::pin(async move {
             let (first, reports, late) = &*progress;
@@ -277,7 +277,8 @@
         })
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let server = runtime.block_on(Server::start(port.address(), Local::new(&*fleet, "m1"), handler)).unwrap();
+    let server =
+        runtime.block_on(Server::start(port.address(), LocalEnd::new(&*fleet, "m1"), handler)).unwrap();
     let driver = Driver::start(options).unwrap();
     let reports = || observed.1.load(Ordering::SeqCst);
     assert!(wait_until(TIMEOUT, || observed.2.load(Ordering::SeqCst) == 1), "the first ask is answered");
--- a/tests/record.rs
+++ b/tests/record.rs
@@ -15,12 +15,12 @@
     MAX_SNAPSHOT_BYTES,
 };
 use hopwalk::fleet::routes::record as routes;
-use hopwalk::fleet::routes::table::{TableError, MOST_BYTES};
-use hopwalk::fleet::routes::{Life, Refusal};
+use hopwalk::fleet::routes::table::{TableError, MAX_BYTES};
+use hopwalk::fleet::routes::{MemberIncarnation, Refusal};
 use hopwalk::fleet::state_machine::{Applied, Entry, Rejection};
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRequest;
-use hopwalk::fleet::wire::{Answering, Caller, Client, Local, Request, Response, Server};
+use hopwalk::fleet::wire::{Client, LocalEnd, Request, RequestOrigin, Response, ResponseFuture, Server};
 use hopwalk::lab::ports::ReservedPort;
 use miette::Diagnostic;
 
@@ -52,7 +52,7 @@
     Entry::Routes(routes::Entry::Propose { table: table(number, bytes), by: "o".into() })
 }
 
-/// A table of [`MOST_BYTES`] in its canonical form that differs for each number.
+/// A table of [`MAX_BYTES`] in its canonical form that differs for each number.
 fn longest_table(number: u64) -> String {
     let pool = r#"[{"address":"127.0.0.1:1","weight":1}]"#;
     let with_name_length = |length: usize| {
@@ -60,7 +60,7 @@
         let route = r#"{"class":"c","pool":"a","timeout_ms":5,"tries":1,"without":false}"#;
         format!(r#"{{"pools":{{"a":{pool},"{name}":{pool}}},"routes":[{route}]}}"#)
     };
-    with_name_length(10 + MOST_BYTES - with_name_length(10).len())
+    with_name_length(10 + MAX_BYTES - with_name_length(10).len())
 }
 
 /// A running process of a voter.
@@ -128,14 +128,15 @@
 
     async fn start(&mut self, name: &'static str) -> &Voter {
         let clients = self.addresses.iter().filter(|(n, _)| n != name);
-        let clients =
-            clients.map(|(n, at)| (n.clone(), Client::start(Local::new("f", name), n, *at, None))).collect();
+        let clients = clients
+            .map(|(n, at)| (n.clone(), Client::start(LocalEnd::new("f", name), n, *at, None)))
+            .collect();
         let mut options = Options::new("f", name, self.base.join(name), self.addresses.clone());
         (options.heartbeat, options.election, options.snapshot_interval) =
             (ms(100), self.election, self.snapshot_interval);
         let record = Record::open(options, clients).await.unwrap();
         let (handler_record, vote_delay) = (record.clone(), self.vote_delay);
-        let handler = move |_: Arc<Caller>, request: Request| -> Answering {
+        let handler = move |_: Arc<RequestOrigin>, request: Request| -> ResponseFuture {
             let record = handler_record.clone();
             Box::pin(async move {
                 match request {
@@ -151,7 +152,7 @@
             })
         };
         let address = self.addresses.iter().find(|(n, _)| n == name).unwrap().1;
-        let server = Server::start(address, Local::new("f", name), handler).await.unwrap();
+        let server = Server::start(address, LocalEnd::new("f", name), handler).await.unwrap();
         self.voters.insert(name, Voter { record, server });
         &self.voters[name]
     }
@@ -470,10 +471,10 @@
 
 /// An abort with the longest reason that a leader submits.
 fn longest_abort(turn: u64) -> Entry {
-    let life = Life { name: "m".repeat(64), incarnation: u64::MAX };
-    let name = || "x".repeat(MOST_BYTES);
+    let life = MemberIncarnation { name: "m".repeat(64), incarnation: u64::MAX };
+    let name = || "x".repeat(MAX_BYTES);
     let problem = TableError::RouteTwice { class: name(), tenant: Some(name()) };
-    let why = routes::Why::Refused(life, Refusal::Table { problem }.clipped());
+    let why = routes::AbortReason::Refused(life, Refusal::Table { problem }.truncated());
     Entry::Routes(routes::Entry::Abort { turn, why })
 }
 
@@ -484,13 +485,14 @@
         let absent = fleet.others(fleet.leader().await)[0];
         fleet.stop(absent).await;
         // Tables of the maximum length, and more of them than the state retains.
-        for n in 1..=routes::MOST_TABLES as u64 + 4 {
-            let entry = routes::Entry::Propose { table: longest_table(n), by: "o".repeat(routes::MOST_BY) };
+        for n in 1..=routes::MAX_TABLES as u64 + 4 {
+            let entry =
+                routes::Entry::Propose { table: longest_table(n), by: "o".repeat(routes::MAX_OPERATOR_NAME) };
             assert_eq!(entry.bounded(), Ok(()));
             assert_eq!(fleet.submit(Entry::Routes(entry)).await, proposed(n));
         }
-        for turn in 1..=routes::MOST_HISTORY as u64 + 4 {
-            let by = format!("{turn:0>width$}", width = routes::MOST_BY);
+        for turn in 1..=routes::MAX_HISTORY as u64 + 4 {
+            let by = format!("{turn:0>width$}", width = routes::MAX_OPERATOR_NAME);
             let begin = routes::Entry::Prepare { version: 10, by };
             assert_eq!(begin.bounded(), Ok(()));
             // On a machine under load an entry may be submitted twice, and is rejected the second time.
@@ -503,11 +505,11 @@
         }
         fleet.wait_until_equal().await;
         let state = fleet.voters[fleet.leader().await].record.state();
-        assert_eq!(state.routes.tables().count(), routes::MOST_TABLES);
-        assert_eq!(state.routes.history().count(), routes::MOST_HISTORY);
+        assert_eq!(state.routes.tables().count(), routes::MAX_TABLES);
+        assert_eq!(state.routes.history().count(), routes::MAX_HISTORY);
         let bytes = postcard::experimental::serialized_size(&*state).unwrap();
         println!("the largest record, without experiments: {bytes} bytes of {MAX_SNAPSHOT_BYTES}");
-        assert!(bytes > routes::MOST_TABLES * MOST_BYTES && bytes < 5 << 20, "{bytes}");
+        assert!(bytes > routes::MAX_TABLES * MAX_BYTES && bytes < 5 << 20, "{bytes}");
         let since = Instant::now();
         fleet.start(absent).await;
         fleet.wait_until_equal().await;
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -1,5 +1,5 @@
-//! Postures, and route tables on a simulated fleet: clocks that are off and drift, messages lost, late and reordered,
-//! members paused and restarted, the leader replaced at every step. Every seed is printed when it fails.
+//! Tests of postures, and of route tables on a simulated fleet: clocks with offsets and drift, messages lost, late and
+//! reordered, members paused and restarted, the leader replaced at any step. A failing seed is printed.
 
 mod prepares;
 
@@ -9,10 +9,12 @@
 use hopwalk::fleet::posture::{Ears, Posture, HEARD_PERIODS};
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
-use hopwalk::fleet::routes::member::{self, Member, Request, Route};
-use hopwalk::fleet::routes::record::{Entry, RecordError, Stage, Stamp, State, Why, MOST_BY};
-use hopwalk::fleet::routes::table::{Known, Table, TableError, MOST_BYTES, MOST_TOLD};
-use hopwalk::fleet::routes::{Activation, Fence, Life, Pace, Pending, Refusal, Reply};
+use hopwalk::fleet::routes::member::{self, CallDecision, CallRequest, Member};
+use hopwalk::fleet::routes::record::{
+    AbortReason, Entry, RecordError, Stage, Stamp, State, MAX_OPERATOR_NAME,
+};
+use hopwalk::fleet::routes::table::{KnownNames, Table, TableError, MAX_BYTES, MAX_RECORDED_NAME};
+use hopwalk::fleet::routes::{Activation, Fence, LeaseReply, MemberIncarnation, Pending, Refusal, Timing};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 
@@ -22,8 +24,8 @@
     Duration::from_millis(n)
 }
 
-fn known() -> Known {
-    Known { classes: ["seat".to_string()].into(), tenants: ["t".to_string()].into() }
+fn known() -> KnownNames {
+    KnownNames { classes: ["seat".to_string()].into(), tenants: ["t".to_string()].into() }
 }
 
 fn document(port: u16) -> String {
@@ -52,10 +54,10 @@
     leader: Leader,
     offset: u64,
     ppm: i64,
-    life: u64,
+    starts: u64,
     paused_until: u64,
     cut: bool,
-    slow: bool,
+    fetches_nothing: bool,
 }
 
 struct Fleet {
@@ -63,31 +65,35 @@
     now: u64,
     nodes: Vec<Node>,
     state: State,
-    leads: usize,
+    lead_at: usize,
     term: u64,
     queue: BTreeMap<(u64, u64), Message>,
     number: u64,
     fault: Fault,
     loss: f64,
-    newest: u64,
-    broken: Option<String>,
+    highest: u64,
+    violation: Option<String>,
     refuses: Option<usize>,
-    /// Hears nothing of the others, and is heard.
-    deaf: Option<usize>,
+    /// A member to which no message of the others is delivered, while its own messages are.
+    unreached: Option<usize>,
 }
 
 impl Fleet {
     fn new(seed: u64, fault: Fault) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let node = |at: usize, rng: &mut Xoshiro256PlusPlus| Node {
-            member: Member::new(Life { name: format!("m{at}"), incarnation: 1 }, known(), Pace::default()),
-            leader: Leader::new(Pace::default()),
+            member: Member::new(
+                MemberIncarnation { name: format!("m{at}"), incarnation: 1 },
+                known(),
+                Timing::default(),
+            ),
+            leader: Leader::new(Timing::default()),
             offset: rng.random_range(0..100_000_000_000),
             ppm: rng.random_range(-90..90),
-            life: 1,
+            starts: 1,
             paused_until: 0,
             cut: false,
-            slow: false,
+            fetches_nothing: false,
         };
         let nodes = (0..N).map(|at| node(at, &mut rng)).collect();
         let mut fleet = Self {
@@ -95,16 +101,16 @@
             now: 1_000_000_000,
             nodes,
             state: State::default(),
-            leads: 0,
+            lead_at: 0,
             term: 0,
             queue: BTreeMap::new(),
             number: 0,
             fault,
             loss: 0.0,
-            newest: 0,
-            broken: None,
+            highest: 0,
+            violation: None,
             refuses: None,
-            deaf: None,
+            unreached: None,
         };
         fleet.elect(0);
         for port in [1, 2, 3] {
@@ -123,43 +129,43 @@
     }
 
     fn elect(&mut self, at: usize) {
-        (self.leads, self.term) = (at, self.term + 1);
-        let window = self.nodes[at].member.promises().1;
+        (self.lead_at, self.term) = (at, self.term + 1);
+        let window = self.nodes[at].member.lease_and_switch().1;
         let sent = self.local(at);
-        // The old leader does not learn of it at once: it is stale until a reply of the new term would tell it.
+        // The previous leader is not told, and acts as a stale leader.
         self.lead(at, leader::Input::Elected { term: self.term, window });
         self.lead(at, leader::Input::Confirmed { sent });
     }
 
-    fn post(&mut self, from: usize, to: usize, message: Message) {
-        let log = matches!(message, Message::Log(..));
-        let apart = from != to && (self.nodes[from].cut || self.nodes[to].cut);
-        let unheard = from != to && self.deaf == Some(to) && matches!(message, Message::Member(..));
-        if !log && (apart || unheard || from != to && self.rng.random_bool(self.loss)) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let is_log = matches!(message, Message::Log(..));
+        let is_cut = from != to && (self.nodes[from].cut || self.nodes[to].cut);
+        let is_blocked = from != to && self.unreached == Some(to) && matches!(message, Message::Member(..));
+        if !is_log && (is_cut || is_blocked || from != to && self.rng.random_bool(self.loss)) {
             return;
         }
-        let late = if self.rng.random_bool(0.03) { 40_000_000 } else { 3_000_000 };
-        let wait = if from == to { 1000 } else { self.rng.random_range(100_000..late) };
+        let max_delay = if self.rng.random_bool(0.03) { 40_000_000 } else { 3_000_000 };
+        let delay = if from == to { 1000 } else { self.rng.random_range(100_000..max_delay) };
         self.number += 1;
-        self.queue.insert((self.now + wait, self.number), message);
+        self.queue.insert((self.now + delay, self.number), message);
     }
 
     fn lead(&mut self, at: usize, input: leader::Input) {
         let now = self.local(at);
         for effect in self.nodes[at].leader.step(now, &self.state, input) {
             match effect {
-                leader::Effect::Reply(life, mut reply) => {
-                    let to: usize = life.name[1..].parse().unwrap();
+                leader::Effect::Reply(member, mut reply) => {
+                    let to: usize = member.name[1..].parse().unwrap();
                     if self.fault == Fault::LongLease {
-                        reply.lease = Pace::default().lease;
+                        reply.lease = Timing::default().lease;
                     }
-                    self.post(at, to, Message::Member(to, life.incarnation, member::Input::Reply(reply)));
+                    self.send(at, to, Message::Member(to, member.incarnation, member::Input::Reply(reply)));
                 }
-                leader::Effect::Nudge(life) => {
-                    let to: usize = life.name[1..].parse().unwrap();
-                    self.post(at, to, Message::Member(to, life.incarnation, member::Input::Nudge));
+                leader::Effect::Nudge(member) => {
+                    let to: usize = member.name[1..].parse().unwrap();
+                    self.send(at, to, Message::Member(to, member.incarnation, member::Input::Nudge));
                 }
-                leader::Effect::Propose(entry) => self.post(at, at, Message::Log(at, entry)),
+                leader::Effect::Propose(entry) => self.send(at, at, Message::Log(at, entry)),
             }
         }
     }
@@ -167,58 +173,59 @@
     fn step(&mut self, at: usize, input: member::Input) {
         let now = self.local(at);
         for effect in self.nodes[at].member.step(now, input) {
-            let life = self.nodes[at].life;
+            let starts = self.nodes[at].starts;
             match effect {
                 member::Effect::Ask(ask) => {
-                    // Some still ask an earlier leader, which may not know that it is none.
-                    let stray = self.rng.random_bool(0.15);
-                    let to = if stray { self.rng.random_range(0..N) } else { self.leads };
-                    self.post(at, to, Message::Leader(to, leader::Input::Ask(ask)));
+                    // Some requests go to another node, such as an earlier leader that does not know it was deposed.
+                    let is_misdirected = self.rng.random_bool(0.15);
+                    let to = if is_misdirected { self.rng.random_range(0..N) } else { self.lead_at };
+                    self.send(at, to, Message::Leader(to, leader::Input::Ask(ask)));
                 }
-                member::Effect::Fetch(hash) if !self.nodes[at].slow => {
+                member::Effect::Fetch(hash) if !self.nodes[at].fetches_nothing => {
                     let tables = (1..=3).filter_map(|v| self.state.table(v));
                     let text = tables.filter(|t| t.hash() == hash).map(Table::canonical).next().unwrap();
-                    self.post(at, at, Message::Member(at, life, member::Input::Fetched(hash, text)));
+                    self.send(at, at, Message::Member(at, starts, member::Input::Fetched(hash, text)));
                 }
                 member::Effect::Open(turn, hash) => {
                     let open =
                         if self.refuses == Some(at) { Err("127.0.0.1:2".parse().unwrap()) } else { Ok(()) };
-                    self.post(at, at, Message::Member(at, life, member::Input::Opened(turn, hash, open)));
+                    self.send(at, at, Message::Member(at, starts, member::Input::Opened(turn, hash, open)));
                 }
                 _ => {}
             }
         }
     }
 
-    /// No member acts on a turn once any acted on a higher one, and no lease reaches past the moment unacknowledged.
-    fn look(&mut self) {
+    /// Checks that no member acts on a turn after a higher one, and no lease outlasts an unacknowledged moment.
+    fn check_invariants(&mut self) {
         let mut turns = Vec::new();
         for at in (0..N).filter(|at| self.now >= self.nodes[*at].paused_until) {
             let now = self.local(at);
-            if let Route::Go(fence) =
-                self.nodes[at].member.route(now, Request { read: now, ..Request::default() })
+            if let CallDecision::Go(fence) =
+                self.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
             {
                 turns.push((fence.turn, at));
             }
         }
         if let Some((turn, Stage::Committed(stamp))) =
-            self.state.run().map(|r| (r.activation.fence.turn, r.stage))
+            self.state.open_activation().map(|r| (r.activation.fence.turn, r.stage))
         {
-            // Before the moment: at it, who acknowledged has switched and waits for nothing any more.
-            let left = stamp.at.saturating_sub(self.local(self.leads));
-            for at in (0..N).filter(|_| stamp.term == self.term && left > ms(1)) {
-                let (lease, switch) = self.nodes[at].member.promises();
+            // Only before the moment: from then on, members that acknowledged have switched and have no pending switch.
+            let remaining = stamp.at.saturating_sub(self.local(self.lead_at));
+            for at in (0..N).filter(|_| stamp.term == self.term && remaining > ms(1)) {
+                let (lease, switch) = self.nodes[at].member.lease_and_switch();
                 // Both clocks drift by at most 90 ppm.
-                let most = self.local(at) + left + left / 5000;
-                if lease.until() > most && switch.is_none() {
-                    self.broken = Some(format!("m{at}: a lease past the moment of {turn}, not acknowledged"));
+                let limit = self.local(at) + remaining + remaining / 5000;
+                if lease.until() > limit && switch.is_none() {
+                    self.violation =
+                        Some(format!("m{at}: lease past the moment of {turn}, not acknowledged"));
                 }
             }
         }
-        self.newest = self.newest.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
-        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.newest) {
-            self.broken =
-                Some(format!("m{at} acts on {turn} after {} at {} ms", self.newest, self.now / 1_000_000));
+        self.highest = self.highest.max(turns.iter().map(|t| t.0).max().unwrap_or(0));
+        if let Some((turn, at)) = turns.iter().find(|t| t.0 < self.highest) {
+            self.violation =
+                Some(format!("m{at} acts on {turn} after {} at {} ms", self.highest, self.now / 1_000_000));
         }
     }
 
@@ -232,10 +239,10 @@
                 let message = self.queue.remove(&(at, number)).unwrap();
                 self.now = self.now.max(at);
                 match message {
-                    Message::Member(to, life, input) if self.nodes[to].life == life => {
+                    Message::Member(to, starts, input) if self.nodes[to].starts == starts => {
                         let until = self.nodes[to].paused_until;
                         if self.now < until {
-                            self.queue.insert((until, number), Message::Member(to, life, input));
+                            self.queue.insert((until, number), Message::Member(to, starts, input));
                         } else {
                             self.step(to, input);
                         }
@@ -243,43 +250,43 @@
                     Message::Leader(to, input) if self.now >= self.nodes[to].paused_until => {
                         self.lead(to, input)
                     }
-                    Message::Log(from, entry) if from == self.leads && !self.nodes[from].cut => {
+                    Message::Log(from, entry) if from == self.lead_at && !self.nodes[from].cut => {
                         let _ = self.apply(entry);
                     }
                     _ => {}
                 }
-                self.look();
+                self.check_invariants();
             }
             self.now = tick;
             for at in (0..N).filter(|at| tick >= self.nodes[*at].paused_until).collect::<Vec<_>>() {
                 self.step(at, member::Input::Tick);
-                if at == self.leads && !self.nodes[at].cut {
+                if at == self.lead_at && !self.nodes[at].cut {
                     let sent = self.local(at).saturating_sub(ms(5));
                     self.lead(at, leader::Input::Confirmed { sent });
                 }
                 self.lead(at, leader::Input::Tick);
             }
             if self.fault == Fault::RashCommit {
-                if let Some(run) = self.state.run().filter(|r| r.stage == Stage::Preparing) {
+                if let Some(run) = self.state.open_activation().filter(|r| r.stage == Stage::Preparing) {
                     let (turn, term, at) =
-                        (run.activation.fence.turn, self.term, self.local(self.leads) + ms(100));
+                        (run.activation.fence.turn, self.term, self.local(self.lead_at) + ms(100));
                     let _ = self.apply(Entry::Commit { turn, at: Stamp { term, at } });
                 }
             }
-            self.look();
+            self.check_invariants();
             tick += 5_000_000;
         }
     }
 
     fn restart(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.life += 1;
-        let life = Life { name: format!("m{at}"), incarnation: node.life };
+        node.starts += 1;
+        let identity = MemberIncarnation { name: format!("m{at}"), incarnation: node.starts };
         (node.member, node.leader) =
-            (Member::new(life, known(), Pace::default()), Leader::new(Pace::default()));
+            (Member::new(identity, known(), Timing::default()), Leader::new(Timing::default()));
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let at = self.rng.random_range(0..N);
         match self.rng.random_range(0..6) {
             0 => self.nodes[at].paused_until = self.now + self.rng.random_range(10_000_000..4_000_000_000),
@@ -289,46 +296,46 @@
             4 => self.loss = self.rng.random_range(0.0..0.3),
             _ => self.elect(at),
         }
-        let led = &self.nodes[self.leads];
-        if led.cut || led.paused_until > self.now || self.term > 1 && self.nodes[self.leads].life > 1 {
-            let up = (0..N).find(|n| !self.nodes[*n].cut && self.nodes[*n].paused_until <= self.now);
-            if let Some(up) = up.filter(|_| self.rng.random_bool(0.8)) {
-                self.elect(up);
+        let node = &self.nodes[self.lead_at];
+        if node.cut || node.paused_until > self.now || self.term > 1 && self.nodes[self.lead_at].starts > 1 {
+            let reachable = (0..N).find(|n| !self.nodes[*n].cut && self.nodes[*n].paused_until <= self.now);
+            if let Some(reachable) = reachable.filter(|_| self.rng.random_bool(0.8)) {
+                self.elect(reachable);
             }
         }
     }
 
-    fn begin(&mut self, version: u64) -> Result<hopwalk::fleet::routes::record::Applied, RecordError> {
+    fn prepare(&mut self, version: u64) -> Result<hopwalk::fleet::routes::record::Applied, RecordError> {
         self.apply(Entry::Prepare { version, by: "anna".into() })
     }
 
-    fn ready(seed: u64) -> Self {
+    fn with_version_1(seed: u64) -> Self {
         let mut fleet = Self::new(seed, Fault::None);
         fleet.run(1500);
-        fleet.begin(1).unwrap();
+        fleet.prepare(1).unwrap();
         fleet.run(6000);
         assert_eq!(fleet.state.active().unwrap().fence.version, 1);
         fleet
     }
 
-    fn aborted(&self) -> Option<&Why> {
+    fn aborted(&self) -> Option<&AbortReason> {
         self.state.history().last().unwrap().aborted.as_ref()
     }
 }
 
-fn play(seed: u64, fault: Fault) -> (Option<String>, u64) {
+fn run_seed(seed: u64, fault: Fault) -> (Option<String>, u64) {
     let mut fleet = Fleet::new(seed, fault);
     fleet.run(1500);
     for round in 0..4 {
-        let _ = fleet.begin(1 + round % 3);
+        let _ = fleet.prepare(1 + round % 3);
         for _ in 0..6 {
-            // The steps of prepare and commit are all within the first 3 s.
+            // All steps of prepare and commit happen within the first 3 s.
             let pause = fleet.rng.random_range(5..900);
             fleet.run(pause);
-            fleet.disturb();
+            fleet.inject_fault();
         }
-        if fleet.broken.is_some() {
-            return (fleet.broken, fleet.newest);
+        if fleet.violation.is_some() {
+            return (fleet.violation, fleet.highest);
         }
     }
     fleet.loss = 0.0;
@@ -336,10 +343,10 @@
     let at = fleet.rng.random_range(0..N);
     fleet.elect(at);
     fleet.run(9000);
-    if fleet.broken.is_none() && fleet.state.run().is_some() {
-        fleet.broken = Some("an activation did not end after the heal".into());
+    if fleet.violation.is_none() && fleet.state.open_activation().is_some() {
+        fleet.violation = Some("an activation did not end after the heal".into());
     }
-    (fleet.broken, fleet.newest)
+    (fleet.violation, fleet.highest)
 }
 
 #[test]
@@ -347,132 +354,132 @@
     let seeds = std::env::var("ROUTES_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(500);
     let mut switches = 0;
     for seed in 0..seeds {
-        let (broken, newest) = play(seed, Fault::None);
-        assert_eq!(broken, None, "seed {seed}");
-        switches += newest;
+        let (violation, highest) = run_seed(seed, Fault::None);
+        assert_eq!(violation, None, "seed {seed}");
+        switches += highest;
     }
     println!("{seeds} seeds, turns reached {switches}");
-    assert!(switches > seeds, "too few switches to show anything");
+    assert!(switches > seeds, "too few switches for a meaningful test");
 }
 
 #[test]
 fn the_invariant_finds_planted_faults() {
     for fault in [Fault::LongLease, Fault::RashCommit] {
-        let found = (0..50).filter(|seed| play(*seed, fault).0.is_some()).count();
-        assert!(found > 0, "not found");
+        let found = (0..50).filter(|seed| run_seed(*seed, fault).0.is_some()).count();
+        assert!(found > 0, "the planted fault is not found");
         println!("found in {found} of 50 seeds");
     }
 }
 
 #[test]
-fn before_any_activation_turn_0_is_acted_on_under_a_lease_and_left_at_one_moment() {
+fn before_the_first_activation_members_with_a_lease_act_on_turn_0_and_leave_it_together() {
     let mut fleet = Fleet::new(7, Fault::None);
     let route = |fleet: &Fleet, at: usize| {
         let now = fleet.local(at);
-        fleet.nodes[at].member.route(now, Request { read: now, ..Request::default() })
+        fleet.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
     };
-    assert_eq!(route(&fleet, 1), Route::Barred, "no word of a leader yet");
+    assert_eq!(route(&fleet, 1), CallDecision::Barred, "no reply of a leader yet");
     fleet.run(1500);
-    assert!((0..N).all(|at| route(&fleet, at) == Route::Go(Fence::default())));
-    fleet.begin(1).unwrap();
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(Fence::default())));
+    fleet.prepare(1).unwrap();
     fleet.run(4000);
     let first = Fence { turn: 1, version: 1 };
-    assert!((0..N).all(|at| route(&fleet, at) == Route::Go(first)));
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(first)));
     let member = &fleet.nodes[0].member;
     assert!(member.table_under(first).is_some() && member.table_under(Fence::default()).is_none());
-    // Without a leader the lease lapses.
+    // Without a leader the lease ends.
     fleet.nodes.iter_mut().for_each(|n| n.cut = true);
-    fleet.nodes[fleet.leads].paused_until = u64::MAX;
+    fleet.nodes[fleet.lead_at].paused_until = u64::MAX;
     fleet.run(2500);
-    assert_eq!((route(&fleet, 1), fleet.broken), (Route::Barred, None));
+    assert_eq!((route(&fleet, 1), fleet.violation), (CallDecision::Barred, None));
 }
 
 #[test]
-fn one_refusal_aborts_and_a_rollback_goes_back() {
-    let mut fleet = Fleet::ready(1);
+fn one_refusal_aborts_and_a_rollback_activates_the_previous_version() {
+    let mut fleet = Fleet::with_version_1(1);
     fleet.refuses = Some(3);
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(1500);
     assert!(
-        matches!(fleet.aborted(), Some(Why::Refused(life, Refusal::Connect { .. })) if life.name == "m3")
+        matches!(fleet.aborted(), Some(AbortReason::Refused(member, Refusal::Connect { .. })) if member.name == "m3")
     );
     fleet.refuses = None;
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(5000);
     fleet.apply(Entry::Rollback { by: "anna".into() }).unwrap();
     fleet.run(5000);
     let fence = fleet.state.active().unwrap().fence;
     assert_eq!((fence.version, fence.turn), (1, 4), "an older version under a newer turn");
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn silence_aborts_unless_the_lease_lapses_in_time() {
-    let mut fleet = Fleet::ready(2);
-    fleet.nodes[3].slow = true;
-    fleet.begin(2).unwrap();
+fn a_silent_member_aborts_unless_its_lease_ends_in_time() {
+    let mut fleet = Fleet::with_version_1(2);
+    fleet.nodes[3].fetches_nothing = true;
+    fleet.prepare(2).unwrap();
     fleet.run(5000);
-    assert!(matches!(fleet.aborted(), Some(Why::Silent(life)) if life.name == "m3"));
+    assert!(matches!(fleet.aborted(), Some(AbortReason::Silent(member)) if member.name == "m3"));
     fleet.nodes[3].cut = true;
-    fleet.begin(2).unwrap();
+    fleet.prepare(2).unwrap();
     fleet.run(6000);
     assert_eq!((fleet.aborted(), fleet.state.active().unwrap().fence.version), (None, 2));
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn who_is_heard_and_hears_nobody_gets_no_lease_and_stops_no_switch() {
-    let mut fleet = Fleet::ready(5);
-    fleet.deaf = Some((fleet.leads + 1) % N);
-    fleet.begin(2).unwrap();
+fn a_member_that_receives_nothing_gets_no_lease_and_delays_no_switch() {
+    let mut fleet = Fleet::with_version_1(5);
+    fleet.unreached = Some((fleet.lead_at + 1) % N);
+    fleet.prepare(2).unwrap();
     fleet.run(6000);
     assert_eq!((fleet.aborted(), fleet.state.active().unwrap().fence.version), (None, 2));
-    assert_eq!(fleet.broken, None);
+    assert_eq!(fleet.violation, None);
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_is_told() {
-    let mut fleet = Fleet::ready(3);
-    fleet.begin(2).unwrap();
-    let told = fleet.apply(Entry::Prepare { version: 3, by: "ben".into() });
-    assert_eq!(told, Err(RecordError::Busy { version: 2, by: "anna".into() }));
+fn of_two_concurrent_operators_one_succeeds_and_the_other_gets_an_error() {
+    let mut fleet = Fleet::with_version_1(3);
+    fleet.prepare(2).unwrap();
+    let result = fleet.apply(Entry::Prepare { version: 3, by: "ben".into() });
+    assert_eq!(result, Err(RecordError::Busy { version: 2, by: "anna".into() }));
 }
 
 #[test]
 fn inside_the_uncertainty_a_request_waits_for_at_most_twice_the_bound() {
-    let mut fleet = Fleet::ready(4);
-    fleet.begin(2).unwrap();
-    while fleet.nodes[2].member.promises().1.is_none() {
+    let mut fleet = Fleet::with_version_1(4);
+    fleet.prepare(2).unwrap();
+    while fleet.nodes[2].member.lease_and_switch().1.is_none() {
         fleet.run(5);
     }
     let member = fleet.nodes[2].member.clone();
-    let window = member.promises().1.unwrap().1;
-    let route = |now, tried| member.route(now, Request { read: now, tried, ran: None });
-    let Route::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
-    assert_eq!(route(window.low, None), Route::Wait(window.high));
+    let window = member.lease_and_switch().1.unwrap().1;
+    let route = |now, tried| member.route(now, CallRequest { read: now, tried, ran: None });
+    let CallDecision::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
+    assert_eq!(route(window.low, None), CallDecision::Wait(window.high));
     assert!(window.bound() <= ms(6) && window.bound() > Duration::ZERO);
     fleet.run(3000);
     let (now, member) = (fleet.local(2), &fleet.nodes[2].member);
-    let request = Request { read: now, tried: Some(old), ran: None };
-    assert_eq!(member.route(now, request), Route::Ended(old), "tried under the old version");
-    assert_eq!(member.route(now, Request { ran: Some(old), ..request }), Route::FromKey(old));
+    let request = CallRequest { read: now, tried: Some(old), ran: None };
+    assert_eq!(member.route(now, request), CallDecision::Ended(old), "tried under the old version");
+    assert_eq!(member.route(now, CallRequest { ran: Some(old), ..request }), CallDecision::FromKey(old));
 }
 
 #[test]
-fn a_wide_bound_and_a_clock_that_runs_wrong_are_told_apart() {
+fn a_wide_bound_and_a_wrong_clock_are_different_errors() {
     let mut clock = Clock::default();
     let s = |sent, received, theirs| Sample { sent: ms(sent), received: ms(received), theirs: ms(theirs) };
-    clock.take(s(100, 111, 1105)).unwrap();
-    assert!(matches!(clock.fit(ms(111)), Err(ClockError::Wide { .. })));
-    clock.take(s(200, 201, 1200)).unwrap();
-    assert!(clock.fit(ms(201)).unwrap() < ms(1));
-    clock.take(s(300, 301, 3300)).unwrap();
-    assert_eq!(clock.fit(ms(301)), Err(ClockError::Disagree));
-    assert_eq!(clock.take(s(5, 4, 1)), Err(ClockError::Backwards));
+    clock.add_sample(s(100, 111, 1105)).unwrap();
+    assert!(matches!(clock.usable_bound(ms(111)), Err(ClockError::Wide { .. })));
+    clock.add_sample(s(200, 201, 1200)).unwrap();
+    assert!(clock.usable_bound(ms(201)).unwrap() < ms(1));
+    clock.add_sample(s(300, 301, 3300)).unwrap();
+    assert_eq!(clock.usable_bound(ms(301)), Err(ClockError::Disagree));
+    assert_eq!(clock.add_sample(s(5, 4, 1)), Err(ClockError::Backwards));
 }
 
 #[test]
-fn a_member_that_is_cut_off_leaves_its_posture_without_waiting_for_deaths() {
+fn the_posture_of_a_member_that_is_cut_off_changes_before_the_others_are_declared_dead() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let mut ears = Ears::new("m0", &voters, ms(200));
     assert_eq!(ears.posture(ms(0)), Posture::Alone);
@@ -488,11 +495,11 @@
 }
 
 #[test]
-fn the_membership_tells_a_minority_from_nobody_and_allows_nothing() {
+fn the_membership_distinguishes_a_minority_from_alone_and_permits_nothing_more() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let all: Vec<String> = (0..7).map(|n| format!("m{n}")).collect();
-    // Every set of voters heard by the record, with every set of members heard by the membership, for a voter
-    // and for none.
+    // Each set of voters that answer the record, with each set of members that answer the membership, for a voter and
+    // for a member that is not a voter.
     for (own, record, membership) in ["m0", "m6"]
         .into_iter()
         .flat_map(|own| (0..32u32).flat_map(move |r| (0..128u32).map(move |m| (own, r, m))))
@@ -512,7 +519,7 @@
         assert_eq!(with.may(), without.may(), "{own} {record:b} {membership:b}");
         let expected = if without == Posture::Alone && others { Posture::Minority } else { without };
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
-        // Its answers count for five periods of its own, and are kept no longer.
+        // The membership's answers count for five of its own periods, and are then forgotten.
         assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
         beside.acked("m5", ms(2000));
         assert_eq!(beside.by_membership(ms(2100)), ["m5"]);
@@ -520,7 +527,7 @@
 }
 
 #[test]
-fn a_table_is_checked_whole() {
+fn the_whole_table_is_validated() {
     let table = Table::parse(&document(1)).unwrap();
     assert_eq!(table.check(&known()), Ok(()));
     assert_eq!(Table::parse(&table.canonical()).unwrap().hash(), table.hash());
@@ -536,7 +543,7 @@
     assert!(matches!(with("\"tries\"", arms), Err(TableError::Shares { sum: 999, .. })));
 }
 
-/// A document that is `bytes` long, without blanks, with `routes` routes that leave `without` out.
+/// A document of `bytes` bytes, without whitespace, with `routes` routes that omit `without`.
 fn document_of(bytes: usize, routes: usize) -> String {
     let route = |n: usize| format!(r#"{{"class":"c{n}","pool":"a","timeout_ms":9,"tries":1}}"#);
     let routes: Vec<_> = (0..routes).map(route).collect();
@@ -549,45 +556,45 @@
 }
 
 #[test]
-fn a_table_that_is_too_long_once_written_out_is_refused_to_its_proposer() {
+fn a_table_whose_canonical_form_is_too_long_is_refused_when_proposed() {
     // Each route's `without` is 16 bytes longer in the canonical form.
-    let fits = Table::parse(&document_of(MOST_BYTES - 20 * 16, 20)).unwrap();
-    assert_eq!(fits.canonical().len(), MOST_BYTES);
+    let fits = Table::parse(&document_of(MAX_BYTES - 20 * 16, 20)).unwrap();
+    assert_eq!(fits.canonical().len(), MAX_BYTES);
     assert_eq!(Table::parse(&fits.canonical()), Ok(fits));
-    let over = document_of(MOST_BYTES, 20);
-    let problem = TableError::Canonical { bytes: MOST_BYTES + 20 * 16 };
-    assert_eq!((over.len(), Table::parse(&over)), (MOST_BYTES, Err(problem.clone())));
-    let one = document_of(MOST_BYTES - 20 * 16 + 1, 20);
-    assert_eq!(Table::parse(&one), Err(TableError::Canonical { bytes: MOST_BYTES + 1 }));
+    let over = document_of(MAX_BYTES, 20);
+    let problem = TableError::Canonical { bytes: MAX_BYTES + 20 * 16 };
+    assert_eq!((over.len(), Table::parse(&over)), (MAX_BYTES, Err(problem.clone())));
+    let one = document_of(MAX_BYTES - 20 * 16 + 1, 20);
+    assert_eq!(Table::parse(&one), Err(TableError::Canonical { bytes: MAX_BYTES + 1 }));
     let propose = Entry::Propose { table: over, by: "o".into() };
     assert_eq!(propose.bounded(), Err(RecordError::Table { problem }));
-    // What is in a log already is taken as before, by all voters alike.
+    // An entry that is already in a log is still applied, by all voters in the same way.
     assert!(State::default().apply(&propose).is_ok());
 }
 
 #[test]
-fn an_order_under_a_name_without_end_does_not_come_into_the_log() {
+fn an_order_with_a_too_long_operator_name_is_not_logged() {
     let by = |bytes: usize| "x".repeat(bytes);
     let all = |bytes: usize| {
         [
             Entry::Propose { table: document(1), by: by(bytes) },
             Entry::Prepare { version: 1, by: by(bytes) },
             Entry::Rollback { by: by(bytes) },
-            Entry::Abort { turn: 1, why: Why::Operator(by(bytes)) },
+            Entry::Abort { turn: 1, why: AbortReason::Operator(by(bytes)) },
         ]
     };
-    assert!(all(MOST_BY).iter().all(|entry| entry.bounded() == Ok(())));
-    let over = Err(RecordError::By { bytes: MOST_BY + 1 });
-    assert!(all(MOST_BY + 1).iter().all(|entry| entry.bounded() == over));
+    assert!(all(MAX_OPERATOR_NAME).iter().all(|entry| entry.bounded() == Ok(())));
+    let over = Err(RecordError::By { bytes: MAX_OPERATOR_NAME + 1 });
+    assert!(all(MAX_OPERATOR_NAME + 1).iter().all(|entry| entry.bounded() == over));
     assert_eq!(Entry::Done { turn: 1 }.bounded(), Ok(()));
 }
 
 #[test]
-fn of_a_refusal_the_record_keeps_names_cut_short() {
-    let name = "é".repeat(MOST_BYTES / 2);
+fn the_record_keeps_a_refusal_with_truncated_names() {
+    let name = "é".repeat(MAX_BYTES / 2);
     let problem = TableError::RouteTwice { class: name.clone(), tenant: Some("t".into()) };
-    let kept = Refusal::Table { problem }.clipped();
-    let class = "é".repeat(MOST_TOLD / 2) + "…";
+    let kept = Refusal::Table { problem }.truncated();
+    let class = "é".repeat(MAX_RECORDED_NAME / 2) + "…";
     assert_eq!(kept, Refusal::Table { problem: TableError::RouteTwice { class, tenant: Some("t".into()) } });
-    assert_eq!(kept.clone().clipped().to_string().len(), kept.to_string().len());
+    assert_eq!(kept.clone().truncated().to_string().len(), kept.to_string().len());
 }
