--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -8,7 +8,7 @@
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::experiment::record::{End, WINNER};
 use crate::fleet::experiment::words;
-use crate::fleet::posture::Ears;
+use crate::fleet::posture::Reachability;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::lease::Given;
 use crate::fleet::routes::member::Member;
@@ -167,7 +167,7 @@
 }
 
 /// What the member at the door knows itself, whoever leads.
-pub fn own(member: &Member, now: Duration, ears: &Ears, leader: Option<&str>) -> Value {
+pub fn own(member: &Member, now: Duration, reachability: &Reachability, leader: Option<&str>) -> Value {
     let (lease, switch) = member.promises();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
@@ -176,9 +176,9 @@
     json!({
         "name": member.life().name,
         "incarnation": member.life().incarnation,
-        "posture": ears.posture(now).name(),
-        "unheard": ears.unheard(now),
-        "membership_hears": ears.by_membership(now),
+        "posture": reachability.posture(now).name(),
+        "unheard": reachability.unheard(now),
+        "membership_hears": reachability.by_membership(now),
         "leader": leader,
         "ready": member.ready(now),
         "lease_ms": ms(lease.until().saturating_sub(now)),
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -20,7 +20,7 @@
 use crate::fleet::experiment::counter::Counter;
 use crate::fleet::link::Answers;
 use crate::fleet::metrics::Metrics;
-use crate::fleet::posture::{Ears, May};
+use crate::fleet::posture::{May, Reachability};
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, Known};
@@ -70,7 +70,7 @@
     pub(super) clients: BTreeMap<String, Client>,
     pub(super) lead: Mutex<Lead>,
     pub(super) voter: Mutex<Option<Arc<Voter>>>,
-    ears: Mutex<Ears>,
+    reachability: Mutex<Reachability>,
     /// Who led, by the last word; none: whoever is next is asked.
     leader: Mutex<Option<String>>,
     next: AtomicUsize,
@@ -106,7 +106,9 @@
         let names: Vec<String> = options.voters.iter().map(|(name, _)| name.clone()).collect();
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let part = Self {
-            ears: Mutex::new(Ears::new(&options.name, &names, PERIOD).beside(answers.period())),
+            reachability: Mutex::new(
+                Reachability::new(&options.name, &names, PERIOD).beside(answers.period()),
+            ),
             lead: Mutex::new(Lead::new(voters, Pace::default())),
             voter: Mutex::default(),
             leader: Mutex::default(),
@@ -227,14 +229,14 @@
             tokio::spawn(async move {
                 let sent = part.clock.now();
                 if let Ok(Response::Hello(_)) = client.request(&Request::Hello, PATIENCE).await {
-                    lock(&part.ears).answered(&name, sent);
+                    lock(&part.reachability).answered(&name, sent);
                     part.count_unheard();
                 }
             });
         }
         for (name, sent) in part.answers.late() {
             let sent = part.clock.now().saturating_sub(sent.elapsed());
-            lock(&part.ears).acked(&name, sent);
+            lock(&part.reachability).acked(&name, sent);
         }
         part.count_unheard();
     }
@@ -275,11 +277,11 @@
 
     /// What its posture lets it do now.
     pub fn may(&self) -> May {
-        lock(&self.ears).posture(self.clock.now()).may()
+        lock(&self.reachability).posture(self.clock.now()).may()
     }
 
     fn count_unheard(&self) {
-        let unheard = lock(&self.ears).unheard(self.clock.now()).len();
+        let unheard = lock(&self.reachability).unheard(self.clock.now()).len();
         self.metrics.unheard.set(unheard as i64);
     }
 
@@ -287,9 +289,9 @@
     pub fn document(&self) -> Value {
         let leader = self.leads().or_else(|| lock(&self.leader).clone());
         let now = self.clock.now();
-        let ears = lock(&self.ears);
+        let reachability = lock(&self.reachability);
         let held = self.routing.held();
-        documents::own(&held.member, now, &ears, leader.as_deref())
+        documents::own(&held.member, now, &reachability, leader.as_deref())
     }
 
     /// What is known where the leader's side decides something; `f` is given the record as it stands.
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -65,7 +65,7 @@
 
 /// When each other member was last heard both ways.
 #[derive(Clone, Debug)]
-pub struct Ears {
+pub struct Reachability {
     own: String,
     voters: Vec<String>,
     within: Duration,
@@ -75,7 +75,7 @@
     members: BTreeMap<String, Duration>,
 }
 
-impl Ears {
+impl Reachability {
     /// For the member `own`, with the named voters and the membership's protocol period; nobody is heard yet.
     pub fn new(own: &str, voters: &[String], period: Duration) -> Self {
         let mut voters = voters.to_vec();
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hopwalk::fleet::posture::{Ears, Posture, HEARD_PERIODS};
+use hopwalk::fleet::posture::{Posture, Reachability, HEARD_PERIODS};
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
@@ -474,13 +474,13 @@
 #[test]
 fn a_member_that_is_cut_off_leaves_its_posture_without_waiting_for_deaths() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
-    let mut ears = Ears::new("m0", &voters, ms(200));
-    assert_eq!(ears.posture(ms(0)), Posture::Alone);
+    let mut reachability = Reachability::new("m0", &voters, ms(200));
+    assert_eq!(reachability.posture(ms(0)), Posture::Alone);
     for (heard, posture) in [(2, Posture::Minority), (3, Posture::Majority), (5, Posture::Whole)] {
-        voters[1..heard].iter().for_each(|v| ears.answered(v, ms(1000)));
-        assert_eq!(ears.posture(ms(1100)), posture);
+        voters[1..heard].iter().for_each(|v| reachability.answered(v, ms(1000)));
+        assert_eq!(reachability.posture(ms(1100)), posture);
     }
-    assert_eq!(ears.posture(ms(1000) + ms(200) * HEARD_PERIODS), Posture::Alone, "5 periods: 1 s");
+    assert_eq!(reachability.posture(ms(1000) + ms(200) * HEARD_PERIODS), Posture::Alone, "5 periods: 1 s");
     for p in [Posture::Whole, Posture::Majority, Posture::Minority, Posture::Alone] {
         let (may, quorum) = (p.may(), p >= Posture::Majority);
         assert!(may.serve && [may.propose, may.prepare, may.activate, may.decide] == [quorum; 4]);
@@ -497,12 +497,14 @@
         .into_iter()
         .flat_map(|own| (0..32u32).flat_map(move |r| (0..128u32).map(move |m| (own, r, m))))
     {
-        let (plain, beside) =
-            (Ears::new(own, &voters, ms(200)), Ears::new(own, &voters, ms(200)).beside(ms(100)));
-        let hear = |mut ears: Ears| {
+        let (plain, beside) = (
+            Reachability::new(own, &voters, ms(200)),
+            Reachability::new(own, &voters, ms(200)).beside(ms(100)),
+        );
+        let hear = |mut reachability: Reachability| {
             let heard = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
-            heard.for_each(|(_, name)| ears.answered(name, ms(1000)));
-            ears
+            heard.for_each(|(_, name)| reachability.answered(name, ms(1000)));
+            reachability
         };
         let (plain, mut beside) = (hear(plain), hear(beside));
         let acked = all.iter().enumerate().filter(|(n, _)| membership >> n & 1 == 1);
