--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -107,7 +107,7 @@
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let part = Self {
             reachability: Mutex::new(
-                Reachability::new(&options.name, &names, PERIOD).beside(answers.period()),
+                Reachability::new(&options.name, &names, PERIOD).with_membership(answers.period()),
             ),
             lead: Mutex::new(Lead::new(voters, Pace::default())),
             voter: Mutex::default(),
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -88,7 +88,7 @@
 
     /// Beside a membership of this protocol period: its answers tell `minority` from `alone`, and nothing
     /// else.
-    pub fn beside(self, period: Duration) -> Self {
+    pub fn with_membership(self, period: Duration) -> Self {
         Self { beside: period * HEARD_PERIODS, ..self }
     }
 
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -499,7 +499,7 @@
     {
         let (plain, beside) = (
             Reachability::new(own, &voters, ms(200)),
-            Reachability::new(own, &voters, ms(200)).beside(ms(100)),
+            Reachability::new(own, &voters, ms(200)).with_membership(ms(100)),
         );
         let hear = |mut reachability: Reachability| {
             let heard = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
