--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -236,7 +236,7 @@
         }
         for (name, sent) in part.answers.late() {
             let sent = part.clock.now().saturating_sub(sent.elapsed());
-            lock(&part.reachability).acked(&name, sent);
+            lock(&part.reachability).membership_answered(&name, sent);
         }
         part.count_unheard();
     }
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -104,7 +104,7 @@
     /// `name`, voter or not, answered a probe of the membership that was sent at `sent`. It is no voter
     /// heard: leases and the record go over other links, and the membership asks one member a period, so in a
     /// fleet of more than six its silence for five periods says nothing of a single one.
-    pub fn acked(&mut self, name: &str, sent: Duration) {
+    pub fn membership_answered(&mut self, name: &str, sent: Duration) {
         let beside = self.beside;
         self.members.retain(|_, at| sent < *at + beside);
         if name != self.own {
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -508,7 +508,7 @@
         };
         let (plain, mut beside) = (hear(plain), hear(beside));
         let acked = all.iter().enumerate().filter(|(n, _)| membership >> n & 1 == 1);
-        acked.clone().for_each(|(_, name)| beside.acked(name, ms(1000)));
+        acked.clone().for_each(|(_, name)| beside.membership_answered(name, ms(1000)));
         let others = acked.filter(|(_, name)| *name != own).count() > 0;
         let (without, with) = (plain.posture(ms(1400)), beside.posture(ms(1400)));
         assert_eq!(with.may(), without.may(), "{own} {record:b} {membership:b}");
@@ -516,7 +516,7 @@
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
         // Its answers count for five periods of its own, and are kept no longer.
         assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
-        beside.acked("m5", ms(2000));
+        beside.membership_answered("m5", ms(2000));
         assert_eq!(beside.by_membership(ms(2100)), ["m5"]);
     }
 }
