--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -178,7 +178,7 @@
         "incarnation": member.life().incarnation,
         "posture": reachability.posture(now).name(),
         "unheard": reachability.unheard(now),
-        "membership_hears": reachability.by_membership(now),
+        "membership_hears": reachability.membership_reachable(now),
         "leader": leader,
         "ready": member.ready(now),
         "lease_ms": ms(lease.until().saturating_sub(now)),
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// Whom the membership hears at `now`, for operators.
-    pub fn by_membership(&self, now: Duration) -> Vec<&str> {
+    pub fn membership_reachable(&self, now: Duration) -> Vec<&str> {
         let late = self.members.iter().filter(|(_, at)| now < **at + self.beside);
         late.map(|(name, _)| name.as_str()).collect()
     }
@@ -133,7 +133,7 @@
             Posture::Whole
         } else if reached * 2 > self.voters.len() {
             Posture::Majority
-        } else if self.heard.keys().any(fresh) || !self.by_membership(now).is_empty() {
+        } else if self.heard.keys().any(fresh) || !self.membership_reachable(now).is_empty() {
             Posture::Minority
         } else {
             Posture::Alone
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -517,7 +517,7 @@
         // Its answers count for five periods of its own, and are kept no longer.
         assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
         beside.membership_answered("m5", ms(2000));
-        assert_eq!(beside.by_membership(ms(2100)), ["m5"]);
+        assert_eq!(beside.membership_reachable(ms(2100)), ["m5"]);
     }
 }
 
