--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -177,7 +177,7 @@
         "name": member.life().name,
         "incarnation": member.life().incarnation,
         "posture": reachability.posture(now).name(),
-        "unheard": reachability.unheard(now),
+        "unheard": reachability.unreachable_voters(now),
         "membership_hears": reachability.membership_reachable(now),
         "leader": leader,
         "ready": member.ready(now),
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -281,7 +281,7 @@
     }
 
     fn count_unheard(&self) {
-        let unheard = lock(&self.reachability).unheard(self.clock.now()).len();
+        let unheard = lock(&self.reachability).unreachable_voters(self.clock.now()).len();
         self.metrics.unheard.set(unheard as i64);
     }
 
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// The voters that are out of reach at `now`, for operators.
-    pub fn unheard(&self, now: Duration) -> Vec<&str> {
+    pub fn unreachable_voters(&self, now: Duration) -> Vec<&str> {
         let lost =
             |v: &&String| **v != self.own && self.heard.get(*v).is_none_or(|at| now >= *at + self.within);
         self.voters.iter().filter(lost).map(String::as_str).collect()
