--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -8,7 +8,7 @@
 use crate::fleet::experiment::collect::Collector;
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::record as experiments;
-use crate::fleet::posture::May;
+use crate::fleet::posture::Permissions;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::Given;
@@ -28,7 +28,7 @@
     pub now: Duration,
     pub unix: Duration,
     pub state: &'a State,
-    pub may: May,
+    pub may: Permissions,
 }
 
 /// One voter as the leader, or as none.
@@ -154,7 +154,7 @@
 }
 
 /// What the posture lets into the log. An abort, and the end of what is decided, need none.
-pub fn allowed(entry: &Entry, may: May) -> bool {
+pub fn allowed(entry: &Entry, may: Permissions) -> bool {
     use experiments::Entry as E;
     use routes::Entry as R;
     match entry {
@@ -213,7 +213,7 @@
 }
 
 /// What a member says of a prepare while its posture does not let it: nothing.
-pub fn gated(mut ask: Ask, may: May) -> Ask {
+pub fn gated(mut ask: Ask, may: Permissions) -> Ask {
     if !may.prepare && matches!(ask.answer, Some((_, Ok(_)))) {
         ask.answer = None;
     }
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -20,7 +20,7 @@
 use crate::fleet::experiment::counter::Counter;
 use crate::fleet::link::Answers;
 use crate::fleet::metrics::Metrics;
-use crate::fleet::posture::{May, Reachability};
+use crate::fleet::posture::{Permissions, Reachability};
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, Known};
@@ -276,7 +276,7 @@
     }
 
     /// What its posture lets it do now.
-    pub fn may(&self) -> May {
+    pub fn may(&self) -> Permissions {
         lock(&self.reachability).posture(self.clock.now()).may()
     }
 
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -24,7 +24,7 @@
 
 /// What a posture may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct May {
+pub struct Permissions {
     /// Answer requests: always, and what it may call is for the route lease to say.
     pub serve: bool,
     /// Take an operator's new table.
@@ -40,9 +40,14 @@
 impl Posture {
     /// The one table of what each may do. `whole` and `majority` differ in what operators read, not in what is allowed:
     /// a voter that is gone must not stop the fleet.
-    pub fn may(self) -> May {
-        let row =
-            |serve, propose, prepare, activate, decide| May { serve, propose, prepare, activate, decide };
+    pub fn may(self) -> Permissions {
+        let row = |serve, propose, prepare, activate, decide| Permissions {
+            serve,
+            propose,
+            prepare,
+            activate,
+            decide,
+        };
         match self {
             //                        serve propose prepare activate decide
             Posture::Whole => row(true, true, true, true, true),
