--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -254,7 +254,7 @@
     fn it_leads_in_just_the_terms_in_which_the_record_does() {
         let mut lead = Lead::new(["m1".to_string()].into(), Pace::default());
         let state = State::default();
-        let at = |now| Now { now, unix: now, state: &state, may: Posture::Whole.may() };
+        let at = |now| Now { now, unix: now, state: &state, may: Posture::Whole.permissions() };
         let seat = Seat::Voter;
         let stands = |term, leads| Standing { term, leads, leader: None, applied: 1, seat };
         lead.follow(&at(s(10)), &stands(3, false), None);
@@ -280,7 +280,7 @@
 
     #[test]
     fn a_minority_puts_nothing_into_the_log_but_an_abort() {
-        let (minority, majority) = (Posture::Minority.may(), Posture::Majority.may());
+        let (minority, majority) = (Posture::Minority.permissions(), Posture::Majority.permissions());
         let abort = |why| Entry::Routes(routes::Entry::Abort { turn: 1, why });
         let by = || "anna".to_string();
         for entry in [
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -277,7 +277,7 @@
 
     /// What its posture lets it do now.
     pub fn may(&self) -> Permissions {
-        lock(&self.reachability).posture(self.clock.now()).may()
+        lock(&self.reachability).posture(self.clock.now()).permissions()
     }
 
     fn count_unheard(&self) {
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -40,7 +40,7 @@
 impl Posture {
     /// The one table of what each may do. `whole` and `majority` differ in what operators read, not in what is allowed:
     /// a voter that is gone must not stop the fleet.
-    pub fn may(self) -> Permissions {
+    pub fn permissions(self) -> Permissions {
         let row = |serve, propose, prepare, activate, decide| Permissions {
             serve,
             propose,
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -482,7 +482,7 @@
     }
     assert_eq!(reachability.posture(ms(1000) + ms(200) * HEARD_PERIODS), Posture::Alone, "5 periods: 1 s");
     for p in [Posture::Whole, Posture::Majority, Posture::Minority, Posture::Alone] {
-        let (may, quorum) = (p.may(), p >= Posture::Majority);
+        let (may, quorum) = (p.permissions(), p >= Posture::Majority);
         assert!(may.serve && [may.propose, may.prepare, may.activate, may.decide] == [quorum; 4]);
     }
 }
@@ -511,7 +511,7 @@
         acked.clone().for_each(|(_, name)| beside.membership_answered(name, ms(1000)));
         let others = acked.filter(|(_, name)| *name != own).count() > 0;
         let (without, with) = (plain.posture(ms(1400)), beside.posture(ms(1400)));
-        assert_eq!(with.may(), without.may(), "{own} {record:b} {membership:b}");
+        assert_eq!(with.permissions(), without.permissions(), "{own} {record:b} {membership:b}");
         let expected = if without == Posture::Alone && others { Posture::Minority } else { without };
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
         // Its answers count for five periods of its own, and are kept no longer.
