--- a/src/fleet/link.rs
+++ b/src/fleet/link.rs
@@ -13,7 +13,7 @@
 
 use super::membership::view::{Change, Id, Note, State};
 use super::membership::{self, Input, Membership, MOST_BYTES};
-use super::posture::HEARD_PERIODS;
+use super::posture::REACHABLE_PERIODS;
 use super::status::Status;
 
 /// The version that members are told.
@@ -90,7 +90,7 @@
         self.period
     }
 
-    /// Who answered within the last [`HEARD_PERIODS`] periods, and when that was asked.
+    /// Who answered within the last [`REACHABLE_PERIODS`] periods, and when that was asked.
     pub fn late(&self) -> Vec<(String, Instant)> {
         self.late.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -293,7 +293,7 @@
             let now = self.began.elapsed();
             if now >= told_at {
                 told_at = now + self.period / 8;
-                let since = now.saturating_sub(self.period * HEARD_PERIODS);
+                let since = now.saturating_sub(self.period * REACHABLE_PERIODS);
                 let late =
                     self.member.answers(since).map(|(name, sent)| (name.to_string(), self.began + sent));
                 self.answers.tell(late.collect());
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A voter that was not heard both ways for so many protocol periods counts as out of reach.
-pub const HEARD_PERIODS: u32 = 5;
+pub const REACHABLE_PERIODS: u32 = 5;
 
 /// How much of the fleet a member is in touch with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -87,14 +87,14 @@
         voters.sort();
         voters.dedup();
         let (heard, members) = Default::default();
-        let within = period * HEARD_PERIODS;
+        let within = period * REACHABLE_PERIODS;
         Self { own: own.into(), voters, within, heard, beside: Duration::ZERO, members }
     }
 
     /// Beside a membership of this protocol period: its answers tell `minority` from `alone`, and nothing
     /// else.
     pub fn with_membership(self, period: Duration) -> Self {
-        Self { beside: period * HEARD_PERIODS, ..self }
+        Self { beside: period * REACHABLE_PERIODS, ..self }
     }
 
     /// `name` answered something that was sent at `sent`: at that moment or later both ways were open. Counting from the
@@ -130,7 +130,7 @@
         late.map(|(name, _)| name.as_str()).collect()
     }
 
-    /// The posture at `now`. It leaves `majority` at most [`HEARD_PERIODS`] periods after the last answer was asked for.
+    /// The posture at `now`. It leaves `majority` at most [`REACHABLE_PERIODS`] periods after the last answer was asked for.
     pub fn posture(&self, now: Duration) -> Posture {
         let fresh = |name: &String| self.heard.get(name).is_some_and(|at| now < *at + self.within);
         let reached = self.voters.iter().filter(|v| **v == self.own || fresh(v)).count();
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hopwalk::fleet::posture::{Posture, Reachability, HEARD_PERIODS};
+use hopwalk::fleet::posture::{Posture, Reachability, REACHABLE_PERIODS};
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
 use hopwalk::fleet::routes::member::{self, Member, Request, Route};
@@ -480,7 +480,11 @@
         voters[1..heard].iter().for_each(|v| reachability.answered(v, ms(1000)));
         assert_eq!(reachability.posture(ms(1100)), posture);
     }
-    assert_eq!(reachability.posture(ms(1000) + ms(200) * HEARD_PERIODS), Posture::Alone, "5 periods: 1 s");
+    assert_eq!(
+        reachability.posture(ms(1000) + ms(200) * REACHABLE_PERIODS),
+        Posture::Alone,
+        "5 periods: 1 s"
+    );
     for p in [Posture::Whole, Posture::Majority, Posture::Minority, Posture::Alone] {
         let (may, quorum) = (p.permissions(), p >= Posture::Majority);
         assert!(may.serve && [may.propose, may.prepare, may.activate, may.decide] == [quorum; 4]);
@@ -515,7 +519,7 @@
         let expected = if without == Posture::Alone && others { Posture::Minority } else { without };
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
         // Its answers count for five periods of its own, and are kept no longer.
-        assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
+        assert_eq!(beside.posture(ms(1000) + ms(100) * REACHABLE_PERIODS), without);
         beside.membership_answered("m5", ms(2000));
         assert_eq!(beside.membership_reachable(ms(2100)), ["m5"]);
     }
