--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -30,7 +30,7 @@
 use part::Part;
 
 use super::clock::{Clock, Fault};
-use super::link::Answers;
+use super::link::ProbeAnswers;
 use super::metrics::Metrics;
 use super::record::disk::Disk;
 use super::routes::member::Member;
@@ -92,7 +92,7 @@
     /// What the record's folder is on.
     pub disk: Disk,
     /// Whom the membership beside it heard.
-    pub answers: Answers,
+    pub answers: ProbeAnswers,
 }
 
 impl World {
@@ -101,7 +101,7 @@
             clock: Clock::start(fault),
             net: Arc::new(Tcp),
             disk: Disk::Files,
-            answers: Answers::default(),
+            answers: ProbeAnswers::default(),
         }
     }
 }
@@ -128,14 +128,14 @@
     /// # Errors
     /// [`DriverError`].
     pub fn start(options: Options) -> Result<Self, DriverError> {
-        Self::start_beside(options, Answers::default())
+        Self::start_beside(options, ProbeAnswers::default())
     }
 
     /// As [`Driver::start`], beside a membership whose answers count for the posture as well.
     ///
     /// # Errors
     /// [`DriverError`].
-    pub fn start_beside(options: Options, answers: Answers) -> Result<Self, DriverError> {
+    pub fn start_beside(options: Options, answers: ProbeAnswers) -> Result<Self, DriverError> {
         let wrong = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
         let world = World { answers, ..World::of_this_machine(options.fault) };
         // As the membership does it: grows across restarts while the system's clock does not go back.
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -18,7 +18,7 @@
 use super::{documents, orders, Options, Word, World};
 use crate::fleet::clock::Clock;
 use crate::fleet::experiment::counter::Counter;
-use crate::fleet::link::Answers;
+use crate::fleet::link::ProbeAnswers;
 use crate::fleet::metrics::Metrics;
 use crate::fleet::posture::{Permissions, Reachability};
 use crate::fleet::record::disk::Disk;
@@ -64,7 +64,7 @@
     pub(super) clock: Clock,
     pub(super) disk: Disk,
     /// Whom the membership heard.
-    answers: Answers,
+    answers: ProbeAnswers,
     pub(super) metrics: Metrics,
     pub(super) routing: Routing,
     pub(super) clients: BTreeMap<String, Client>,
--- a/src/fleet/link.rs
+++ b/src/fleet/link.rs
@@ -78,13 +78,13 @@
 /// Who answered this process's probes of late: what the posture counts besides the record's links. Without a
 /// membership, nobody.
 #[derive(Clone, Debug, Default)]
-pub struct Answers {
+pub struct ProbeAnswers {
     period: Duration,
     /// By name, when the probe was sent that was answered; a handful, as a probe goes to one member a period.
     late: Arc<Mutex<Vec<(String, Instant)>>>,
 }
 
-impl Answers {
+impl ProbeAnswers {
     /// The membership's protocol period.
     pub fn period(&self) -> Duration {
         self.period
@@ -103,7 +103,7 @@
 /// This process's part in the fleet.
 #[derive(Clone)]
 pub struct Link {
-    answers: Answers,
+    answers: ProbeAnswers,
     orders: SyncSender<Order>,
     status: Arc<Mutex<Option<Status>>>,
     ended: Arc<Mutex<Option<Receiver<()>>>>,
@@ -118,7 +118,7 @@
         let (orders, received) = sync_channel(MOST_ORDERS);
         let (end, ended) = sync_channel(1);
         let status: Arc<Mutex<Option<Status>>> = Arc::default();
-        let answers = Answers { period: options.period, ..Answers::default() };
+        let answers = ProbeAnswers { period: options.period, ..ProbeAnswers::default() };
         let ended = Arc::new(Mutex::new(Some(ended)));
         let link = Self { orders, status: status.clone(), ended, answers: answers.clone() };
         let work = move || {
@@ -151,7 +151,7 @@
     }
 
     /// Who answered its probes of late, for the posture.
-    pub fn answers(&self) -> Answers {
+    pub fn answers(&self) -> ProbeAnswers {
         self.answers.clone()
     }
 
@@ -218,7 +218,7 @@
 }
 
 /// What others of this process read.
-type Told = (Arc<Mutex<Option<Status>>>, Answers);
+type Told = (Arc<Mutex<Option<Status>>>, ProbeAnswers);
 
 struct Part {
     socket: UdpSocket,
@@ -226,7 +226,7 @@
     period: Duration,
     began: Instant,
     status: Arc<Mutex<Option<Status>>>,
-    answers: Answers,
+    answers: ProbeAnswers,
 }
 
 impl Part {
