--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -234,7 +234,7 @@
                 }
             });
         }
-        for (name, sent) in part.answers.late() {
+        for (name, sent) in part.answers.recent() {
             let sent = part.clock.now().saturating_sub(sent.elapsed());
             lock(&part.reachability).membership_answered(&name, sent);
         }
--- a/src/fleet/link.rs
+++ b/src/fleet/link.rs
@@ -91,7 +91,7 @@
     }
 
     /// Who answered within the last [`REACHABLE_PERIODS`] periods, and when that was asked.
-    pub fn late(&self) -> Vec<(String, Instant)> {
+    pub fn recent(&self) -> Vec<(String, Instant)> {
         self.late.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
