--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -30,7 +30,7 @@
 use part::Part;
 
 use super::clock::{Clock, Fault};
-use super::link::ProbeAnswers;
+use super::membership_thread::ProbeAnswers;
 use super::metrics::Metrics;
 use super::record::disk::Disk;
 use super::routes::member::Member;
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -18,7 +18,7 @@
 use super::{documents, orders, Options, Word, World};
 use crate::fleet::clock::Clock;
 use crate::fleet::experiment::counter::Counter;
-use crate::fleet::link::ProbeAnswers;
+use crate::fleet::membership_thread::ProbeAnswers;
 use crate::fleet::metrics::Metrics;
 use crate::fleet::posture::{Permissions, Reachability};
 use crate::fleet::record::disk::Disk;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What makes several matchers a fleet. Each part is a folder with its decisions, which do no I/O; [`link`] carries
+//! What makes several matchers a fleet. Each part is a folder with its decisions, which do no I/O; [`membership_thread`] carries
 //! them out on a socket and a thread of its own. All of it is off unless the operator's file switches it on, and off in
 //! `run`: the platform allows no talk between instances.
 
@@ -8,8 +8,8 @@
 pub mod door;
 pub mod driver;
 pub mod experiment;
-pub mod link;
 pub mod membership;
+pub mod membership_thread;
 pub mod metrics;
 pub mod posture;
 pub mod record;
@@ -20,4 +20,4 @@
 pub mod wire;
 
 pub use driver::{Driver, DriverError};
-pub use link::{Link, LinkError};
+pub use membership_thread::{Link, LinkError};
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -224,7 +224,7 @@
 fn of_the_fleet() -> Walked {
     let at = at();
     vec![
-        ("src/fleet/link.rs", "LinkError", samples!(LinkError { Thread { kind: KIND } })),
+        ("src/fleet/membership_thread.rs", "LinkError", samples!(LinkError { Thread { kind: KIND } })),
         ("src/fleet/driver/mod.rs", "DriverError", samples!(DriverError { Thread { kind: KIND } })),
         (
             "src/fleet/status.rs",
