--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -63,7 +63,7 @@
 
 /// Why this process does not take part in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum LinkError {
+pub enum MembershipThreadError {
     /// No thread for the membership.
     #[error("fleet: its thread cannot be started: {kind}")]
     #[diagnostic(help(
@@ -113,8 +113,8 @@
     /// Joins the fleet from a thread of its own, as soon as the address is free.
     ///
     /// # Errors
-    /// [`LinkError`].
-    pub fn start(options: Options) -> Result<Self, LinkError> {
+    /// [`MembershipThreadError`].
+    pub fn start(options: Options) -> Result<Self, MembershipThreadError> {
         let (orders, received) = sync_channel(MOST_ORDERS);
         let (end, ended) = sync_channel(1);
         let status: Arc<Mutex<Option<Status>>> = Arc::default();
@@ -141,7 +141,7 @@
             let _ = end.send(());
         };
         let started = std::thread::Builder::new().name("fleet".into()).spawn(work);
-        started.map_err(|e| LinkError::Thread { kind: e.kind() })?;
+        started.map_err(|e| MembershipThreadError::Thread { kind: e.kind() })?;
         Ok(link)
     }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -274,8 +274,11 @@
         }
         Ok(AdminRequest::Ready) => 503,
         Ok(AdminRequest::Fleet) => {
-            body_text =
-                hub.fleet.as_ref().and_then(fleet::Link::status).map(|status| status.to_json() + "\n");
+            body_text = hub
+                .fleet
+                .as_ref()
+                .and_then(fleet::MembershipHandle::status)
+                .map(|status| status.to_json() + "\n");
             if body_text.is_some() {
                 200
             } else {
--- a/src/net/error.rs
+++ b/src/net/error.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::core::CoreError;
-use crate::fleet::{DriverError, LinkError};
+use crate::fleet::{DriverError, MembershipThreadError};
 use crate::json::JsonError;
 
 /// Why a server cannot start or continue.
@@ -16,7 +16,7 @@
     /// The membership of the fleet cannot be started.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Fleet(#[from] LinkError),
+    Fleet(#[from] MembershipThreadError),
     /// The driver of the fleet's routes cannot be started.
     #[error(transparent)]
     #[diagnostic(transparent)]
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -62,7 +62,7 @@
     /// The addresses of the links, as of the last reading of the configuration.
     pub(super) links: Mutex<Links>,
     /// The connection to the fleet's membership, if this process is a member of a fleet.
-    pub(super) fleet: Option<fleet::Link>,
+    pub(super) fleet: Option<fleet::MembershipHandle>,
     /// The fleet's routes, if the fleet routes calls.
     pub(super) routing: Option<Arc<dyn Router>>,
     /// According to the last report to the reducer, calls of some class may not be made.
@@ -91,7 +91,7 @@
         sockets: usize,
         links: Links,
         classes: Vec<String>,
-        fleet: Option<fleet::Link>,
+        fleet: Option<fleet::MembershipHandle>,
         routing: Option<Arc<dyn Router>>,
     ) -> Self {
         let hub = Self {
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -34,7 +34,7 @@
     let mut registry = Registry::with_prefix("hopwalk");
     let counters = lines?.into_iter().filter_map(|(name, n)| Some((name, n.parse().ok()?)));
     register_counters(&mut registry, "core", "Counted by the reducer since the start", counters);
-    if let Some(status) = hub.fleet.as_ref().and_then(fleet::Link::status) {
+    if let Some(status) = hub.fleet.as_ref().and_then(fleet::MembershipHandle::status) {
         let membership =
             fleet::status::counted(&status.counts).into_iter().map(|(name, n)| (name.to_string(), n));
         register_counters(
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -144,8 +144,8 @@
     /// [`NodeError`] where an address cannot be bound, a thread cannot be started, or the settings are unusable.
     pub fn start(config: &Config, certificate: Shared) -> Result<Self, NodeError> {
         let (sender, inbox) = std::sync::mpsc::channel();
-        let fleet = config.fleet().map(fleet::Link::start).transpose()?;
-        let answers = fleet.as_ref().map(fleet::Link::answers).unwrap_or_default();
+        let fleet = config.fleet().map(fleet::MembershipHandle::start).transpose()?;
+        let answers = fleet.as_ref().map(fleet::MembershipHandle::answers).unwrap_or_default();
         let driver =
             config.routes().map(|options| fleet::Driver::start_beside(options, answers)).transpose()?;
         let routing = driver.as_ref().map(|driver| Arc::new(driver.routing()) as Arc<dyn Router>);
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -19,7 +19,7 @@
 use hopwalk::fleet::wire::message::AdmitError;
 use hopwalk::fleet::wire::raft::RaftRefusal;
 use hopwalk::fleet::wire::{FrameError, WireError};
-use hopwalk::fleet::{DriverError, LinkError};
+use hopwalk::fleet::{DriverError, MembershipThreadError};
 use hopwalk::json::JsonError;
 use hopwalk::lab::error::{AskError, HistoryError, LineError, PlotError};
 use hopwalk::lab::routes::LabError;
@@ -64,7 +64,7 @@
             "src/net/error.rs",
             "NodeError",
             samples!(NodeError {
-                Fleet(LinkError::Thread { kind: KIND }),
+                Fleet(MembershipThreadError::Thread { kind: KIND }),
                 Routes(DriverError::Thread { kind: KIND }),
                 Core(CoreError::NoCores),
                 Frontend { key: "listen", address: at(), source: io() },
@@ -224,7 +224,11 @@
 fn of_the_fleet() -> Walked {
     let at = at();
     vec![
-        ("src/fleet/membership_thread.rs", "LinkError", samples!(LinkError { Thread { kind: KIND } })),
+        (
+            "src/fleet/membership_thread.rs",
+            "MembershipThreadError",
+            samples!(MembershipThreadError { Thread { kind: KIND } }),
+        ),
         ("src/fleet/driver/mod.rs", "DriverError", samples!(DriverError { Thread { kind: KIND } })),
         (
             "src/fleet/status.rs",
