--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -1,4 +1,4 @@
-//! The fleet's socket and thread: datagrams in, the membership's steps, datagrams out. Whoever holds the [`Link`] never
+//! The fleet's socket and thread: datagrams in, the membership's steps, datagrams out. Whoever holds the [`MembershipHandle`] never
 //! waits for a peer: what it says goes into a bounded queue, and what it asks is the last state that was told.
 
 use std::io::ErrorKind;
@@ -102,14 +102,14 @@
 
 /// This process's part in the fleet.
 #[derive(Clone)]
-pub struct Link {
+pub struct MembershipHandle {
     answers: ProbeAnswers,
     orders: SyncSender<Order>,
     status: Arc<Mutex<Option<Status>>>,
     ended: Arc<Mutex<Option<Receiver<()>>>>,
 }
 
-impl Link {
+impl MembershipHandle {
     /// Joins the fleet from a thread of its own, as soon as the address is free.
     ///
     /// # Errors
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -20,4 +20,4 @@
 pub mod wire;
 
 pub use driver::{Driver, DriverError};
-pub use membership_thread::{Link, MembershipThreadError};
+pub use membership_thread::{MembershipHandle, MembershipThreadError};
