--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -27,7 +27,7 @@
 use agree::Disagreement;
 use asked::{Asked, Due};
 use notes::Shelf;
-use view::{Change, Id, Note, Signed, State, View};
+use view::{Change, Id, Metadata, Signed, State, View};
 
 /// The largest datagram, envelope included: below the usual MTU.
 pub const MOST_BYTES: usize = 1400;
@@ -88,7 +88,7 @@
     /// Time passed.
     Tick,
     /// What this member says of itself changed.
-    Note(Note),
+    Metadata(Metadata),
     /// It leaves; nothing is sent after this step.
     Leave,
 }
@@ -164,7 +164,7 @@
     next_number: u64,
     score: u32,
     refutations: u16,
-    note: Note,
+    note: Metadata,
     note_number: u64,
     /// When the note is told again, for those who missed it.
     tell_at: Duration,
@@ -198,7 +198,7 @@
 impl Membership {
     /// A member that knows nobody yet; its first [`Input::Tick`] makes it announce itself to the seeds. The settings
     /// have checked the name and the address.
-    pub fn new(options: Options, note: Note) -> Self {
+    pub fn new(options: Options, note: Metadata) -> Self {
         let period = options.period;
         let to = |members| NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         let every = |periods: u32, members| {
@@ -258,7 +258,7 @@
     }
 
     /// What it says of itself.
-    pub fn note(&self) -> &Note {
+    pub fn note(&self) -> &Metadata {
         &self.note
     }
 
@@ -312,7 +312,7 @@
         let mut asked = self.asked(now);
         match input {
             Input::Datagram(bytes) => self.take(bytes, &mut asked),
-            Input::Note(note) => {
+            Input::Metadata(note) => {
                 self.note = note;
                 self.tell_at = now;
             }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -13,7 +13,7 @@
         period: MS * 100,
         seed: port.into(),
     };
-    Membership::new(options, Note::default())
+    Membership::new(options, Metadata::default())
 }
 
 /// Two members that know each other, at the time returned.
@@ -73,7 +73,7 @@
 fn what_a_later_version_notes_is_taken_as_far_as_it_is_known_and_passed_on_whole() {
     let (mut a, mut b, mut now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
-    let note = Note { version: "10".into(), draining: true, ..Note::default() };
+    let note = Metadata { version: "10".into(), draining: true, ..Metadata::default() };
     let signed = Signed { id: b.id().clone(), number: 1 << 40, note };
     let later = postcard::to_allocvec(&(&signed, "a later field", 7u8)).unwrap();
     let mut bytes = good;
@@ -148,7 +148,7 @@
 #[test]
 fn a_note_reaches_the_other_and_a_leave_is_no_death() {
     let (mut a, mut b, mut now) = pair();
-    a.step(now, Input::Note(Note { draining: true, version: "9".into(), ..Note::default() }));
+    a.step(now, Input::Metadata(Metadata { draining: true, version: "9".into(), ..Metadata::default() }));
     for _ in 0..50 {
         now += MS * 10;
         exchange(&mut a, &mut b, now);
@@ -222,7 +222,7 @@
     assert!(a.view().named("m5099").is_none());
     // Neither the one more that speaks itself nor the one that a note tells of is taken.
     a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
-    let note = Signed { id: life(6_001, 1), number: 1, note: Note::default() };
+    let note = Signed { id: life(6_001, 1), number: 1, note: Metadata::default() };
     a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(note))));
     assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MOST_MEMBERS as u64));
     // News of one that is known is taken, beside one of a stranger that is not.
@@ -255,7 +255,7 @@
     let own = a.id().clone();
     a.step(MS, Input::Tick);
     for (port, left) in [(8, false), (9, true)] {
-        let note = Signed { id: life(port, 1), number: 1, note: Note { left, ..Note::default() } };
+        let note = Signed { id: life(port, 1), number: 1, note: Metadata { left, ..Metadata::default() } };
         a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(note))));
     }
     a.step(MS * 40, Input::Tick);
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -29,7 +29,7 @@
 
 /// What a member says of itself; small, and carried on the protocol's own messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct Metadata {
     /// The version of the program.
     pub version: String,
     /// It drains: it serves what it has, and leaves.
@@ -50,7 +50,7 @@
     /// Grows with each note of this life.
     pub number: u64,
     /// What it says.
-    pub note: Note,
+    pub note: Metadata,
 }
 
 /// What is thought of a member.
@@ -87,7 +87,7 @@
     /// Since when, on the clock of whoever looks.
     pub since: Duration,
     /// The number of its last note, and what it said; nothing before the first one came.
-    pub note: Option<(u64, Note)>,
+    pub note: Option<(u64, Metadata)>,
     /// The digest on that note, read once; nothing if it carried none.
     pub digest: Option<Digest>,
 }
@@ -103,7 +103,7 @@
     }
 
     /// What it says of itself, or nothing in particular.
-    pub fn note(&self) -> Note {
+    pub fn note(&self) -> Metadata {
         self.note.as_ref().map(|(_, note)| note.clone()).unwrap_or_default()
     }
 }
@@ -234,7 +234,7 @@
     }
 
     fn signed(id: Id, number: u64, left: bool) -> Signed {
-        Signed { id, number, note: Note { left, ..Note::default() } }
+        Signed { id, number, note: Metadata { left, ..Metadata::default() } }
     }
 
     #[test]
--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-use super::membership::view::{Change, Id, Note, State};
+use super::membership::view::{Change, Id, Metadata, State};
 use super::membership::{self, Input, Membership, MOST_BYTES};
 use super::posture::REACHABLE_PERIODS;
 use super::status::Status;
@@ -126,7 +126,8 @@
             let mut drains = false;
             while let Some(socket) = bind(options.listen, &received, &mut drains) {
                 let capacity = options.capacity;
-                let note = Note { version: VERSION.into(), draining: drains, capacity, ..Note::default() };
+                let note =
+                    Metadata { version: VERSION.into(), draining: drains, capacity, ..Metadata::default() };
                 let part = Part::join(&options, note, socket, (status.clone(), answers.clone()));
                 if part.run(&received, &mut drains) == End::Left {
                     break;
@@ -230,7 +231,7 @@
 }
 
 impl Part {
-    fn join(options: &Options, note: Note, socket: UdpSocket, told: Told) -> Self {
+    fn join(options: &Options, note: Metadata, socket: UdpSocket, told: Told) -> Self {
         // Grows across restarts as long as the system's clock does not go back; if it did, the others tell this
         // process that it is down, and it comes back under a higher one.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -256,8 +257,8 @@
             match orders.try_recv() {
                 Ok(Order::Draining(draining)) => {
                     *drains = draining;
-                    let note = Note { draining, ..self.member.note().clone() };
-                    self.step(Input::Note(note));
+                    let note = Metadata { draining, ..self.member.note().clone() };
+                    self.step(Input::Metadata(note));
                 }
                 Ok(Order::Leave) => {
                     self.step(Input::Leave);
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -9,7 +9,7 @@
 use tinyjson::JsonValue;
 
 use super::membership::agree::Disagreement;
-use super::membership::view::{Id, Note, State};
+use super::membership::view::{Id, Metadata, State};
 use super::membership::{Counts, Membership};
 use super::views;
 use crate::json::JsonError;
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug)]
 pub struct Status {
     /// Who looks, and what it says of itself.
-    pub own: (Id, Note),
+    pub own: (Id, Metadata),
     /// Its local health score; 0 is well.
     pub score: u32,
     /// The others: who, what is thought of each, for how long, and what it said.
-    pub others: Vec<(Id, State, Duration, Note)>,
+    pub others: Vec<(Id, State, Duration, Metadata)>,
     /// Who sees the fleet otherwise, and for how long.
     pub disagreements: Vec<(Disagreement, Duration)>,
     /// Links that work one way only.
@@ -100,7 +100,7 @@
     JsonValue::Object(members.into_iter().map(|(key, value)| (key.to_string(), value)).collect())
 }
 
-fn member(id: &Id, state: &str, since: Duration, note: &Note) -> JsonValue {
+fn member(id: &Id, state: &str, since: Duration, note: &Metadata) -> JsonValue {
     object([
         ("name", JsonValue::String(id.name.clone())),
         ("address", JsonValue::String(id.address.to_string())),
@@ -235,7 +235,7 @@
     fn what_the_door_says_reads_back() {
         let id =
             Id { address: "127.0.0.1:7".parse().unwrap(), incarnation: 1_700_000_000_123, name: "m1".into() };
-        let note = Note { version: "1.0".into(), draining: true, ..Note::default() };
+        let note = Metadata { version: "1.0".into(), draining: true, ..Metadata::default() };
         let other = (
             Id { name: "m\"2".into(), ..id.clone() },
             State::Suspect,
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -78,7 +78,7 @@
     use std::time::Duration;
 
     use super::super::membership::agree::Disagreement;
-    use super::super::membership::view::{Id, Note};
+    use super::super::membership::view::{Id, Metadata};
     use super::super::membership::Counts;
     use super::*;
 
@@ -92,9 +92,9 @@
             about: vec![(at(1), Some(State::Down), Some(State::Alive)), (at(9), Some(State::Alive), None)],
         };
         let status = Status {
-            own: (id(1), Note::default()),
+            own: (id(1), Metadata::default()),
             score: 0,
-            others: vec![(id(2), State::Alive, Duration::ZERO, Note::default())],
+            others: vec![(id(2), State::Alive, Duration::ZERO, Metadata::default())],
             disagreements: vec![(with, Duration::from_millis(1500))],
             one_way: vec![(at(2), at(1))],
             counts: Counts::default(),
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -16,7 +16,7 @@
 use crate::fleet::driver::inside::{begin, Inside};
 use crate::fleet::driver::{Options, World};
 use crate::fleet::experiment::counts::Kind;
-use crate::fleet::membership::view::{Id, Note, State, View};
+use crate::fleet::membership::view::{Id, Metadata, State, View};
 use crate::fleet::membership::{self, Input, Membership};
 use crate::fleet::record::disk;
 use crate::fleet::routes::table::Known;
@@ -171,7 +171,7 @@
             period: PERIOD,
             seed,
         };
-        let member = Membership::new(told, Note::default());
+        let member = Membership::new(told, Metadata::default());
         let row = chance::take(None).unwrap_or(row);
         self.life = Some(Life {
             runtime,
--- a/src/lab/sim/membership.rs
+++ b/src/lab/sim/membership.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use crate::fleet::membership::view::{Id, Note, State, View};
+use crate::fleet::membership::view::{Id, Metadata, State, View};
 use crate::fleet::membership::{Input, Membership, Options};
 use crate::lab::random::Random;
 
@@ -107,7 +107,7 @@
                 period: fleet.plan.period,
                 seed: fleet.plan.seed.wrapping_mul(1_000_003).wrapping_add(m as u64),
             };
-            fleet.members.push(Some(Membership::new(options, Note::default())));
+            fleet.members.push(Some(Membership::new(options, Metadata::default())));
             fleet.index.insert(address(m), m);
             // Not all in the same microsecond.
             let at = fleet.plan.period.mul_f64(fleet.random.unit());
