--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -164,7 +164,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::view::{Metadata, Signed};
+    use super::super::view::{Metadata, MetadataUpdate};
     use super::*;
 
     fn id(n: u16) -> Id {
@@ -183,7 +183,7 @@
             view.learn(Duration::from_secs(1), &id(*n), *state);
             if let Some(digest) = digest {
                 let note = Metadata { digest: digest.encode(), ..Metadata::default() };
-                assert!(view.take(&Signed { id: id(*n), number: 1, note }));
+                assert!(view.take(&MetadataUpdate { id: id(*n), number: 1, note }));
             }
         }
         view
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -27,7 +27,7 @@
 use agree::Disagreement;
 use asked::{Asked, Due};
 use notes::Shelf;
-use view::{Change, Id, Metadata, Signed, State, View};
+use view::{Change, Id, Metadata, MetadataUpdate, State, View};
 
 /// The largest datagram, envelope included: below the usual MTU.
 pub const MOST_BYTES: usize = 1400;
@@ -468,7 +468,8 @@
     /// the notes on the way stay the same in number.
     fn tell(&mut self, asked: &mut Asked) {
         self.note_number += 1;
-        let signed = Signed { id: self.id().clone(), number: self.note_number, note: self.note.clone() };
+        let signed =
+            MetadataUpdate { id: self.id().clone(), number: self.note_number, note: self.note.clone() };
         if let Ok(bytes) = postcard::to_allocvec(&signed) {
             let _ = self.foca.add_broadcast(&bytes);
         }
--- a/src/fleet/membership/notes.rs
+++ b/src/fleet/membership/notes.rs
@@ -6,7 +6,7 @@
 
 use foca::{BroadcastHandler, Invalidates};
 
-use super::view::{Id, Signed, MOST_DIGEST, MOST_NAME};
+use super::view::{Id, MetadataUpdate, MOST_DIGEST, MOST_NAME};
 
 /// Which note a broadcast is: a newer one of the same member takes its place on the way.
 pub struct NoteKey {
@@ -27,7 +27,7 @@
     /// The lives that are known, by address, with the number of the newest note of each.
     pub(super) known: BTreeMap<SocketAddrV4, (u64, u64)>,
     /// Notes that came in this step.
-    pub(super) came: Vec<Signed>,
+    pub(super) came: Vec<MetadataUpdate>,
     /// How many came in this step that cannot be read here, as those of a later version.
     pub(super) unread: u64,
     /// Lives of which nobody told but a note that came in this step: a piece of news goes to each member
@@ -73,8 +73,9 @@
                 return Ok(None);
             }
         }
-        let read = postcard::take_from_bytes::<Signed>(data).ok();
-        let bounded = |s: &Signed| s.note.version.len() <= MOST_NAME && s.note.digest.len() <= MOST_DIGEST;
+        let read = postcard::take_from_bytes::<MetadataUpdate>(data).ok();
+        let bounded =
+            |s: &MetadataUpdate| s.note.version.len() <= MOST_NAME && s.note.digest.len() <= MOST_DIGEST;
         let Some(signed) = read.map(|(signed, _)| signed).filter(bounded) else {
             self.lock().unread += 1;
             return Ok(None);
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -74,7 +74,7 @@
     let (mut a, mut b, mut now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
     let note = Metadata { version: "10".into(), draining: true, ..Metadata::default() };
-    let signed = Signed { id: b.id().clone(), number: 1 << 40, note };
+    let signed = MetadataUpdate { id: b.id().clone(), number: 1 << 40, note };
     let later = postcard::to_allocvec(&(&signed, "a later field", 7u8)).unwrap();
     let mut bytes = good;
     for item in [&[0xff; 30][..], &later] {
@@ -186,7 +186,7 @@
 }
 
 /// A datagram of `from`, which tells `to` of members and passes a note on.
-fn told(from: u16, to: &Id, of: &[foca::Member<Id>], note: Option<Signed>) -> Vec<u8> {
+fn told(from: u16, to: &Id, of: &[foca::Member<Id>], note: Option<MetadataUpdate>) -> Vec<u8> {
     let message = foca::Message::Gossip;
     let header = foca::Header { src: life(from, 1), src_incarnation: 0, dst: to.clone(), message };
     let mut bytes = [&MAGIC[..], &number_of("f").to_be_bytes()].concat();
@@ -222,7 +222,7 @@
     assert!(a.view().named("m5099").is_none());
     // Neither the one more that speaks itself nor the one that a note tells of is taken.
     a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
-    let note = Signed { id: life(6_001, 1), number: 1, note: Metadata::default() };
+    let note = MetadataUpdate { id: life(6_001, 1), number: 1, note: Metadata::default() };
     a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(note))));
     assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MOST_MEMBERS as u64));
     // News of one that is known is taken, beside one of a stranger that is not.
@@ -255,7 +255,8 @@
     let own = a.id().clone();
     a.step(MS, Input::Tick);
     for (port, left) in [(8, false), (9, true)] {
-        let note = Signed { id: life(port, 1), number: 1, note: Metadata { left, ..Metadata::default() } };
+        let note =
+            MetadataUpdate { id: life(port, 1), number: 1, note: Metadata { left, ..Metadata::default() } };
         a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(note))));
     }
     a.step(MS * 40, Input::Tick);
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -44,7 +44,7 @@
 
 /// A note on its way: whose it is and how new.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Signed {
+pub struct MetadataUpdate {
     /// The life that wrote it.
     pub id: Id,
     /// Grows with each note of this life.
@@ -155,7 +155,7 @@
 
     /// Takes a note; true if it is newer than what was known, so that others should have it too. A note of a life
     /// that is not known waits for that life to show up: it is told again.
-    pub fn take(&mut self, signed: &Signed) -> bool {
+    pub fn take(&mut self, signed: &MetadataUpdate) -> bool {
         let Some(seen) = self.members.get_mut(&signed.id.address).filter(|s| s.id == signed.id) else {
             return false;
         };
@@ -233,8 +233,8 @@
         Duration::from_secs(n)
     }
 
-    fn signed(id: Id, number: u64, left: bool) -> Signed {
-        Signed { id, number, note: Metadata { left, ..Metadata::default() } }
+    fn signed(id: Id, number: u64, left: bool) -> MetadataUpdate {
+        MetadataUpdate { id, number, note: Metadata { left, ..Metadata::default() } }
     }
 
     #[test]
