--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -182,8 +182,8 @@
         for (n, state, digest) in states {
             view.learn(Duration::from_secs(1), &id(*n), *state);
             if let Some(digest) = digest {
-                let note = Metadata { digest: digest.encode(), ..Metadata::default() };
-                assert!(view.take(&MetadataUpdate { id: id(*n), number: 1, note }));
+                let metadata = Metadata { digest: digest.encode(), ..Metadata::default() };
+                assert!(view.take(&MetadataUpdate { id: id(*n), number: 1, metadata }));
             }
         }
         view
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -164,8 +164,8 @@
     next_number: u64,
     score: u32,
     refutations: u16,
-    note: Metadata,
-    note_number: u64,
+    metadata: Metadata,
+    metadata_number: u64,
     /// When the note is told again, for those who missed it.
     tell_at: Duration,
     seeds_at: Duration,
@@ -198,7 +198,7 @@
 impl Membership {
     /// A member that knows nobody yet; its first [`Input::Tick`] makes it announce itself to the seeds. The settings
     /// have checked the name and the address.
-    pub fn new(options: Options, note: Metadata) -> Self {
+    pub fn new(options: Options, metadata: Metadata) -> Self {
         let period = options.period;
         let to = |members| NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         let every = |periods: u32, members| {
@@ -233,8 +233,8 @@
             next_number: 0,
             score: 0,
             refutations: 0,
-            note,
-            note_number: 0,
+            metadata,
+            metadata_number: 0,
             tell_at: Duration::ZERO,
             seeds_at: Duration::ZERO,
             wanted: Duration::ZERO,
@@ -258,8 +258,8 @@
     }
 
     /// What it says of itself.
-    pub fn note(&self) -> &Metadata {
-        &self.note
+    pub fn metadata(&self) -> &Metadata {
+        &self.metadata
     }
 
     /// The others as it sees them.
@@ -299,7 +299,7 @@
 
     /// Links that work one way only, from whom to whom, as their ends tell.
     pub fn one_way(&self) -> Vec<(SocketAddrV4, SocketAddrV4)> {
-        agree::one_way(self.id(), &self.note.digest, &self.view)
+        agree::one_way(self.id(), &self.metadata.digest, &self.view)
     }
 
     /// Goes on to `now` with what happened.
@@ -312,12 +312,12 @@
         let mut asked = self.asked(now);
         match input {
             Input::Datagram(bytes) => self.take(bytes, &mut asked),
-            Input::Metadata(note) => {
-                self.note = note;
+            Input::Metadata(metadata) => {
+                self.metadata = metadata;
                 self.tell_at = now;
             }
             Input::Leave => {
-                self.note.left = true;
+                self.metadata.left = true;
                 self.tell(&mut asked);
                 // The word that it leaves goes ahead of the news that it is gone, to some more than one datagram.
                 for _ in 0..2 {
@@ -467,9 +467,12 @@
     /// Puts the note on the messages to come, and says when it is told again: more seldom in a larger fleet, so that
     /// the notes on the way stay the same in number.
     fn tell(&mut self, asked: &mut Asked) {
-        self.note_number += 1;
-        let signed =
-            MetadataUpdate { id: self.id().clone(), number: self.note_number, note: self.note.clone() };
+        self.metadata_number += 1;
+        let signed = MetadataUpdate {
+            id: self.id().clone(),
+            number: self.metadata_number,
+            metadata: self.metadata.clone(),
+        };
         if let Ok(bytes) = postcard::to_allocvec(&signed) {
             let _ = self.foca.add_broadcast(&bytes);
         }
--- a/src/fleet/membership/notes.rs
+++ b/src/fleet/membership/notes.rs
@@ -52,7 +52,7 @@
 
 impl std::fmt::Display for BadNote {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("a note that is none")
+        f.write_str("a metadata that is none")
     }
 }
 
@@ -74,8 +74,9 @@
             }
         }
         let read = postcard::take_from_bytes::<MetadataUpdate>(data).ok();
-        let bounded =
-            |s: &MetadataUpdate| s.note.version.len() <= MOST_NAME && s.note.digest.len() <= MOST_DIGEST;
+        let bounded = |s: &MetadataUpdate| {
+            s.metadata.version.len() <= MOST_NAME && s.metadata.digest.len() <= MOST_DIGEST
+        };
         let Some(signed) = read.map(|(signed, _)| signed).filter(bounded) else {
             self.lock().unread += 1;
             return Ok(None);
@@ -90,7 +91,7 @@
                 Some(known) if known.0 == age.0 && known.1 < age.1 => *known = age,
                 _ => {
                     // Who left is no news; who is new tells again soon, to all who know it by then.
-                    if !signed.note.left {
+                    if !signed.metadata.left {
                         notes.strangers.push(signed.id);
                     }
                     return Ok(None);
--- a/src/fleet/membership/suspect.rs
+++ b/src/fleet/membership/suspect.rs
@@ -74,8 +74,8 @@
         digest.accused = accused.map(|(address, (life, refuted, ..))| (*address, *life, *refuted)).collect();
         agree::compare(now, &digest, &self.view, &mut self.unlike);
         let bytes = digest.encode();
-        if bytes != self.note.digest {
-            self.note.digest = bytes;
+        if bytes != self.metadata.digest {
+            self.metadata.digest = bytes;
             self.tell_at = now;
         }
     }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -73,8 +73,8 @@
 fn what_a_later_version_notes_is_taken_as_far_as_it_is_known_and_passed_on_whole() {
     let (mut a, mut b, mut now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
-    let note = Metadata { version: "10".into(), draining: true, ..Metadata::default() };
-    let signed = MetadataUpdate { id: b.id().clone(), number: 1 << 40, note };
+    let metadata = Metadata { version: "10".into(), draining: true, ..Metadata::default() };
+    let signed = MetadataUpdate { id: b.id().clone(), number: 1 << 40, metadata };
     let later = postcard::to_allocvec(&(&signed, "a later field", 7u8)).unwrap();
     let mut bytes = good;
     for item in [&[0xff; 30][..], &later] {
@@ -89,7 +89,7 @@
         (counts.taken - before.taken, counts.unread - before.unread, counts.malformed - before.malformed),
         (1, 1, 0)
     );
-    let seen = a.view().named("m2").unwrap().note();
+    let seen = a.view().named("m2").unwrap().metadata();
     assert!(seen.draining && seen.version == "10", "{seen:?}");
     // What is passed on has the field still, for who knows it.
     let mut passed = false;
@@ -153,7 +153,7 @@
         now += MS * 10;
         exchange(&mut a, &mut b, now);
     }
-    let seen = b.view().named("m1").unwrap().note();
+    let seen = b.view().named("m1").unwrap().metadata();
     assert!(seen.draining && seen.version == "9");
     for (_, bytes) in a.step(now, Input::Leave).send {
         b.step(now, Input::Datagram(&bytes));
@@ -186,17 +186,17 @@
 }
 
 /// A datagram of `from`, which tells `to` of members and passes a note on.
-fn told(from: u16, to: &Id, of: &[foca::Member<Id>], note: Option<MetadataUpdate>) -> Vec<u8> {
+fn told(from: u16, to: &Id, of: &[foca::Member<Id>], metadata: Option<MetadataUpdate>) -> Vec<u8> {
     let message = foca::Message::Gossip;
     let header = foca::Header { src: life(from, 1), src_incarnation: 0, dst: to.clone(), message };
     let mut bytes = [&MAGIC[..], &number_of("f").to_be_bytes()].concat();
     bytes.extend(postcard::to_allocvec(&header).unwrap());
     bytes.extend((of.len() as u16).to_be_bytes());
     of.iter().for_each(|member| bytes.extend(postcard::to_allocvec(member).unwrap()));
-    if let Some(note) = note {
-        let note = postcard::to_allocvec(&note).unwrap();
-        bytes.extend((note.len() as u16).to_be_bytes());
-        bytes.extend(note);
+    if let Some(metadata) = metadata {
+        let metadata = postcard::to_allocvec(&metadata).unwrap();
+        bytes.extend((metadata.len() as u16).to_be_bytes());
+        bytes.extend(metadata);
     }
     bytes
 }
@@ -222,8 +222,8 @@
     assert!(a.view().named("m5099").is_none());
     // Neither the one more that speaks itself nor the one that a note tells of is taken.
     a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
-    let note = MetadataUpdate { id: life(6_001, 1), number: 1, note: Metadata::default() };
-    a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(note))));
+    let metadata = MetadataUpdate { id: life(6_001, 1), number: 1, metadata: Metadata::default() };
+    a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(metadata))));
     assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MOST_MEMBERS as u64));
     // News of one that is known is taken, beside one of a stranger that is not.
     let news = [foca::Member::alive(life(6_002, 1)), foca::Member::down(life(100, 1))];
@@ -255,9 +255,12 @@
     let own = a.id().clone();
     a.step(MS, Input::Tick);
     for (port, left) in [(8, false), (9, true)] {
-        let note =
-            MetadataUpdate { id: life(port, 1), number: 1, note: Metadata { left, ..Metadata::default() } };
-        a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(note))));
+        let metadata = MetadataUpdate {
+            id: life(port, 1),
+            number: 1,
+            metadata: Metadata { left, ..Metadata::default() },
+        };
+        a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(metadata))));
     }
     a.step(MS * 40, Input::Tick);
     assert_eq!(a.view().named("m8").unwrap().state, State::Alive);
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -50,7 +50,8 @@
     /// Grows with each note of this life.
     pub number: u64,
     /// What it says.
-    pub note: Metadata,
+    #[serde(rename = "note")]
+    pub metadata: Metadata,
 }
 
 /// What is thought of a member.
@@ -87,7 +88,7 @@
     /// Since when, on the clock of whoever looks.
     pub since: Duration,
     /// The number of its last note, and what it said; nothing before the first one came.
-    pub note: Option<(u64, Metadata)>,
+    pub metadata: Option<(u64, Metadata)>,
     /// The digest on that note, read once; nothing if it carried none.
     pub digest: Option<Digest>,
 }
@@ -103,8 +104,8 @@
     }
 
     /// What it says of itself, or nothing in particular.
-    pub fn note(&self) -> Metadata {
-        self.note.as_ref().map(|(_, note)| note.clone()).unwrap_or_default()
+    pub fn metadata(&self) -> Metadata {
+        self.metadata.as_ref().map(|(_, metadata)| metadata.clone()).unwrap_or_default()
     }
 }
 
@@ -138,16 +139,16 @@
         }
         let same_life = known.filter(|k| k.id == *id);
         // Who said that it leaves has left when it is not heard any more.
-        let said_left = same_life.is_some_and(|k| k.note.as_ref().is_some_and(|(_, n)| n.left));
+        let said_left = same_life.is_some_and(|k| k.metadata.as_ref().is_some_and(|(_, n)| n.left));
         let state = if state != State::Alive && said_left { State::Left } else { state };
         if same_life.is_some_and(|k| k.state == state) {
             return None;
         }
         let from = known.map(|k| k.state);
-        let note = same_life.and_then(|k| k.note.clone());
+        let metadata = same_life.and_then(|k| k.metadata.clone());
         let digest = same_life.and_then(|k| k.digest.clone());
         let was = known.map_or(0, Seen::part);
-        let seen = Seen { id: id.clone(), state, since: now, note, digest };
+        let seen = Seen { id: id.clone(), state, since: now, metadata, digest };
         self.up = self.up.wrapping_sub(was).wrapping_add(seen.part());
         self.members.insert(id.address, seen);
         Some(Change { id: id.clone(), from, to: state })
@@ -159,13 +160,13 @@
         let Some(seen) = self.members.get_mut(&signed.id.address).filter(|s| s.id == signed.id) else {
             return false;
         };
-        if seen.note.as_ref().is_some_and(|(number, _)| *number >= signed.number) {
+        if seen.metadata.as_ref().is_some_and(|(number, _)| *number >= signed.number) {
             return false;
         }
         let was = seen.part();
-        seen.note = Some((signed.number, signed.note.clone()));
-        seen.digest = Digest::decode(&signed.note.digest);
-        if signed.note.left && matches!(seen.state, State::Suspect | State::Down) {
+        seen.metadata = Some((signed.number, signed.metadata.clone()));
+        seen.digest = Digest::decode(&signed.metadata.digest);
+        if signed.metadata.left && matches!(seen.state, State::Suspect | State::Down) {
             seen.state = State::Left;
         }
         self.up = self.up.wrapping_sub(was).wrapping_add(seen.part());
@@ -216,7 +217,7 @@
     /// Whether a member counts as up: it answers, or only has not answered somebody just now. Who drains is up, and
     /// takes no new duties.
     pub fn counts_as_up(seen: &Seen) -> bool {
-        let left = seen.note.as_ref().is_some_and(|(_, note)| note.left);
+        let left = seen.metadata.as_ref().is_some_and(|(_, metadata)| metadata.left);
         matches!(seen.state, State::Alive | State::Suspect) && !left
     }
 }
@@ -234,7 +235,7 @@
     }
 
     fn signed(id: Id, number: u64, left: bool) -> MetadataUpdate {
-        MetadataUpdate { id, number, note: Metadata { left, ..Metadata::default() } }
+        MetadataUpdate { id, number, metadata: Metadata { left, ..Metadata::default() } }
     }
 
     #[test]
@@ -244,7 +245,7 @@
         assert!(view.learn(s(2), &id(1, 5), State::Alive).is_none(), "no change is none");
         assert!(view.take(&signed(id(1, 5), 1, false)));
         assert_eq!(view.learn(s(3), &id(1, 6), State::Alive).unwrap().from, Some(State::Alive));
-        assert!(view.members().next().unwrap().note.is_none(), "the note was the old life's");
+        assert!(view.members().next().unwrap().metadata.is_none(), "the metadata was the old life's");
         assert!(view.learn(s(4), &id(1, 5), State::Down).is_none());
         assert_eq!(view.named("m1").unwrap().since, s(3));
     }
@@ -288,7 +289,7 @@
         view.learn(s(0), &id(1, 1), State::Alive);
         assert!(view.take(&signed(id(1, 1), 2, false)));
         assert!(!view.take(&signed(id(1, 1), 2, true)) && !view.take(&signed(id(1, 1), 1, true)));
-        assert!(!view.take(&signed(id(1, 0), 9, true)), "a note of an older life");
+        assert!(!view.take(&signed(id(1, 0), 9, true)), "a metadata of an older life");
         assert!(View::counts_as_up(view.named("m1").unwrap()));
     }
 }
--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -126,9 +126,9 @@
             let mut drains = false;
             while let Some(socket) = bind(options.listen, &received, &mut drains) {
                 let capacity = options.capacity;
-                let note =
+                let metadata =
                     Metadata { version: VERSION.into(), draining: drains, capacity, ..Metadata::default() };
-                let part = Part::join(&options, note, socket, (status.clone(), answers.clone()));
+                let part = Part::join(&options, metadata, socket, (status.clone(), answers.clone()));
                 if part.run(&received, &mut drains) == End::Left {
                     break;
                 }
@@ -231,7 +231,7 @@
 }
 
 impl Part {
-    fn join(options: &Options, note: Metadata, socket: UdpSocket, told: Told) -> Self {
+    fn join(options: &Options, metadata: Metadata, socket: UdpSocket, told: Told) -> Self {
         // Grows across restarts as long as the system's clock does not go back; if it did, the others tell this
         // process that it is down, and it comes back under a higher one.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -244,7 +244,7 @@
             seed: options.seed ^ incarnation,
         };
         info!(fleet = options.fleet, address = %options.advertise, incarnation, "fleet: joins");
-        let member = Membership::new(membership, note);
+        let member = Membership::new(membership, metadata);
         let began = Instant::now();
         let (status, answers) = told;
         Self { socket, member, period: options.period, began, status, answers }
@@ -257,8 +257,8 @@
             match orders.try_recv() {
                 Ok(Order::Draining(draining)) => {
                     *drains = draining;
-                    let note = Metadata { draining, ..self.member.note().clone() };
-                    self.step(Input::Metadata(note));
+                    let metadata = Metadata { draining, ..self.member.metadata().clone() };
+                    self.step(Input::Metadata(metadata));
                 }
                 Ok(Order::Leave) => {
                     self.step(Input::Leave);
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -35,10 +35,10 @@
     /// Of a member at `now`.
     pub fn of(member: &Membership, now: Duration) -> Self {
         let other = |seen: &super::membership::view::Seen| {
-            (seen.id.clone(), seen.state, now.saturating_sub(seen.since), seen.note())
+            (seen.id.clone(), seen.state, now.saturating_sub(seen.since), seen.metadata())
         };
         Self {
-            own: (member.id().clone(), member.note().clone()),
+            own: (member.id().clone(), member.metadata().clone()),
             score: member.score(),
             others: member.view().members().map(other).collect(),
             disagreements: member
@@ -58,7 +58,9 @@
     pub fn to_json(&self) -> String {
         let mut members = vec![member(&self.own.0, "self", Duration::ZERO, &self.own.1)];
         members.extend(
-            self.others.iter().map(|(id, state, since, note)| member(id, &state.to_string(), *since, note)),
+            self.others
+                .iter()
+                .map(|(id, state, since, metadata)| member(id, &state.to_string(), *since, metadata)),
         );
         let counts = counted(&self.counts)
             .into_iter()
@@ -100,16 +102,16 @@
     JsonValue::Object(members.into_iter().map(|(key, value)| (key.to_string(), value)).collect())
 }
 
-fn member(id: &Id, state: &str, since: Duration, note: &Metadata) -> JsonValue {
+fn member(id: &Id, state: &str, since: Duration, metadata: &Metadata) -> JsonValue {
     object([
         ("name", JsonValue::String(id.name.clone())),
         ("address", JsonValue::String(id.address.to_string())),
         ("incarnation", JsonValue::Number(id.incarnation as f64)),
         ("state", JsonValue::String(state.to_string())),
         ("since_ms", JsonValue::Number(since.as_millis() as f64)),
-        ("version", JsonValue::String(note.version.clone())),
-        ("draining", JsonValue::Boolean(note.draining)),
-        ("capacity", JsonValue::Number(f64::from(note.capacity))),
+        ("version", JsonValue::String(metadata.version.clone())),
+        ("draining", JsonValue::Boolean(metadata.draining)),
+        ("capacity", JsonValue::Number(f64::from(metadata.capacity))),
     ])
 }
 
@@ -235,15 +237,15 @@
     fn what_the_door_says_reads_back() {
         let id =
             Id { address: "127.0.0.1:7".parse().unwrap(), incarnation: 1_700_000_000_123, name: "m1".into() };
-        let note = Metadata { version: "1.0".into(), draining: true, ..Metadata::default() };
+        let metadata = Metadata { version: "1.0".into(), draining: true, ..Metadata::default() };
         let other = (
             Id { name: "m\"2".into(), ..id.clone() },
             State::Suspect,
             Duration::from_millis(1500),
-            note.clone(),
+            metadata.clone(),
         );
         let status = Status {
-            own: (id, note),
+            own: (id, metadata),
             score: 1,
             others: vec![other],
             disagreements: Vec::new(),
