--- a/src/lab/sim/membership.rs
+++ b/src/lab/sim/membership.rs
@@ -215,7 +215,7 @@
 
     /// Whether all agree, and each also knows it of every other one, by its note.
     pub fn settled(&self) -> bool {
-        let heard = |m: &Membership| m.view().members().all(|s| s.note.is_some() || !View::counts_as_up(s));
+        let heard = |m: &Membership| m.view().members().all(|s| s.metadata.is_some() || !View::counts_as_up(s));
         let settled = |m: &Membership| heard(m) && m.disagreements().is_empty();
         self.agreed() && self.members.iter().flatten().all(settled)
     }
