--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -93,7 +93,7 @@
 }
 
 fn told(seen: &Seen) -> Option<&Digest> {
-    seen.digest.as_ref().filter(|_| View::counts_as_up(seen))
+    seen.digest.as_ref().filter(|_| View::is_up(seen))
 }
 
 /// Notes since when each other member that is up tells another set of lives than `own`.
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -96,7 +96,7 @@
 impl Seen {
     /// What it adds to the sum over the lives that are up.
     fn part(&self) -> u64 {
-        if View::counts_as_up(self) {
+        if View::is_up(self) {
             number_of(&self.id)
         } else {
             0
@@ -216,7 +216,7 @@
 
     /// Whether a member counts as up: it answers, or only has not answered somebody just now. Who drains is up, and
     /// takes no new duties.
-    pub fn counts_as_up(seen: &Seen) -> bool {
+    pub fn is_up(seen: &Seen) -> bool {
         let left = seen.metadata.as_ref().is_some_and(|(_, metadata)| metadata.left);
         matches!(seen.state, State::Alive | State::Suspect) && !left
     }
@@ -290,6 +290,6 @@
         assert!(view.take(&signed(id(1, 1), 2, false)));
         assert!(!view.take(&signed(id(1, 1), 2, true)) && !view.take(&signed(id(1, 1), 1, true)));
         assert!(!view.take(&signed(id(1, 0), 9, true)), "a metadata of an older life");
-        assert!(View::counts_as_up(view.named("m1").unwrap()));
+        assert!(View::is_up(view.named("m1").unwrap()));
     }
 }
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -357,7 +357,7 @@
 
     /// The members that count as up in its view, itself included.
     pub fn up(&self) -> Vec<Id> {
-        let others = self.member.view().members().filter(|s| View::counts_as_up(s)).map(|s| s.id.clone());
+        let others = self.member.view().members().filter(|s| View::is_up(s)).map(|s| s.id.clone());
         let mut up: Vec<_> = others.chain([self.member.id().clone()]).collect();
         up.sort_by(|a, b| a.name.cmp(&b.name));
         up
--- a/src/lab/sim/membership.rs
+++ b/src/lab/sim/membership.rs
@@ -205,17 +205,18 @@
     pub fn agreed(&self) -> bool {
         let living: Vec<_> = self.members.iter().flatten().collect();
         living.iter().all(|m| {
-            let up = m.view().members().filter(|s| View::counts_as_up(s)).count();
+            let up = m.view().members().filter(|s| View::is_up(s)).count();
             up + 1 == living.len()
-                && living.iter().filter(|o| o.id() != m.id()).all(|o| {
-                    m.view().at(&o.id().address).is_some_and(|s| s.id == *o.id() && View::counts_as_up(s))
-                })
+                && living
+                    .iter()
+                    .filter(|o| o.id() != m.id())
+                    .all(|o| m.view().at(&o.id().address).is_some_and(|s| s.id == *o.id() && View::is_up(s)))
         })
     }
 
     /// Whether all agree, and each also knows it of every other one, by its note.
     pub fn settled(&self) -> bool {
-        let heard = |m: &Membership| m.view().members().all(|s| s.metadata.is_some() || !View::counts_as_up(s));
+        let heard = |m: &Membership| m.view().members().all(|s| s.metadata.is_some() || !View::is_up(s));
         let settled = |m: &Membership| heard(m) && m.disagreements().is_empty();
         self.agreed() && self.members.iter().flatten().all(settled)
     }
