--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 
-use super::view::{Id, Seen, State, View, MOST_DIGEST};
+use super::view::{Id, MemberEntry, State, View, MOST_DIGEST};
 
 /// Members named in each list of a digest at most: what is beyond them shows in the sum only.
 pub const MOST_NAMED: usize = 12;
@@ -92,13 +92,13 @@
     pub about: Vec<(SocketAddrV4, Option<State>, Option<State>)>,
 }
 
-fn told(seen: &Seen) -> Option<&Digest> {
+fn told(seen: &MemberEntry) -> Option<&Digest> {
     seen.digest.as_ref().filter(|_| View::is_up(seen))
 }
 
 /// Notes since when each other member that is up tells another set of lives than `own`.
 pub fn compare(now: Duration, own: &Digest, view: &View, unlike: &mut BTreeMap<SocketAddrV4, Duration>) {
-    let differs = |seen: &&Seen| told(seen).is_some_and(|digest| digest.up != own.up);
+    let differs = |seen: &&MemberEntry| told(seen).is_some_and(|digest| digest.up != own.up);
     let differ: Vec<_> = view.members().filter(differs).map(|seen| seen.id.address).collect();
     // The view is in the order of its addresses.
     unlike.retain(|address, _| differ.binary_search(address).is_ok());
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -80,7 +80,7 @@
 
 /// A member as it is seen.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct MemberEntry {
     /// Its life.
     pub id: Id,
     /// What is thought of it.
@@ -93,7 +93,7 @@
     pub digest: Option<Digest>,
 }
 
-impl Seen {
+impl MemberEntry {
     /// What it adds to the sum over the lives that are up.
     fn part(&self) -> u64 {
         if View::is_up(self) {
@@ -123,7 +123,7 @@
 /// All members that are known, by address.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    members: BTreeMap<SocketAddrV4, Seen>,
+    members: BTreeMap<SocketAddrV4, MemberEntry>,
     /// The sum over the lives that are up, kept as they change: at 1,000 members nobody can afford to make
     /// it anew.
     up: u64,
@@ -147,8 +147,8 @@
         let from = known.map(|k| k.state);
         let metadata = same_life.and_then(|k| k.metadata.clone());
         let digest = same_life.and_then(|k| k.digest.clone());
-        let was = known.map_or(0, Seen::part);
-        let seen = Seen { id: id.clone(), state, since: now, metadata, digest };
+        let was = known.map_or(0, MemberEntry::part);
+        let seen = MemberEntry { id: id.clone(), state, since: now, metadata, digest };
         self.up = self.up.wrapping_sub(was).wrapping_add(seen.part());
         self.members.insert(id.address, seen);
         Some(Change { id: id.clone(), from, to: state })
@@ -180,7 +180,7 @@
             return false;
         }
         let was = self.members.remove(&id.address);
-        self.up = self.up.wrapping_sub(was.as_ref().map_or(0, Seen::part));
+        self.up = self.up.wrapping_sub(was.as_ref().map_or(0, MemberEntry::part));
         true
     }
 
@@ -190,17 +190,17 @@
     }
 
     /// The newest life at an address.
-    pub fn at(&self, address: &SocketAddrV4) -> Option<&Seen> {
+    pub fn at(&self, address: &SocketAddrV4) -> Option<&MemberEntry> {
         self.members.get(address)
     }
 
     /// All that are known, by address.
-    pub fn members(&self) -> impl Iterator<Item = &Seen> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
     /// A member by its name: its newest life.
-    pub fn named(&self, name: &str) -> Option<&Seen> {
+    pub fn named(&self, name: &str) -> Option<&MemberEntry> {
         self.members.values().filter(|s| s.id.name == name).max_by_key(|s| s.id.incarnation)
     }
 
@@ -216,7 +216,7 @@
 
     /// Whether a member counts as up: it answers, or only has not answered somebody just now. Who drains is up, and
     /// takes no new duties.
-    pub fn is_up(seen: &Seen) -> bool {
+    pub fn is_up(seen: &MemberEntry) -> bool {
         let left = seen.metadata.as_ref().is_some_and(|(_, metadata)| metadata.left);
         matches!(seen.state, State::Alive | State::Suspect) && !left
     }
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -34,7 +34,7 @@
 impl Status {
     /// Of a member at `now`.
     pub fn of(member: &Membership, now: Duration) -> Self {
-        let other = |seen: &super::membership::view::Seen| {
+        let other = |seen: &super::membership::view::MemberEntry| {
             (seen.id.clone(), seen.state, now.saturating_sub(seen.since), seen.metadata())
         };
         Self {
