--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -68,7 +68,7 @@
 }
 
 fn since(view: &View, address: &SocketAddrV4) -> Duration {
-    view.at(address).map_or(Duration::ZERO, |seen| seen.since)
+    view.by_address(address).map_or(Duration::ZERO, |seen| seen.since)
 }
 
 /// What a life adds to the sum in a digest (SipHash of its address and incarnation).
@@ -113,9 +113,9 @@
     // Who is up here and not named there is up in both: only the others can be what the two differ about.
     let gone: Vec<_> = view.members().filter(|other| !up(other.state)).collect();
     let with = |(address, since): (&SocketAddrV4, &Duration)| {
-        let seen = view.at(address)?;
+        let seen = view.by_address(address)?;
         let digest = told(seen)?;
-        let named = digest.unlike.iter().filter_map(|(address, ..)| view.at(address));
+        let named = digest.unlike.iter().filter_map(|(address, ..)| view.by_address(address));
         let named = named.filter(|other| up(other.state));
         let mut about = Vec::new();
         for other in gone.iter().copied().chain(named).filter(|other| other.id.address != *address) {
@@ -127,7 +127,7 @@
         about.sort_unstable();
         let of_us = digest.state(&own.address).filter(|state| !up(*state));
         about.extend(of_us.map(|state| (own.address, Some(state), Some(State::Alive))));
-        let unknown = |address: &SocketAddrV4| *address != own.address && view.at(address).is_none();
+        let unknown = |address: &SocketAddrV4| *address != own.address && view.by_address(address).is_none();
         let strangers = digest.unlike.iter().filter(|(address, ..)| unknown(address));
         about.extend(strangers.map(|(address, _, state)| (*address, Some(*state), None)));
         Some(Disagreement { with: seen.id.clone(), since: *since, about })
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -294,7 +294,7 @@
     /// probe goes to one member a period, so of a large fleet most members are not among these at any moment.
     pub fn answers(&self, since: Duration) -> impl Iterator<Item = (&str, Duration)> {
         let late = self.answered.iter().filter(move |(_, sent)| **sent >= since);
-        late.filter_map(move |(address, sent)| Some((self.view.at(address)?.id.name.as_str(), *sent)))
+        late.filter_map(move |(address, sent)| Some((self.view.by_address(address)?.id.name.as_str(), *sent)))
     }
 
     /// Links that work one way only, from whom to whom, as their ends tell.
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -37,14 +37,14 @@
             self.counts.malformed += 1;
             return;
         }
-        let stranger = self.view.at(&src.address).is_none();
+        let stranger = self.view.by_address(&src.address).is_none();
         let room = MOST_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
         if stranger && room == 0 {
             self.counts.no_room += 1;
             return;
         }
         let own = self.id().address;
-        let known = |address: &SocketAddrV4| *address == own || self.view.at(address).is_some();
+        let known = |address: &SocketAddrV4| *address == own || self.view.by_address(address).is_some();
         let sifted = sift::sift(data, room - usize::from(stranger), known);
         self.counts.no_room_told += sifted.no_room;
         let handled = self.foca.handle_data(sifted.data.as_ref(), &mut *asked);
@@ -81,7 +81,7 @@
         let strangers = std::mem::take(&mut self.notes.lock().strangers);
         let own = self.id().address;
         for id in strangers.into_iter().filter(|id| id.address != own) {
-            let stranger = self.view.at(&id.address).is_none();
+            let stranger = self.view.by_address(&id.address).is_none();
             if stranger && self.foca.iter_membership_state().len() >= MOST_MEMBERS {
                 self.counts.no_room_told += 1;
             } else {
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -89,7 +89,7 @@
         (counts.taken - before.taken, counts.unread - before.unread, counts.malformed - before.malformed),
         (1, 1, 0)
     );
-    let seen = a.view().named("m2").unwrap().metadata();
+    let seen = a.view().by_name("m2").unwrap().metadata();
     assert!(seen.draining && seen.version == "10", "{seen:?}");
     // What is passed on has the field still, for who knows it.
     let mut passed = false;
@@ -131,7 +131,7 @@
         now += MS * 10;
         b.step(now, Input::Tick);
     }
-    assert_eq!(b.view().named("m1").unwrap().state, State::Down);
+    assert_eq!(b.view().by_name("m1").unwrap().state, State::Down);
     let out = a.step(now, Input::Tick);
     assert!(out.changes.is_empty(), "{:?}", out.changes);
     assert_eq!(a.counts().stopped, 1);
@@ -140,9 +140,9 @@
         now += MS * 10;
         exchange(&mut a, &mut b, now);
     }
-    assert_eq!(b.view().named("m1").unwrap().state, State::Alive);
-    assert!(b.view().named("m1").unwrap().id.incarnation > 10, "it came back as a new life");
-    assert_eq!(a.view().named("m2").unwrap().state, State::Alive);
+    assert_eq!(b.view().by_name("m1").unwrap().state, State::Alive);
+    assert!(b.view().by_name("m1").unwrap().id.incarnation > 10, "it came back as a new life");
+    assert_eq!(a.view().by_name("m2").unwrap().state, State::Alive);
 }
 
 #[test]
@@ -153,13 +153,13 @@
         now += MS * 10;
         exchange(&mut a, &mut b, now);
     }
-    let seen = b.view().named("m1").unwrap().metadata();
+    let seen = b.view().by_name("m1").unwrap().metadata();
     assert!(seen.draining && seen.version == "9");
     for (_, bytes) in a.step(now, Input::Leave).send {
         b.step(now, Input::Datagram(&bytes));
     }
     b.step(now + MS * 100, Input::Tick);
-    assert_eq!(b.view().named("m1").unwrap().state, State::Left);
+    assert_eq!(b.view().by_name("m1").unwrap().state, State::Left);
     assert!(a.step(now + MS * 500, Input::Tick).send.is_empty(), "who left is silent");
 }
 
@@ -219,7 +219,7 @@
     // The peer itself is one of them.
     assert_eq!(a.view().len(), MOST_MEMBERS);
     assert_eq!(a.counts().no_room_told, 5_001 - MOST_MEMBERS as u64);
-    assert!(a.view().named("m5099").is_none());
+    assert!(a.view().by_name("m5099").is_none());
     // Neither the one more that speaks itself nor the one that a note tells of is taken.
     a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
     let metadata = MetadataUpdate { id: life(6_001, 1), number: 1, metadata: Metadata::default() };
@@ -229,7 +229,7 @@
     let news = [foca::Member::alive(life(6_002, 1)), foca::Member::down(life(100, 1))];
     a.step(MS * 42, Input::Datagram(&told(2, &own, &news, None)));
     a.step(MS * 70, Input::Tick);
-    assert_eq!(a.view().named("m100").unwrap().state, State::Down);
+    assert_eq!(a.view().by_name("m100").unwrap().state, State::Down);
     assert_eq!((a.view().len(), a.counts().malformed), (MOST_MEMBERS, 0));
 }
 
@@ -263,6 +263,6 @@
         a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(metadata))));
     }
     a.step(MS * 40, Input::Tick);
-    assert_eq!(a.view().named("m8").unwrap().state, State::Alive);
-    assert!(a.view().named("m9").is_none());
+    assert_eq!(a.view().by_name("m8").unwrap().state, State::Alive);
+    assert!(a.view().by_name("m9").is_none());
 }
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -190,7 +190,7 @@
     }
 
     /// The newest life at an address.
-    pub fn at(&self, address: &SocketAddrV4) -> Option<&MemberEntry> {
+    pub fn by_address(&self, address: &SocketAddrV4) -> Option<&MemberEntry> {
         self.members.get(address)
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// A member by its name: its newest life.
-    pub fn named(&self, name: &str) -> Option<&MemberEntry> {
+    pub fn by_name(&self, name: &str) -> Option<&MemberEntry> {
         self.members.values().filter(|s| s.id.name == name).max_by_key(|s| s.id.incarnation)
     }
 
@@ -247,7 +247,7 @@
         assert_eq!(view.learn(s(3), &id(1, 6), State::Alive).unwrap().from, Some(State::Alive));
         assert!(view.members().next().unwrap().metadata.is_none(), "the metadata was the old life's");
         assert!(view.learn(s(4), &id(1, 5), State::Down).is_none());
-        assert_eq!(view.named("m1").unwrap().since, s(3));
+        assert_eq!(view.by_name("m1").unwrap().since, s(3));
     }
 
     #[test]
@@ -279,7 +279,7 @@
         // The word may come after the silence.
         view.learn(s(1), &id(3, 1), State::Down);
         assert!(view.take(&signed(id(3, 1), 1, true)));
-        assert_eq!(view.named("m3").unwrap().state, State::Left);
+        assert_eq!(view.by_name("m3").unwrap().state, State::Left);
     }
 
     #[test]
@@ -290,6 +290,6 @@
         assert!(view.take(&signed(id(1, 1), 2, false)));
         assert!(!view.take(&signed(id(1, 1), 2, true)) && !view.take(&signed(id(1, 1), 1, true)));
         assert!(!view.take(&signed(id(1, 0), 9, true)), "a metadata of an older life");
-        assert!(View::is_up(view.named("m1").unwrap()));
+        assert!(View::is_up(view.by_name("m1").unwrap()));
     }
 }
--- a/src/lab/sim/membership.rs
+++ b/src/lab/sim/membership.rs
@@ -207,10 +207,9 @@
         living.iter().all(|m| {
             let up = m.view().members().filter(|s| View::is_up(s)).count();
             up + 1 == living.len()
-                && living
-                    .iter()
-                    .filter(|o| o.id() != m.id())
-                    .all(|o| m.view().at(&o.id().address).is_some_and(|s| s.id == *o.id() && View::is_up(s)))
+                && living.iter().filter(|o| o.id() != m.id()).all(|o| {
+                    m.view().by_address(&o.id().address).is_some_and(|s| s.id == *o.id() && View::is_up(s))
+                })
         })
     }
 
@@ -381,7 +380,7 @@
         assert!(fleet.agree(S * 20).is_some());
         for m in [0, 1, 3, 4] {
             assert_eq!(
-                fleet.member(m).unwrap().view().named("m2").unwrap().state,
+                fleet.member(m).unwrap().view().by_name("m2").unwrap().state,
                 State::Left,
                 "seen by m{m}"
             );
