--- a/src/fleet/membership/agree.rs
+++ b/src/fleet/membership/agree.rs
@@ -180,10 +180,10 @@
     fn view(states: &[(u16, State, Option<Digest>)]) -> View {
         let mut view = View::default();
         for (n, state, digest) in states {
-            view.learn(Duration::from_secs(1), &id(*n), *state);
+            view.update_state(Duration::from_secs(1), &id(*n), *state);
             if let Some(digest) = digest {
                 let metadata = Metadata { digest: digest.encode(), ..Metadata::default() };
-                assert!(view.take(&MetadataUpdate { id: id(*n), number: 1, metadata }));
+                assert!(view.update_metadata(&MetadataUpdate { id: id(*n), number: 1, metadata }));
             }
         }
         view
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -531,7 +531,7 @@
         // Before the states: who says that it leaves, in the datagram that tells that it is gone, has left.
         let came = std::mem::take(&mut self.notes.lock().came);
         for signed in came.iter().filter(|s| s.id.address != own) {
-            self.view.take(signed);
+            self.view.update_metadata(signed);
         }
         if !came.is_empty() {
             self.shorten();
@@ -558,7 +558,7 @@
                     self.suspects = true;
                     self.look.insert(member.id().address);
                 }
-                if let Some(change) = self.view.learn(now, member.id(), state) {
+                if let Some(change) = self.view.update_state(now, member.id(), state) {
                     let mut notes = self.notes.lock();
                     let known = notes.known.entry(change.id.address).or_default();
                     if known.0 != change.id.incarnation {
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -132,7 +132,7 @@
 impl View {
     /// Takes what the protocol thinks of a life now; the change, if it is one. A life older than the one known at
     /// its address says nothing new.
-    pub fn learn(&mut self, now: Duration, id: &Id, state: State) -> Option<Change> {
+    pub fn update_state(&mut self, now: Duration, id: &Id, state: State) -> Option<Change> {
         let known = self.members.get(&id.address);
         if known.is_some_and(|k| k.id.incarnation > id.incarnation) {
             return None;
@@ -156,7 +156,7 @@
 
     /// Takes a note; true if it is newer than what was known, so that others should have it too. A note of a life
     /// that is not known waits for that life to show up: it is told again.
-    pub fn take(&mut self, signed: &MetadataUpdate) -> bool {
+    pub fn update_metadata(&mut self, signed: &MetadataUpdate) -> bool {
         let Some(seen) = self.members.get_mut(&signed.id.address).filter(|s| s.id == signed.id) else {
             return false;
         };
@@ -241,12 +241,12 @@
     #[test]
     fn a_new_life_takes_the_place_of_the_old_and_never_the_other_way() {
         let mut view = View::default();
-        assert_eq!(view.learn(s(1), &id(1, 5), State::Alive).unwrap().from, None);
-        assert!(view.learn(s(2), &id(1, 5), State::Alive).is_none(), "no change is none");
-        assert!(view.take(&signed(id(1, 5), 1, false)));
-        assert_eq!(view.learn(s(3), &id(1, 6), State::Alive).unwrap().from, Some(State::Alive));
+        assert_eq!(view.update_state(s(1), &id(1, 5), State::Alive).unwrap().from, None);
+        assert!(view.update_state(s(2), &id(1, 5), State::Alive).is_none(), "no change is none");
+        assert!(view.update_metadata(&signed(id(1, 5), 1, false)));
+        assert_eq!(view.update_state(s(3), &id(1, 6), State::Alive).unwrap().from, Some(State::Alive));
         assert!(view.members().next().unwrap().metadata.is_none(), "the metadata was the old life's");
-        assert!(view.learn(s(4), &id(1, 5), State::Down).is_none());
+        assert!(view.update_state(s(4), &id(1, 5), State::Down).is_none());
         assert_eq!(view.by_name("m1").unwrap().since, s(3));
     }
 
@@ -255,13 +255,13 @@
         let mut view = View::default();
         let sum = |lives: &[Id]| lives.iter().fold(0u64, |sum, id| sum.wrapping_add(number_of(id)));
         for port in [1, 2, 3] {
-            view.learn(s(0), &id(port, 1), State::Alive);
+            view.update_state(s(0), &id(port, 1), State::Alive);
         }
-        view.learn(s(1), &id(1, 1), State::Suspect);
+        view.update_state(s(1), &id(1, 1), State::Suspect);
         assert_eq!(view.up(), sum(&[id(1, 1), id(2, 1), id(3, 1)]));
-        assert!(view.take(&signed(id(2, 1), 1, true)));
-        view.learn(s(2), &id(1, 1), State::Down);
-        view.learn(s(2), &id(3, 2), State::Alive);
+        assert!(view.update_metadata(&signed(id(2, 1), 1, true)));
+        view.update_state(s(2), &id(1, 1), State::Down);
+        view.update_state(s(2), &id(3, 2), State::Alive);
         assert_eq!(view.up(), sum(&[id(3, 2)]));
         assert!(!view.forget(&id(3, 1)), "its successor is there");
         assert!(view.forget(&id(3, 2)) && view.up() == 0);
@@ -271,25 +271,28 @@
     fn who_said_that_it_leaves_left_and_who_did_not_is_down() {
         let mut view = View::default();
         for port in [1, 2, 3] {
-            view.learn(s(0), &id(port, 1), State::Alive);
+            view.update_state(s(0), &id(port, 1), State::Alive);
         }
-        assert!(view.take(&signed(id(1, 1), 1, true)));
-        assert_eq!(view.learn(s(1), &id(1, 1), State::Down).unwrap().to, State::Left);
-        assert_eq!(view.learn(s(1), &id(2, 1), State::Down).unwrap().to, State::Down);
+        assert!(view.update_metadata(&signed(id(1, 1), 1, true)));
+        assert_eq!(view.update_state(s(1), &id(1, 1), State::Down).unwrap().to, State::Left);
+        assert_eq!(view.update_state(s(1), &id(2, 1), State::Down).unwrap().to, State::Down);
         // The word may come after the silence.
-        view.learn(s(1), &id(3, 1), State::Down);
-        assert!(view.take(&signed(id(3, 1), 1, true)));
+        view.update_state(s(1), &id(3, 1), State::Down);
+        assert!(view.update_metadata(&signed(id(3, 1), 1, true)));
         assert_eq!(view.by_name("m3").unwrap().state, State::Left);
     }
 
     #[test]
     fn a_note_is_taken_once_and_in_order() {
         let mut view = View::default();
-        assert!(!view.take(&signed(id(1, 1), 1, false)), "nobody knows this life yet");
-        view.learn(s(0), &id(1, 1), State::Alive);
-        assert!(view.take(&signed(id(1, 1), 2, false)));
-        assert!(!view.take(&signed(id(1, 1), 2, true)) && !view.take(&signed(id(1, 1), 1, true)));
-        assert!(!view.take(&signed(id(1, 0), 9, true)), "a metadata of an older life");
+        assert!(!view.update_metadata(&signed(id(1, 1), 1, false)), "nobody knows this life yet");
+        view.update_state(s(0), &id(1, 1), State::Alive);
+        assert!(view.update_metadata(&signed(id(1, 1), 2, false)));
+        assert!(
+            !view.update_metadata(&signed(id(1, 1), 2, true))
+                && !view.update_metadata(&signed(id(1, 1), 1, true))
+        );
+        assert!(!view.update_metadata(&signed(id(1, 0), 9, true)), "a metadata of an older life");
         assert!(View::is_up(view.by_name("m1").unwrap()));
     }
 }
