--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -6,8 +6,8 @@
 //! probes and suspicions of a member which is slow itself (timers are stretched as foca asks for them), the buddy system,
 //! the time a stopped process gives back, notes with who drains and who left, and joining again after a heal.
 
-pub mod agree;
 mod asked;
+pub mod disagreement;
 mod notes;
 mod receive;
 mod sift;
@@ -24,8 +24,8 @@
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::SeedableRng;
 
-use agree::Disagreement;
 use asked::{Asked, Due};
+use disagreement::Disagreement;
 use notes::Shelf;
 use view::{Change, Id, Metadata, MetadataUpdate, State, View};
 
@@ -287,7 +287,7 @@
 
     /// Who sees the fleet otherwise than this member, about whom, and since when, by the last digest of each.
     pub fn disagreements(&self) -> Vec<Disagreement> {
-        agree::disagreements(self.id(), &self.view, &self.unlike)
+        disagreement::disagreements(self.id(), &self.view, &self.unlike)
     }
 
     /// Who answered a probe that was sent at `since` or later, and when that was: both ways were open then. A
@@ -299,7 +299,7 @@
 
     /// Links that work one way only, from whom to whom, as their ends tell.
     pub fn one_way(&self) -> Vec<(SocketAddrV4, SocketAddrV4)> {
-        agree::one_way(self.id(), &self.metadata.digest, &self.view)
+        disagreement::one_way(self.id(), &self.metadata.digest, &self.view)
     }
 
     /// Goes on to `now` with what happened.
--- a/src/fleet/membership/suspect.rs
+++ b/src/fleet/membership/suspect.rs
@@ -6,8 +6,8 @@
 
 use foca::Timer;
 
-use super::agree::{self, Digest};
 use super::asked::Due;
+use super::disagreement::{self, Digest};
 use super::view::{Id, State};
 use super::Membership;
 
@@ -30,7 +30,7 @@
             .accused
             .iter()
             .filter_map(|(address, (life, refuted, began, full))| {
-                let agree = agree::accusers(&self.view, &(*address, *life, *refuted)).min(others);
+                let agree = disagreement::accusers(&self.view, &(*address, *life, *refuted)).min(others);
                 let part = (agree as f64 + 1.0).ln() / (others as f64 + 1.0).ln();
                 let after = full.mul_f64(1.0 - (1.0 - SHORTEST) * part);
                 (agree > 0).then_some((*address, *life, *refuted, *began + after))
@@ -70,9 +70,9 @@
             let same = |m: &&&foca::Member<Id>| m.id().address == *address && m.id().incarnation == *life;
             suspects.iter().find(same).is_some_and(|m| m.incarnation() == *refuted)
         });
-        let accused = self.accused.iter().take(agree::MOST_ACCUSED);
+        let accused = self.accused.iter().take(disagreement::MOST_ACCUSED);
         digest.accused = accused.map(|(address, (life, refuted, ..))| (*address, *life, *refuted)).collect();
-        agree::compare(now, &digest, &self.view, &mut self.unlike);
+        disagreement::compare(now, &digest, &self.view, &mut self.unlike);
         let bytes = digest.encode();
         if bytes != self.metadata.digest {
             self.metadata.digest = bytes;
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::agree::{number_of, Digest};
+use super::disagreement::{number_of, Digest};
 
 /// The longest name of a member, and of its version, in bytes.
 pub const MOST_NAME: usize = 64;
@@ -38,7 +38,7 @@
     pub left: bool,
     /// Runs that it can have at once.
     pub capacity: u32,
-    /// Of its view, as [`super::agree::Digest`] writes it.
+    /// Of its view, as [`super::disagreement::Digest`] writes it.
     pub digest: Vec<u8>,
 }
 
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-use super::membership::agree::Disagreement;
+use super::membership::disagreement::Disagreement;
 use super::membership::view::{Id, Metadata, State};
 use super::membership::{Counts, Membership};
 use super::views;
--- a/src/fleet/views.rs
+++ b/src/fleet/views.rs
@@ -22,7 +22,7 @@
 /// Who disagrees: `with`, `for_ms`, and `about`: `member`, what it `thinks` and what is thought `here`.
 pub(super) fn disagreements(status: &Status) -> JsonValue {
     let state = |state: Option<State>| state.map_or_else(|| text("unknown"), text);
-    let one = |(d, since): &(super::membership::agree::Disagreement, std::time::Duration)| {
+    let one = |(d, since): &(super::membership::disagreement::Disagreement, std::time::Duration)| {
         let about = d.about.iter().map(|(address, theirs, ours)| {
             object([("member", name(status, *address)), ("thinks", state(*theirs)), ("here", state(*ours))])
         });
@@ -77,7 +77,7 @@
 mod tests {
     use std::time::Duration;
 
-    use super::super::membership::agree::Disagreement;
+    use super::super::membership::disagreement::Disagreement;
     use super::super::membership::view::{Id, Metadata};
     use super::super::membership::Counts;
     use super::*;
