--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 pub mod routes;
 pub mod routing;
 pub mod status;
-pub mod views;
+pub mod view_differences;
 pub mod wire;
 
 pub use driver::{Driver, DriverError};
--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -11,7 +11,7 @@
 use super::membership::disagreement::Disagreement;
 use super::membership::view::{Id, Metadata, State};
 use super::membership::{Counts, Membership};
-use super::views;
+use super::view_differences;
 use crate::json::JsonError;
 
 /// The fleet as one member sees it at one moment.
@@ -69,8 +69,8 @@
             ("name", JsonValue::String(self.own.0.name.clone())),
             ("score", JsonValue::Number(f64::from(self.score))),
             ("members", JsonValue::Array(members)),
-            ("disagree", views::disagreements(self)),
-            ("one_way", views::one_way(self)),
+            ("disagree", view_differences::disagreements(self)),
+            ("one_way", view_differences::one_way(self)),
             ("counts", JsonValue::Object(counts.collect())),
         ]);
         // Only numbers that are not finite cannot be written, and there are none.
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::door::{self, DoorError};
 use hopwalk::fleet::routes::table::MOST_BYTES;
 use hopwalk::fleet::status::{self, StatusError};
-use hopwalk::fleet::views;
+use hopwalk::fleet::view_differences;
 use miette::Diagnostic;
 use thiserror::Error;
 
@@ -152,7 +152,7 @@
                 told
             } else {
                 let mut out = status::table(&status::rows(&told)?);
-                views::lines(&told).iter().for_each(|line| out += &format!("{line}\n"));
+                view_differences::lines(&told).iter().for_each(|line| out += &format!("{line}\n"));
                 out
             }
         }
