--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -62,7 +62,7 @@
                 .iter()
                 .map(|(id, state, since, metadata)| member(id, &state.to_string(), *since, metadata)),
         );
-        let counts = counted(&self.counts)
+        let counts = named_counts(&self.counts)
             .into_iter()
             .map(|(name, n)| (name.to_string(), JsonValue::Number(n as f64)));
         let json = object([
@@ -79,7 +79,7 @@
 }
 
 /// What the membership counted, by name.
-pub fn counted(c: &Counts) -> [(&'static str, u64); 14] {
+pub fn named_counts(c: &Counts) -> [(&'static str, u64); 14] {
     [
         ("taken", c.taken),
         ("taken_bytes", c.taken_bytes),
@@ -117,7 +117,7 @@
 
 /// One row of a status that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct MemberRow {
     /// The member's name.
     pub name: String,
     /// `self`, or what is thought of it.
@@ -170,7 +170,7 @@
 ///
 /// # Errors
 /// [`StatusError`] where it is none, naming the place.
-pub fn rows(json: &str) -> Result<Vec<Row>, StatusError> {
+pub fn parse_members(json: &str) -> Result<Vec<MemberRow>, StatusError> {
     let top = top(json)?;
     let Some(JsonValue::Array(members)) = top.get("members") else { return Err(shape("members", "list")) };
     let row = |(at, member): (usize, &JsonValue)| {
@@ -183,7 +183,7 @@
             Some(JsonValue::Number(n)) if *n >= 0.0 => Ok(*n as u64),
             _ => Err(shape(format!("members[{at}].{key}"), "number")),
         };
-        Ok(Row {
+        Ok(MemberRow {
             name: text("name")?,
             state: text("state")?,
             address: text("address")?,
@@ -200,7 +200,7 @@
 ///
 /// # Errors
 /// [`StatusError`] where there are none.
-pub fn counts(json: &str) -> Result<String, StatusError> {
+pub fn format_counts(json: &str) -> Result<String, StatusError> {
     let top = top(json)?;
     let Some(JsonValue::Object(counts)) = top.get("counts") else { return Err(shape("counts", "object")) };
     let mut all: Vec<_> = counts
@@ -212,7 +212,7 @@
 }
 
 /// A table for people.
-pub fn table(rows: &[Row]) -> String {
+pub fn format_table(rows: &[MemberRow]) -> String {
     let mut out = format!(
         "{:<12} {:<8} {:<22} {:>14}  {:<8} {:<8} incarnation\n",
         "name", "state", "address", "for", "version", ""
@@ -252,18 +252,21 @@
             one_way: Vec::new(),
             counts: Counts::default(),
         };
-        let rows = rows(&status.to_json()).unwrap();
+        let rows = parse_members(&status.to_json()).unwrap();
         assert_eq!((rows[0].state.as_str(), rows[0].incarnation), ("self", 1_700_000_000_123));
         assert_eq!(
             (rows[1].name.as_str(), rows[1].state.as_str(), rows[1].since_ms),
             ("m\"2", "suspect", 1500)
         );
-        assert!(rows[1].draining && table(&rows).lines().count() == 3);
+        assert!(rows[1].draining && format_table(&rows).lines().count() == 3);
     }
 
     #[test]
     fn what_is_no_status_is_an_error_that_names_it() {
-        assert!(rows("{}").unwrap_err().to_string().contains("members"));
-        assert!(rows(r#"{"members":[{"name":"x"}]}"#).unwrap_err().to_string().contains("members[0].state"));
+        assert!(parse_members("{}").unwrap_err().to_string().contains("members"));
+        assert!(parse_members(r#"{"members":[{"name":"x"}]}"#)
+            .unwrap_err()
+            .to_string()
+            .contains("members[0].state"));
     }
 }
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -151,7 +151,7 @@
             if json {
                 told
             } else {
-                let mut out = status::table(&status::rows(&told)?);
+                let mut out = status::format_table(&status::parse_members(&told)?);
                 view_differences::lines(&told).iter().for_each(|line| out += &format!("{line}\n"));
                 out
             }
--- a/src/lab/run.rs
+++ b/src/lab/run.rs
@@ -97,14 +97,14 @@
         let Some(at) = *door.lock().unwrap() else { continue };
         // A matcher that is dead or stopped says nothing, which is no view.
         let Ok(told) = door::ask(at, "GET", "/fleet", Duration::from_millis(500)) else { continue };
-        let Ok(rows) = status::rows(&told) else { continue };
-        let draining = |r: &status::Row| if r.draining { "+draining" } else { "" };
+        let Ok(rows) = status::parse_members(&told) else { continue };
+        let draining = |r: &status::MemberRow| if r.draining { "+draining" } else { "" };
         let seen: Vec<_> =
             rows.iter().map(|r| format!("{}:{}={}{}", r.name, r.incarnation, r.state, draining(r))).collect();
         let seen = seen.join(" ");
         if seen != last {
             last.clone_from(&seen);
-            let counts = status::counts(&told).unwrap_or_default();
+            let counts = status::format_counts(&told).unwrap_or_default();
             history.record(Event::View { of: name.to_string(), seen, counts });
         }
     }
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -36,7 +36,7 @@
     register_counters(&mut registry, "core", "Counted by the reducer since the start", counters);
     if let Some(status) = hub.fleet.as_ref().and_then(fleet::MembershipHandle::status) {
         let membership =
-            fleet::status::counted(&status.counts).into_iter().map(|(name, n)| (name.to_string(), n));
+            fleet::status::named_counts(&status.counts).into_iter().map(|(name, n)| (name.to_string(), n));
         register_counters(
             &mut registry,
             "membership",
