--- a/src/fleet/membership/disagreement.rs
+++ b/src/fleet/membership/disagreement.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 
-use super::view::{Id, MemberEntry, State, View, MOST_DIGEST};
+use super::view::{Id, MemberEntry, State, View, MAX_DIGEST};
 
 /// Members named in each list of a digest at most: what is beyond them shows in the sum only.
-pub const MOST_NAMED: usize = 12;
+pub const MAX_NAMED: usize = 12;
 /// Accusations that a digest carries at most.
-pub const MOST_ACCUSED: usize = 8;
+pub const MAX_ACCUSED: usize = 8;
 
 /// What a member tells of its view: 512 bytes at most, 13 where all are up and heard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -42,24 +42,24 @@
             .collect();
         // What happened last stays where there is no room for all: it is what views differ about.
         unlike.sort_by_key(|(address, ..)| std::cmp::Reverse(since(view, address)));
-        unlike.truncate(MOST_NAMED);
+        unlike.truncate(MAX_NAMED);
         unlike.sort_unstable();
-        unheard.truncate(MOST_NAMED);
+        unheard.truncate(MAX_NAMED);
         Self { up, unlike, unheard, accused: Vec::new() }
     }
 
     /// As it stands on a note.
     pub fn encode(&self) -> Vec<u8> {
         let bytes = postcard::to_allocvec(self).unwrap_or_default();
-        debug_assert!(bytes.len() <= MOST_DIGEST);
+        debug_assert!(bytes.len() <= MAX_DIGEST);
         bytes
     }
 
     /// Reads one off a note; nothing if it is none, as that of a member of an older version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let digest: Self = postcard::from_bytes(bytes).ok()?;
-        let bounded = digest.unlike.len().max(digest.unheard.len()) <= MOST_NAMED;
-        (bounded && digest.accused.len() <= MOST_ACCUSED).then_some(digest)
+        let bounded = digest.unlike.len().max(digest.unheard.len()) <= MAX_NAMED;
+        (bounded && digest.accused.len() <= MAX_ACCUSED).then_some(digest)
     }
 
     fn state(&self, address: &SocketAddrV4) -> Option<State> {
@@ -194,11 +194,11 @@
         let many = |n: u16| SocketAddrV4::new([255, 255, 255, 255].into(), u16::MAX - n);
         let full = Digest {
             up: u64::MAX,
-            unlike: (0..MOST_NAMED as u16).map(|n| (many(n), u64::MAX, State::Down)).collect(),
-            unheard: (0..MOST_NAMED as u16).map(many).collect(),
-            accused: (0..MOST_ACCUSED as u16).map(|n| (many(n), u64::MAX, u16::MAX)).collect(),
+            unlike: (0..MAX_NAMED as u16).map(|n| (many(n), u64::MAX, State::Down)).collect(),
+            unheard: (0..MAX_NAMED as u16).map(many).collect(),
+            accused: (0..MAX_ACCUSED as u16).map(|n| (many(n), u64::MAX, u16::MAX)).collect(),
         };
-        assert!(full.encode().len() <= MOST_DIGEST, "{}", full.encode().len());
+        assert!(full.encode().len() <= MAX_DIGEST, "{}", full.encode().len());
         assert_eq!(Digest::decode(&full.encode()), Some(full.clone()));
         assert_eq!(Digest::decode(b""), None);
         let mut more = full;
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -30,13 +30,13 @@
 use view::{Change, Id, Metadata, MetadataUpdate, State, View};
 
 /// The largest datagram, envelope included: below the usual MTU.
-pub const MOST_BYTES: usize = 1400;
+pub const MAX_BYTES: usize = 1400;
 /// Members that are known at most; datagrams of others are refused then.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Seeds at most.
-pub const MOST_SEEDS: usize = 64;
+pub const MAX_SEEDS: usize = 64;
 /// The highest local health score: probes and suspicions are then stretched ninefold (Lifeguard's S is 8).
-const MOST_SCORE: u32 = 8;
+const MAX_SCORE: u32 = 8;
 /// Members asked to probe for us.
 const INDIRECT: usize = 3;
 /// Members that each round of gossip goes to.
@@ -49,9 +49,9 @@
 /// Up to so many members are looked at after each step that may have changed one; more only a few times a period.
 const SMALL: usize = 64;
 /// Members that one which knows nobody asks at once, besides the seeds.
-const MOST_ASKED: usize = 16;
+const MAX_ASKED: usize = 16;
 /// Suspects that are told of it at once.
-const MOST_WARNED: usize = 8;
+const MAX_WARNED: usize = 8;
 /// Periods between two words to a member that is down, which may only have been cut off.
 const DOWN_EVERY: u32 = 5;
 /// Periods between two words to a seed that is not up.
@@ -121,9 +121,9 @@
     pub malformed: u64,
     /// Notes that could not be read, as those of a later version; the rest of their datagrams was taken.
     pub unread: u64,
-    /// From nobody known, while [`MOST_MEMBERS`] are.
+    /// From nobody known, while [`MAX_MEMBERS`] are.
     pub no_room: u64,
-    /// Members that another one told of and that were not taken, while [`MOST_MEMBERS`] are known.
+    /// Members that another one told of and that were not taken, while [`MAX_MEMBERS`] are known.
     pub no_room_told: u64,
     /// From our own address: two processes share it, or a datagram came back.
     pub own: u64,
@@ -212,7 +212,7 @@
             max_transmissions: transmissions(1),
             suspect_to_down_after: period.mul_f64(SUSPICION_PERIODS),
             remove_down_after: Some(period * REMEMBERED),
-            max_packet_size: to(MOST_BYTES - ENVELOPE),
+            max_packet_size: to(MAX_BYTES - ENVELOPE),
             notify_down_members: true,
             periodic_announce: every(30, 1),
             periodic_announce_to_down_members: every(DOWN_EVERY, 2),
@@ -365,7 +365,7 @@
             return;
         }
         self.counts.stopped += 1;
-        self.score = MOST_SCORE;
+        self.score = MAX_SCORE;
         self.heard.values_mut().for_each(|at| *at += lost);
         let late: Vec<_> = std::mem::take(&mut self.timers).into_vec();
         self.timers =
@@ -398,7 +398,7 @@
                 }
                 self.counts.probes_failed += u64::from(failed);
                 self.score =
-                    if failed { (self.score + 1).min(MOST_SCORE) } else { self.score.saturating_sub(1) };
+                    if failed { (self.score + 1).min(MAX_SCORE) } else { self.score.saturating_sub(1) };
             }
         }
         if now >= self.seeds_at {
@@ -431,7 +431,7 @@
         let alone = self.foca.num_members() == 0;
         self.seeds_at = now + self.options.period * if alone { 1 } else { SEED_EVERY };
         let up = |address: &SocketAddrV4| self.foca.iter_members().any(|m| m.id().address == *address);
-        let known = self.view.members().map(|s| s.id.address).take(if alone { MOST_ASKED } else { 0 });
+        let known = self.view.members().map(|s| s.id.address).take(if alone { MAX_ASKED } else { 0 });
         let mut silent: Vec<_> = self.options.seeds.iter().copied().chain(known).collect();
         silent.sort_unstable();
         silent.dedup();
@@ -445,7 +445,7 @@
     /// and not only by the gossip's luck.
     fn warn(&self, asked: &mut Asked) {
         let suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
-        for suspect in suspects.take(MOST_WARNED) {
+        for suspect in suspects.take(MAX_WARNED) {
             let header = foca::Header {
                 src: self.id().clone(),
                 src_incarnation: self.refutations,
@@ -520,7 +520,7 @@
         // Whoever has to refute suspicions may be slow itself.
         if let Some(refutations) = asked.refuted.filter(|now| *now > self.refutations) {
             self.refutations = refutations;
-            self.score = (self.score + 1).min(MOST_SCORE);
+            self.score = (self.score + 1).min(MAX_SCORE);
         }
         if asked.rejoined.is_some() {
             self.refutations = 0;
--- a/src/fleet/membership/notes.rs
+++ b/src/fleet/membership/notes.rs
@@ -6,7 +6,7 @@
 
 use foca::{BroadcastHandler, Invalidates};
 
-use super::view::{Id, MetadataUpdate, MOST_DIGEST, MOST_NAME};
+use super::view::{Id, MetadataUpdate, MAX_DIGEST, MAX_NAME};
 
 /// Which note a broadcast is: a newer one of the same member takes its place on the way.
 pub struct NoteKey {
@@ -75,7 +75,7 @@
         }
         let read = postcard::take_from_bytes::<MetadataUpdate>(data).ok();
         let bounded = |s: &MetadataUpdate| {
-            s.metadata.version.len() <= MOST_NAME && s.metadata.digest.len() <= MOST_DIGEST
+            s.metadata.version.len() <= MAX_NAME && s.metadata.digest.len() <= MAX_DIGEST
         };
         let Some(signed) = read.map(|(signed, _)| signed).filter(bounded) else {
             self.lock().unread += 1;
@@ -104,5 +104,5 @@
 }
 
 pub(super) fn sound(id: &Id) -> bool {
-    id.name.len() <= MOST_NAME && id.address.port() != 0 && !id.name.chars().any(char::is_control)
+    id.name.len() <= MAX_NAME && id.address.port() != 0 && !id.name.chars().any(char::is_control)
 }
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -9,10 +9,10 @@
 use super::asked::Asked;
 use super::notes::sound;
 use super::view::Id;
-use super::{sift, Membership, MAGIC, MOST_MEMBERS};
+use super::{sift, Membership, MAGIC, MAX_MEMBERS};
 
 /// Timers kept at most beside two of each member, those of the protocol itself among them.
-const MOST_OTHER_TIMERS: usize = 64;
+const MAX_OTHER_TIMERS: usize = 64;
 
 impl Membership {
     pub(super) fn take(&mut self, bytes: &[u8], asked: &mut Asked) {
@@ -38,7 +38,7 @@
             return;
         }
         let stranger = self.view.by_address(&src.address).is_none();
-        let room = MOST_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
+        let room = MAX_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
         if stranger && room == 0 {
             self.counts.no_room += 1;
             return;
@@ -68,7 +68,7 @@
     /// successor forget
     /// nobody, and a peer can tell of any number of lives at one address.
     pub(super) fn drop_idle_timers(&mut self) {
-        if self.timers.len() <= 2 * MOST_MEMBERS + MOST_OTHER_TIMERS {
+        if self.timers.len() <= 2 * MAX_MEMBERS + MAX_OTHER_TIMERS {
             return;
         }
         let known: HashSet<_> = self.foca.iter_membership_state().map(foca::Member::id).collect();
@@ -82,7 +82,7 @@
         let own = self.id().address;
         for id in strangers.into_iter().filter(|id| id.address != own) {
             let stranger = self.view.by_address(&id.address).is_none();
-            if stranger && self.foca.iter_membership_state().len() >= MOST_MEMBERS {
+            if stranger && self.foca.iter_membership_state().len() >= MAX_MEMBERS {
                 self.counts.no_room_told += 1;
             } else {
                 let _ = self.foca.apply_many([foca::Member::alive(id)].into_iter(), true, &mut *asked);
--- a/src/fleet/membership/suspect.rs
+++ b/src/fleet/membership/suspect.rs
@@ -70,7 +70,7 @@
             let same = |m: &&&foca::Member<Id>| m.id().address == *address && m.id().incarnation == *life;
             suspects.iter().find(same).is_some_and(|m| m.incarnation() == *refuted)
         });
-        let accused = self.accused.iter().take(disagreement::MOST_ACCUSED);
+        let accused = self.accused.iter().take(disagreement::MAX_ACCUSED);
         digest.accused = accused.map(|(address, (life, refuted, ..))| (*address, *life, *refuted)).collect();
         disagreement::compare(now, &digest, &self.view, &mut self.unlike);
         let bytes = digest.encode();
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -119,7 +119,7 @@
         bytes.truncate(ENVELOPE + (draw >> 40) as usize % 400);
         a.step(now + MS, Input::Datagram(&bytes));
     }
-    assert!(a.counts().malformed > 1_000 && a.view().len() <= MOST_MEMBERS);
+    assert!(a.counts().malformed > 1_000 && a.view().len() <= MAX_MEMBERS);
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let out = a.step(now, Input::Tick);
     assert!(out.changes.is_empty(), "{:?}", out.changes);
     assert_eq!(a.counts().stopped, 1);
-    assert!(a.score() >= MOST_SCORE - 1, "it holds itself for slow: {}", a.score());
+    assert!(a.score() >= MAX_SCORE - 1, "it holds itself for slow: {}", a.score());
     for _ in 0..400 {
         now += MS * 10;
         exchange(&mut a, &mut b, now);
@@ -217,20 +217,20 @@
     }
     a.step(MS * 40, Input::Tick);
     // The peer itself is one of them.
-    assert_eq!(a.view().len(), MOST_MEMBERS);
-    assert_eq!(a.counts().no_room_told, 5_001 - MOST_MEMBERS as u64);
+    assert_eq!(a.view().len(), MAX_MEMBERS);
+    assert_eq!(a.counts().no_room_told, 5_001 - MAX_MEMBERS as u64);
     assert!(a.view().by_name("m5099").is_none());
     // Neither the one more that speaks itself nor the one that a note tells of is taken.
     a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
     let metadata = MetadataUpdate { id: life(6_001, 1), number: 1, metadata: Metadata::default() };
     a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(metadata))));
-    assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MOST_MEMBERS as u64));
+    assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MAX_MEMBERS as u64));
     // News of one that is known is taken, beside one of a stranger that is not.
     let news = [foca::Member::alive(life(6_002, 1)), foca::Member::down(life(100, 1))];
     a.step(MS * 42, Input::Datagram(&told(2, &own, &news, None)));
     a.step(MS * 70, Input::Tick);
     assert_eq!(a.view().by_name("m100").unwrap().state, State::Down);
-    assert_eq!((a.view().len(), a.counts().malformed), (MOST_MEMBERS, 0));
+    assert_eq!((a.view().len(), a.counts().malformed), (MAX_MEMBERS, 0));
 }
 
 #[test]
@@ -242,7 +242,7 @@
     for some in all.chunks(50) {
         a.step(MS * 2, Input::Datagram(&told(2, &own, some, None)));
     }
-    assert!(a.timers.len() < 3 * MOST_MEMBERS, "{}", a.timers.len());
+    assert!(a.timers.len() < 3 * MAX_MEMBERS, "{}", a.timers.len());
     for port in 100..200 {
         a.step(MS * 3, Input::Datagram(&told(port, &life(77, 1), &[], None)));
     }
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -10,9 +10,9 @@
 use super::disagreement::{number_of, Digest};
 
 /// The longest name of a member, and of its version, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME: usize = 64;
 /// The longest digest of shared state that a note carries, in bytes.
-pub const MOST_DIGEST: usize = 512;
+pub const MAX_DIGEST: usize = 512;
 
 /// Who a member is: one life of one process. A restart at the same address has a higher incarnation and takes the
 /// place of the life before.
--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -12,14 +12,14 @@
 use tracing::{info, warn};
 
 use super::membership::view::{Change, Id, Metadata, State};
-use super::membership::{self, Input, Membership, MOST_BYTES};
+use super::membership::{self, Input, Membership, MAX_BYTES};
 use super::posture::REACHABLE_PERIODS;
 use super::status::Status;
 
 /// The version that members are told.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 /// Words of this process that may wait for the thread.
-const MOST_ORDERS: usize = 64;
+const MAX_ORDERS: usize = 64;
 /// The thread looks at its orders this often.
 const LOOK: Duration = Duration::from_millis(20);
 /// Datagrams taken before the timers are looked at again.
@@ -115,7 +115,7 @@
     /// # Errors
     /// [`MembershipThreadError`].
     pub fn start(options: Options) -> Result<Self, MembershipThreadError> {
-        let (orders, received) = sync_channel(MOST_ORDERS);
+        let (orders, received) = sync_channel(MAX_ORDERS);
         let (end, ended) = sync_channel(1);
         let status: Arc<Mutex<Option<Status>>> = Arc::default();
         let answers = ProbeAnswers { period: options.period, ..ProbeAnswers::default() };
@@ -252,7 +252,7 @@
 
     fn run(mut self, orders: &Receiver<Order>, drains: &mut bool) -> End {
         let mut told_at = Duration::ZERO;
-        let mut bytes = vec![0; MOST_BYTES + 1];
+        let mut bytes = vec![0; MAX_BYTES + 1];
         loop {
             match orders.try_recv() {
                 Ok(Order::Draining(draining)) => {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -16,8 +16,8 @@
 
 use tinyjson::JsonValue;
 
-use crate::fleet::membership::view::MOST_NAME;
-use crate::fleet::membership::MOST_SEEDS;
+use crate::fleet::membership::view::MAX_NAME;
+use crate::fleet::membership::MAX_SEEDS;
 use crate::fleet::routes::table::Known;
 use crate::fleet::{driver, link};
 use crate::interface::{Class, Dependency, Preemption, Repeat, Settings, Signal, Tenant};
@@ -228,15 +228,15 @@
             return node.get("advertise")?.error(Problem::NotOneAddress);
         }
         let name = node.get("name")?.optional(DEFAULT_FLEET.to_string(), string)?;
-        if name.is_empty() || name.len() > MOST_NAME {
-            return node.get("name")?.error(Problem::NameLength(MOST_NAME));
+        if name.is_empty() || name.len() > MAX_NAME {
+            return node.get("name")?.error(Problem::NameLength(MAX_NAME));
         }
         let mut seeds = Vec::new();
         for seed in node.get("seeds")?.items()? {
             seeds.push(seed.required(parsed)?);
         }
-        if seeds.len() > MOST_SEEDS {
-            return node.get("seeds")?.error(Problem::TooManySeeds(MOST_SEEDS));
+        if seeds.len() > MAX_SEEDS {
+            return node.get("seeds")?.error(Problem::TooManySeeds(MAX_SEEDS));
         }
         let period_ms = node.get("period_ms")?.optional(DEFAULT_PERIOD_MS, integer)?;
         if !(50..=60_000).contains(&period_ms) {
@@ -387,8 +387,8 @@
             vars.get("RELAY_CONFIG").ok_or_else(|| ConfigError::new("RELAY_CONFIG", Problem::NotSet))?;
         let mut config = Self::parse(&read_file("RELAY_CONFIG", path)?, &vars)?;
         config.appliance = Appliance::from_env()?;
-        if config.appliance.fleet.is_some() && config.name.len() > MOST_NAME {
-            return Err(ConfigError::new("name", Problem::MemberName(MOST_NAME)));
+        if config.appliance.fleet.is_some() && config.name.len() > MAX_NAME {
+            return Err(ConfigError::new("name", Problem::MemberName(MAX_NAME)));
         }
         if let Some(routes) = config.appliance.fleet.as_ref().and_then(|f| f.routes.as_ref()) {
             routes.check(&config.name)?;
--- a/src/settings/routes.rs
+++ b/src/settings/routes.rs
@@ -12,7 +12,7 @@
 use super::error::{ConfigError, Problem};
 use super::node::Node;
 use crate::fleet::clock::Fault;
-use crate::fleet::membership::view::MOST_NAME;
+use crate::fleet::membership::view::MAX_NAME;
 
 /// The keys of the section.
 const KEYS: [&str; 4] = ["folder", "listen", "voters", "lab_clock"];
@@ -82,8 +82,8 @@
         let mut voters: Vec<Voter> = Vec::new();
         for item in list.items()? {
             let voter: Voter = read(&item)?;
-            if voter.name.is_empty() || voter.name.len() > MOST_NAME {
-                return item.get("name")?.error(Problem::NameLength(MOST_NAME));
+            if voter.name.is_empty() || voter.name.len() > MAX_NAME {
+                return item.get("name")?.error(Problem::NameLength(MAX_NAME));
             }
             if voter.address.ip().is_unspecified() || voter.address.port() == 0 {
                 return item.get("address")?.error(Problem::NotOneAddress);
