--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -138,11 +138,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum StatusError {
     /// It cannot be read at all.
-    #[error("no document in JSON: {said}")]
+    #[error("no document in JSON: {error}")]
     #[diagnostic(help("check that --admin names the operators' door of a matcher"))]
     Json {
         /// What the reader says.
-        said: JsonError,
+        error: JsonError,
     },
     /// A part of it is missing, or is not what it should be.
     #[error("{place}: is no {kind}")]
@@ -162,7 +162,7 @@
 }
 
 fn top(json: &str) -> Result<Fields, StatusError> {
-    let json = crate::json::parse(json).map_err(|said| StatusError::Json { said })?;
+    let json = crate::json::parse(json).map_err(|error| StatusError::Json { error })?;
     json.get::<Fields>().cloned().ok_or_else(|| shape("the answer", "object"))
 }
 
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -233,7 +233,7 @@
         (
             "src/fleet/status.rs",
             "StatusError",
-            samples!(StatusError { Json { said: JsonError::Deep }, Shape { place: x(), kind: "list" } }),
+            samples!(StatusError { Json { error: JsonError::Deep }, Shape { place: x(), kind: "list" } }),
         ),
         (
             "src/fleet/door.rs",
