--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -292,7 +292,7 @@
 
     /// Who answered a probe that was sent at `since` or later, and when that was: both ways were open then. A
     /// probe goes to one member a period, so of a large fleet most members are not among these at any moment.
-    pub fn answers(&self, since: Duration) -> impl Iterator<Item = (&str, Duration)> {
+    pub fn probe_answers(&self, since: Duration) -> impl Iterator<Item = (&str, Duration)> {
         let late = self.answered.iter().filter(move |(_, sent)| **sent >= since);
         late.filter_map(move |(address, sent)| Some((self.view.by_address(address)?.id.name.as_str(), *sent)))
     }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -167,8 +167,8 @@
 fn who_answered_a_probe_counts_from_when_it_was_sent_and_who_only_speaks_does_not() {
     let (mut a, mut b, mut now) = pair();
     let window = MS * 300;
-    assert_eq!(a.answers(now - window).map(|(name, _)| name).collect::<Vec<_>>(), ["m2"]);
-    let sent = a.answers(Duration::ZERO).next().map(|(_, sent)| sent).unwrap();
+    assert_eq!(a.probe_answers(now - window).map(|(name, _)| name).collect::<Vec<_>>(), ["m2"]);
+    let sent = a.probe_answers(Duration::ZERO).next().map(|(_, sent)| sent).unwrap();
     assert!(sent > now - MS * 250 && sent <= now, "{sent:?} at {now:?}");
     // From here on nothing of `a` comes through: it hears `b`, which is no answer to anything.
     let (mut heard, until) = (0, now + window * 2);
@@ -181,8 +181,8 @@
         }
     }
     assert!(heard > 5, "{heard}");
-    assert_eq!(a.answers(now - window).count(), 0);
-    assert_eq!(a.answers(Duration::ZERO).next().map(|(_, last)| last), Some(sent));
+    assert_eq!(a.probe_answers(now - window).count(), 0);
+    assert_eq!(a.probe_answers(Duration::ZERO).next().map(|(_, last)| last), Some(sent));
 }
 
 /// A datagram of `from`, which tells `to` of members and passes a note on.
--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -296,7 +296,7 @@
                 told_at = now + self.period / 8;
                 let since = now.saturating_sub(self.period * REACHABLE_PERIODS);
                 let late =
-                    self.member.answers(since).map(|(name, sent)| (name.to_string(), self.began + sent));
+                    self.member.probe_answers(since).map(|(name, sent)| (name.to_string(), self.began + sent));
                 self.answers.tell(late.collect());
                 let told = Status::of(&self.member, now);
                 *self.status.lock().unwrap_or_else(PoisonError::into_inner) = Some(told);
