--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,7 +19,7 @@
 use crate::fleet::membership::view::MAX_NAME;
 use crate::fleet::membership::MAX_SEEDS;
 use crate::fleet::routes::table::Known;
-use crate::fleet::{driver, link};
+use crate::fleet::{driver, membership_thread};
 use crate::interface::{Class, Dependency, Preemption, Repeat, Settings, Signal, Tenant};
 
 use node::{boolean, integer, kilobytes, micros, number, parse_json, parsed, string, Node};
@@ -421,9 +421,9 @@
     }
 
     /// Options of the fleet's membership; `None` where this matcher is in no fleet.
-    pub fn fleet(&self) -> Option<link::Options> {
+    pub fn fleet(&self) -> Option<membership_thread::Options> {
         let fleet = self.appliance.fleet.as_ref()?;
-        Some(link::Options {
+        Some(membership_thread::Options {
             name: self.name.clone(),
             fleet: fleet.name.clone(),
             listen: fleet.listen,
