--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,17 +1,17 @@
 //! Membership by SWIM (Das, Gupta and Motivala, 2002) on the `foca` crate, with what Lifeguard (Dadgar, Phillips and
-//! Currey, 2018) adds for members that are slow themselves. No I/O and no clock: [`Membership::step`] takes a datagram,
-//! a word of the operator or the time, and says what to send and when it wants to be asked again.
+//! Currey, 2018) adds for members that are slow themselves. Without I/O or clock, [`Membership::step`] takes a datagram, an
+//! operator's input or the time, and returns the datagrams to send; [`Membership::due`] is the time of the next step.
 //!
-//! What is ours around foca: the envelope that tells foreign datagrams apart, the local health score that stretches
-//! probes and suspicions of a member which is slow itself (timers are stretched as foca asks for them), the buddy system,
-//! the time a stopped process gives back, notes with who drains and who left, and joining again after a heal.
+//! This module adds to foca: an envelope by which foreign datagrams are recognized, the local health score that lengthens
+//! probes and suspicions of a slow member (timers are lengthened when foca sets them), Lifeguard's buddy system, postponed
+//! timers after a stop of the process, metadata (which members drain or left), and rejoining after a network partition.
 
-mod asked;
 pub mod disagreement;
-mod notes;
+mod metadata;
 mod receive;
-mod sift;
-mod suspect;
+mod runtime;
+mod suspicion;
+mod update_filter;
 pub mod view;
 
 use std::cmp::Reverse;
@@ -24,114 +24,113 @@
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::SeedableRng;
 
-use asked::{Asked, Due};
 use disagreement::Disagreement;
-use notes::Shelf;
+use metadata::MetadataHandler;
+use runtime::{PendingTimer, StepRuntime};
 use view::{Change, Id, Metadata, MetadataUpdate, State, View};
 
-/// The largest datagram, envelope included: below the usual MTU.
+/// Largest datagram including the envelope: below the usual MTU.
 pub const MAX_BYTES: usize = 1400;
-/// Members that are known at most; datagrams of others are refused then.
+/// Most members known at a time. Beyond it, datagrams of unknown members are dropped.
 pub const MAX_MEMBERS: usize = 4096;
-/// Seeds at most.
+/// Most seeds.
 pub const MAX_SEEDS: usize = 64;
-/// The highest local health score: probes and suspicions are then stretched ninefold (Lifeguard's S is 8).
+/// Highest local health score: probes and suspicions then take nine times as long (Lifeguard's S is 8).
 const MAX_SCORE: u32 = 8;
-/// Members asked to probe for us.
-const INDIRECT: usize = 3;
-/// Members that each round of gossip goes to.
-const FANOUT: usize = 3;
-/// Times that each member passes a piece of news on, in a small fleet.
-const TRANSMISSIONS: u8 = 12;
-/// A suspicion lasts so many periods, times the decimal logarithm of the members if that is over one (Lifeguard's
-/// alpha).
+/// How many members are asked to probe on behalf of this one.
+const INDIRECT_PROBES: usize = 3;
+/// How many members receive each round of gossip.
+const GOSSIP_FANOUT: usize = 3;
+/// How often each member passes an update on in a small fleet; a larger fleet needs more.
+const MIN_TRANSMISSIONS: u8 = 12;
+/// Lifeguard's alpha: periods of a suspicion, multiplied by the decimal logarithm of the member count if over one.
 const SUSPICION_PERIODS: f64 = 5.0;
-/// Up to so many members are looked at after each step that may have changed one; more only a few times a period.
-const SMALL: usize = 64;
-/// Members that one which knows nobody asks at once, besides the seeds.
-const MAX_ASKED: usize = 16;
-/// Suspects that are told of it at once.
+/// Most members that are compared with the view after each step; more are compared only a few times a period.
+const SMALL_FLEET: usize = 64;
+/// Known members, besides the seeds, to which a member that sees no other member up announces itself at a time.
+const MAX_ANNOUNCED: usize = 16;
+/// How many suspects are notified of their suspicion at a time.
 const MAX_WARNED: usize = 8;
-/// Periods between two words to a member that is down, which may only have been cut off.
-const DOWN_EVERY: u32 = 5;
-/// Periods between two words to a seed that is not up.
-const SEED_EVERY: u32 = 5;
-/// Periods for which a member that is down is remembered.
-const REMEMBERED: u32 = 3600;
-/// A step that comes so many periods after it was due shows that the process was stopped.
+/// Periods between two announcements to a member that is down: it may only have been cut off.
+const DOWN_ANNOUNCE_PERIODS: u32 = 5;
+/// Periods between two announcements to a seed that is not up.
+const SEED_ANNOUNCE_PERIODS: u32 = 5;
+/// Periods for which a member that is down is kept.
+const DOWN_RETENTION_PERIODS: u32 = 3600;
+/// A step that is late by this many periods shows that the process was stopped.
 const STOPPED_PERIODS: u32 = 2;
-/// What each datagram begins with: the protocol and its version.
+/// The first bytes of each datagram: the protocol and its version.
 const MAGIC: [u8; 4] = *b"hwf1";
-/// The envelope: magic and the fleet's number.
+/// Length of the envelope: [`MAGIC`] and the hash of the fleet's name.
 const ENVELOPE: usize = 8;
 
-/// What a member is told at its start.
+/// Options of a member.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Who it is.
+    /// Its identity.
     pub id: Id,
-    /// The name of the fleet: datagrams of another one are foreign.
+    /// The name of the fleet. Datagrams of another fleet are dropped.
     pub fleet: String,
-    /// Addresses that may know the fleet.
+    /// Addresses of members through which this one joins the fleet.
     pub seeds: Vec<SocketAddrV4>,
-    /// The protocol period: one probe each.
+    /// The protocol period: one probe is sent in each.
     pub period: Duration,
-    /// For random choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
-/// What happens to a member.
+/// Input of [`Membership::step`].
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(&'a [u8]),
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// What this member says of itself changed.
+    /// This member's metadata changed.
     Metadata(Metadata),
-    /// It leaves; nothing is sent after this step.
+    /// This member leaves the fleet. Nothing is sent after this step.
     Leave,
 }
 
-/// What a step asks for.
+/// Output of [`Membership::step`].
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Datagrams, in order.
+    /// Datagrams to send, in order.
     pub send: Vec<(SocketAddrV4, Vec<u8>)>,
-    /// What changed in the view.
+    /// Changes of the view.
     pub changes: Vec<Change>,
 }
 
-/// Why datagrams were dropped, and what else is counted.
+/// Counters: datagrams dropped, by reason, and others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams taken.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// Bytes of the datagrams taken.
+    /// Bytes of the accepted datagrams.
     pub taken_bytes: u64,
-    /// Datagrams asked to be sent, and their bytes.
+    /// Datagrams to send.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Bytes of the datagrams to send.
     pub sent_bytes: u64,
-    /// Not of this protocol or version.
+    /// Datagrams of another protocol or version.
     pub foreign: u64,
-    /// Of another fleet.
+    /// Datagrams of another fleet.
     pub other_fleet: u64,
-    /// Of this fleet, and spoilt.
+    /// Datagrams of this fleet that are invalid.
     pub malformed: u64,
-    /// Notes that could not be read, as those of a later version; the rest of their datagrams was taken.
+    /// Metadata that could not be decoded, as of a later version; the rest of the datagram was accepted.
     pub unread: u64,
-    /// From nobody known, while [`MAX_MEMBERS`] are.
+    /// Datagrams of unknown members while [`MAX_MEMBERS`] are known.
     pub no_room: u64,
-    /// Members that another one told of and that were not taken, while [`MAX_MEMBERS`] are known.
+    /// Members reported by another member and not added because [`MAX_MEMBERS`] are known.
     pub no_room_told: u64,
-    /// From our own address: two processes share it, or a datagram came back.
+    /// Datagrams from the own address: two processes share it, or a datagram was sent back.
     pub own: u64,
-    /// Probes that nobody answered.
+    /// Probes that failed.
     pub probes_failed: u64,
-    /// Times that this member was declared down and came back.
+    /// How often this member was declared down and rejoined.
     pub rejoined: u64,
-    /// Times that the process was found to have been stopped.
+    /// How often a stop of the process was detected.
     pub stopped: u64,
 }
 
@@ -151,53 +150,52 @@
     }
 }
 
-/// One member's part of the protocol.
+/// The protocol state of one member.
 pub struct Membership {
-    foca: Foca<Id, PostcardCodec, Xoshiro256PlusPlus, Shelf>,
+    foca: Foca<Id, PostcardCodec, Xoshiro256PlusPlus, MetadataHandler>,
     config: foca::Config,
-    notes: Shelf,
+    inbox: MetadataHandler,
     options: Options,
     fleet: u32,
     view: View,
     counts: Counts,
-    timers: BinaryHeap<Reverse<Due>>,
+    timers: BinaryHeap<Reverse<PendingTimer>>,
     next_number: u64,
     score: u32,
     refutations: u16,
     metadata: Metadata,
     metadata_number: u64,
-    /// When the note is told again, for those who missed it.
-    tell_at: Duration,
+    /// When the metadata is published again, for members that missed it.
+    publish_at: Duration,
     seeds_at: Duration,
-    /// When this member wanted to be asked again.
-    wanted: Duration,
-    /// Somebody is suspect, and may refute that without a word from foca.
-    suspects: bool,
-    /// Members that are looked at next: foca said that they changed, or they were suspect and it tells of no
-    /// end of that.
-    look: HashSet<SocketAddrV4>,
-    /// When the members are looked at again without a cause.
+    /// When the next step was due.
+    expected_at: Duration,
+    /// Some member is suspect. foca does not report when it refutes that.
+    has_suspects: bool,
+    /// Members to compare next: foca reported a change, or they were suspect (it does not report when that ends).
+    to_check: HashSet<SocketAddrV4>,
+    /// When all members are compared with the view again without a reported change.
     scan_at: Duration,
-    /// When the suspects are told of it again.
+    /// When the suspects are notified again.
     warn_at: Duration,
-    /// When each other member was last heard without a detour.
-    heard: BTreeMap<SocketAddrV4, Duration>,
-    /// The last probe that went out: to whom, its number, and when.
+    /// When a datagram was last received directly from each other member.
+    last_received: BTreeMap<SocketAddrV4, Duration>,
+    /// The last direct probe: recipient, number and time.
     probe: Option<(SocketAddrV4, ProbeNumber, Duration)>,
-    /// When the last probe was sent that each other member answered without a detour.
+    /// For each other member, when the last direct probe that it answered was sent.
     answered: BTreeMap<SocketAddrV4, Duration>,
-    /// Who sees the fleet otherwise, since when.
-    unlike: BTreeMap<SocketAddrV4, Duration>,
-    /// Whom this member suspects by a probe of its own: which life, its refutations, since when, and for how long.
-    accused: BTreeMap<SocketAddrV4, (u64, u16, Duration, Duration)>,
-    /// When the digest of the view is made again.
+    /// The members whose views differ, and since when.
+    differing_since: BTreeMap<SocketAddrV4, Duration>,
+    /// Suspicions by own probes: incarnation, refutations, start and full duration.
+    own_suspicions: BTreeMap<SocketAddrV4, (u64, u16, Duration, Duration)>,
+    /// When the digest of the view is updated next.
     digest_at: Duration,
     left: bool,
 }
 
 impl Membership {
-    /// A member that knows nobody yet; its first [`Input::Tick`] makes it announce itself to the seeds. The settings
-    /// have checked the name and the address.
+    /// Creates a member that knows no other member. Its first [`Input::Tick`] announces it to the seeds. The settings
+    /// have validated the name and the address.
     pub fn new(options: Options, metadata: Metadata) -> Self {
         let period = options.period;
         let to = |members| NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
@@ -206,26 +204,29 @@
         };
         let config = foca::Config {
             probe_period: period,
-            // A third for the direct answer leaves two thirds for the way over others.
+            // A third of the period for the direct answer leaves two thirds for indirect probes.
             probe_rtt: period / 3,
-            num_indirect_probes: to(INDIRECT),
+            num_indirect_probes: to(INDIRECT_PROBES),
             max_transmissions: transmissions(1),
             suspect_to_down_after: period.mul_f64(SUSPICION_PERIODS),
-            remove_down_after: Some(period * REMEMBERED),
+            remove_down_after: Some(period * DOWN_RETENTION_PERIODS),
             max_packet_size: to(MAX_BYTES - ENVELOPE),
             notify_down_members: true,
             periodic_announce: every(30, 1),
-            periodic_announce_to_down_members: every(DOWN_EVERY, 2),
-            periodic_gossip: Some(foca::PeriodicParams { frequency: period / 2, num_members: to(FANOUT) }),
+            periodic_announce_to_down_members: every(DOWN_ANNOUNCE_PERIODS, 2),
+            periodic_gossip: Some(foca::PeriodicParams {
+                frequency: period / 2,
+                num_members: to(GOSSIP_FANOUT),
+            }),
         };
         let rng = Xoshiro256PlusPlus::seed_from_u64(options.seed);
-        let (id, notes) = (options.id.clone(), Shelf::default());
-        let foca = Foca::with_custom_broadcast(id, config.clone(), rng, PostcardCodec, notes.clone());
+        let (id, inbox) = (options.id.clone(), MetadataHandler::default());
+        let foca = Foca::with_custom_broadcast(id, config.clone(), rng, PostcardCodec, inbox.clone());
         Self {
             foca,
             config,
-            notes,
-            fleet: number_of(&options.fleet),
+            inbox,
+            fleet: fleet_hash(&options.fleet),
             options,
             view: View::default(),
             counts: Counts::default(),
@@ -235,110 +236,111 @@
             refutations: 0,
             metadata,
             metadata_number: 0,
-            tell_at: Duration::ZERO,
+            publish_at: Duration::ZERO,
             seeds_at: Duration::ZERO,
-            wanted: Duration::ZERO,
-            suspects: false,
-            look: HashSet::new(),
+            expected_at: Duration::ZERO,
+            has_suspects: false,
+            to_check: HashSet::new(),
             scan_at: Duration::ZERO,
             warn_at: Duration::ZERO,
-            heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
             probe: None,
             answered: BTreeMap::new(),
-            unlike: BTreeMap::new(),
-            accused: BTreeMap::new(),
+            differing_since: BTreeMap::new(),
+            own_suspicions: BTreeMap::new(),
             digest_at: Duration::ZERO,
             left: false,
         }
     }
 
-    /// Who this member is now.
+    /// This member's current identity.
     pub fn id(&self) -> &Id {
         self.foca.identity()
     }
 
-    /// What it says of itself.
+    /// This member's metadata.
     pub fn metadata(&self) -> &Metadata {
         &self.metadata
     }
 
-    /// The others as it sees them.
+    /// This member's view of the others.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// What it counted.
+    /// The counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Its local health score: 0 is well.
+    /// The local health score; 0 is healthy.
     pub fn score(&self) -> u32 {
         self.score
     }
 
-    /// When it wants to be asked again.
+    /// When the next step is due.
     pub fn due(&self) -> Duration {
         let timer = self.timers.peek().map_or(Duration::MAX, |Reverse(due)| due.at);
-        let warn = if self.suspects { self.warn_at } else { Duration::MAX };
-        let scan = if self.foca.num_members() > SMALL { self.scan_at } else { Duration::MAX };
-        timer.min(self.tell_at).min(self.seeds_at).min(warn).min(scan).min(self.digest_at)
+        let warn = if self.has_suspects { self.warn_at } else { Duration::MAX };
+        let scan = if self.foca.num_members() > SMALL_FLEET { self.scan_at } else { Duration::MAX };
+        timer.min(self.publish_at).min(self.seeds_at).min(warn).min(scan).min(self.digest_at)
     }
 
-    /// Who sees the fleet otherwise than this member, about whom, and since when, by the last digest of each.
+    /// The members whose view differs from this member's, according to the last digest of each.
     pub fn disagreements(&self) -> Vec<Disagreement> {
-        disagreement::disagreements(self.id(), &self.view, &self.unlike)
+        disagreement::disagreements(self.id(), &self.view, &self.differing_since)
     }
 
-    /// Who answered a probe that was sent at `since` or later, and when that was: both ways were open then. A
-    /// probe goes to one member a period, so of a large fleet most members are not among these at any moment.
+    /// The members that answered a probe sent at `since` or later, with the time of sending: both directions worked then.
+    /// One member is probed per period, so in a large fleet most members are missing here at any moment.
     pub fn probe_answers(&self, since: Duration) -> impl Iterator<Item = (&str, Duration)> {
-        let late = self.answered.iter().filter(move |(_, sent)| **sent >= since);
-        late.filter_map(move |(address, sent)| Some((self.view.by_address(address)?.id.name.as_str(), *sent)))
+        let recent = self.answered.iter().filter(move |(_, sent)| **sent >= since);
+        recent
+            .filter_map(move |(address, sent)| Some((self.view.by_address(address)?.id.name.as_str(), *sent)))
     }
 
-    /// Links that work one way only, from whom to whom, as their ends tell.
+    /// Links that deliver in one direction only, as (sender, receiver), according to the digests of both ends.
     pub fn one_way(&self) -> Vec<(SocketAddrV4, SocketAddrV4)> {
         disagreement::one_way(self.id(), &self.metadata.digest, &self.view)
     }
 
-    /// Goes on to `now` with what happened.
+    /// Advances the protocol to `now` with one input.
     pub fn step(&mut self, now: Duration, input: Input<'_>) -> Output {
         let mut out = Output::default();
         if self.left {
             return out;
         }
-        self.give_back_a_stop(now);
-        let mut asked = self.asked(now);
+        self.shift_timers_after_stop(now);
+        let mut runtime = self.runtime(now);
         match input {
-            Input::Datagram(bytes) => self.take(bytes, &mut asked),
+            Input::Datagram(bytes) => self.receive(bytes, &mut runtime),
             Input::Metadata(metadata) => {
                 self.metadata = metadata;
-                self.tell_at = now;
+                self.publish_at = now;
             }
             Input::Leave => {
                 self.metadata.left = true;
-                self.tell(&mut asked);
-                // The word that it leaves goes ahead of the news that it is gone, to some more than one datagram.
+                self.publish_metadata(&mut runtime);
+                // The metadata that announces the leave goes out first, and in more than one datagram.
                 for _ in 0..2 {
-                    let _ = self.foca.gossip(&mut asked);
+                    let _ = self.foca.gossip(&mut runtime);
                 }
-                let _ = self.foca.leave_cluster(&mut asked);
+                let _ = self.foca.leave_cluster(&mut runtime);
                 self.left = true;
             }
             Input::Tick => {}
         }
         if !self.left {
-            self.due_now(now, &mut asked);
+            self.run_due_timers(now, &mut runtime);
         }
-        self.settle(now, asked, &mut out);
-        // What is overdue now was not waited for: only time that passes from here on can be lost.
-        self.wanted = self.due().max(now);
+        self.apply(now, runtime, &mut out);
+        // Work that is already overdue was not waited for: only the time from here on counts as lost.
+        self.expected_at = self.due().max(now);
         out
     }
 
-    fn asked(&self, now: Duration) -> Asked {
-        Asked {
+    fn runtime(&self, now: Duration) -> StepRuntime {
+        StepRuntime {
             now,
             score: self.score,
             up: self.foca.num_members() + 1,
@@ -347,7 +349,7 @@
             timers: Vec::new(),
             probe_failed: None,
             changed: false,
-            told: Vec::new(),
+            changed_members: Vec::new(),
             received: false,
             joined: false,
             rejoined: None,
@@ -357,43 +359,43 @@
         }
     }
 
-    /// A process that was stopped finds all its timers overdue, and the answers to its probes unread: it would take
-    /// everybody for dead. Its timers are put off by the time it lost.
-    fn give_back_a_stop(&mut self, now: Duration) {
-        let lost = now.saturating_sub(self.wanted);
-        if self.wanted.is_zero() || lost < self.options.period * STOPPED_PERIODS {
+    /// Postpones all timers by the time for which the process was stopped. Otherwise all timers would be overdue with the
+    /// answers to the probes unread, and all other members would be declared down.
+    fn shift_timers_after_stop(&mut self, now: Duration) {
+        let lost = now.saturating_sub(self.expected_at);
+        if self.expected_at.is_zero() || lost < self.options.period * STOPPED_PERIODS {
             return;
         }
         self.counts.stopped += 1;
         self.score = MAX_SCORE;
-        self.heard.values_mut().for_each(|at| *at += lost);
+        self.last_received.values_mut().for_each(|at| *at += lost);
         let late: Vec<_> = std::mem::take(&mut self.timers).into_vec();
         self.timers =
-            late.into_iter().map(|Reverse(due)| Reverse(Due { at: due.at + lost, ..due })).collect();
-        self.wanted = now;
+            late.into_iter().map(|Reverse(due)| Reverse(PendingTimer { at: due.at + lost, ..due })).collect();
+        self.expected_at = now;
     }
 
-    fn due_now(&mut self, now: Duration, asked: &mut Asked) {
+    fn run_due_timers(&mut self, now: Duration, runtime: &mut StepRuntime) {
         while self.timers.peek().is_some_and(|Reverse(due)| due.at <= now) {
             let Some(Reverse(due)) = self.timers.pop() else { break };
             let probed = matches!(due.timer, Timer::ProbeRandomMember(_));
             if let Timer::RemoveDown(id) = &due.timer {
-                // A newer life at the address keeps what is known of it.
+                // A newer incarnation at the address keeps its state.
                 if self.view.forget(id) {
-                    self.heard.remove(&id.address);
+                    self.last_received.remove(&id.address);
                     self.answered.remove(&id.address);
-                    self.notes.lock().known.remove(&id.address);
+                    self.inbox.lock().known.remove(&id.address);
                 }
             }
-            if !self.still_suspect(&due.timer) {
+            if !self.is_still_suspect(&due.timer) {
                 continue;
             }
-            // Errors here are timers of a time before an identity changed: nothing is lost with them.
-            let _ = self.foca.handle_timer(due.timer, &mut *asked);
+            // An error means that the timer was set before the identity changed: it has no effect any more.
+            let _ = self.foca.handle_timer(due.timer, &mut *runtime);
             if probed {
-                let failed = asked.probe_failed.take().is_some();
+                let failed = runtime.probe_failed.take().is_some();
                 if failed {
-                    // Whoever suspects the same member waits for less once it hears of this.
+                    // Publish the suspicion soon: other members that suspect the same member then shorten theirs.
                     self.digest_at = now;
                 }
                 self.counts.probes_failed += u64::from(failed);
@@ -402,48 +404,48 @@
             }
         }
         if now >= self.seeds_at {
-            self.look_for_others(now, asked);
+            self.announce_to_missing(now, runtime);
         }
         if now >= self.digest_at {
-            self.digest(now);
+            self.update_digest(now);
         }
-        if now >= self.tell_at {
-            self.tell(asked);
+        if now >= self.publish_at {
+            self.publish_metadata(runtime);
         }
-        if self.suspects && now >= self.warn_at {
+        if self.has_suspects && now >= self.warn_at {
             self.warn_at = now + self.options.period / 2;
-            self.warn(asked);
+            self.warn_suspects(runtime);
         }
     }
 
-    /// False for the end of a suspicion that was refuted meanwhile. Foca would change nothing then, and yet tell that
-    /// member that it is down (2.0.0, `handle_timer`), which would make it drop all it knows and join anew.
-    fn still_suspect(&self, timer: &Timer<Id>) -> bool {
+    /// Returns false for the end of a suspicion that was refuted meanwhile. foca would change nothing then, but still notify
+    /// that member that it is down (2.0.0, `handle_timer`), which would make it drop its state and rejoin.
+    fn is_still_suspect(&self, timer: &Timer<Id>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return true };
         let mut suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
         suspects.any(|m| m.id() == member_id && m.incarnation() == *incarnation)
     }
 
-    /// Announces this member to seeds that are not up; one that knows nobody who is up, as after it was declared down,
-    /// asks whom it knew as well, and sooner.
-    fn look_for_others(&mut self, now: Duration, asked: &mut Asked) {
+    /// Announces this member to seeds that are not up. If it sees no other member up, as after it was declared down, it
+    /// also announces itself to members that it knew, and more often.
+    fn announce_to_missing(&mut self, now: Duration, runtime: &mut StepRuntime) {
         let own = self.id().address;
         let alone = self.foca.num_members() == 0;
-        self.seeds_at = now + self.options.period * if alone { 1 } else { SEED_EVERY };
+        self.seeds_at = now + self.options.period * if alone { 1 } else { SEED_ANNOUNCE_PERIODS };
         let up = |address: &SocketAddrV4| self.foca.iter_members().any(|m| m.id().address == *address);
-        let known = self.view.members().map(|s| s.id.address).take(if alone { MAX_ASKED } else { 0 });
+        let known = self.view.members().map(|s| s.id.address).take(if alone { MAX_ANNOUNCED } else { 0 });
         let mut silent: Vec<_> = self.options.seeds.iter().copied().chain(known).collect();
         silent.sort_unstable();
         silent.dedup();
         silent.retain(|address| *address != own && !up(address));
         for address in silent {
-            let _ = self.foca.announce(Id { address, incarnation: 0, name: String::new() }, &mut *asked);
+            let _ = self.foca.announce(Id { address, incarnation: 0, name: String::new() }, &mut *runtime);
         }
     }
 
-    /// Lifeguard's buddy system: who is suspect hears of it from those who know, straight and until it refutes that,
-    /// and not only by the gossip's luck.
-    fn warn(&self, asked: &mut Asked) {
+    /// Lifeguard's buddy system: notifies each suspect directly and repeatedly until it refutes the suspicion, instead of
+    /// relying on random gossip alone.
+    fn warn_suspects(&self, runtime: &mut StepRuntime) {
         let suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
         for suspect in suspects.take(MAX_WARNED) {
             let header = foca::Header {
@@ -457,45 +459,45 @@
             else {
                 continue;
             };
-            // One update: the suspicion itself.
+            // A single update: the suspicion.
             bytes.extend_from_slice(&1u16.to_be_bytes());
             bytes.extend_from_slice(&member);
-            asked.send.push((suspect.id().address, bytes));
+            runtime.send.push((suspect.id().address, bytes));
         }
     }
 
-    /// Puts the note on the messages to come, and says when it is told again: more seldom in a larger fleet, so that
-    /// the notes on the way stay the same in number.
-    fn tell(&mut self, asked: &mut Asked) {
+    /// Queues the metadata for broadcast and sets the time of the next broadcast. The interval grows with the fleet, so
+    /// that the amount of metadata in transit stays the same.
+    fn publish_metadata(&mut self, runtime: &mut StepRuntime) {
         self.metadata_number += 1;
-        let signed = MetadataUpdate {
+        let update = MetadataUpdate {
             id: self.id().clone(),
             number: self.metadata_number,
             metadata: self.metadata.clone(),
         };
-        if let Ok(bytes) = postcard::to_allocvec(&signed) {
+        if let Ok(bytes) = postcard::to_allocvec(&update) {
             let _ = self.foca.add_broadcast(&bytes);
         }
         let members = u32::try_from(self.foca.num_members() + 1).unwrap_or(u32::MAX);
-        self.tell_at = asked.now + self.options.period * (10 + members);
+        self.publish_at = runtime.now + self.options.period * (10 + members);
     }
 
-    /// Takes up what foca asked for, and brings the view in line with its members.
-    fn settle(&mut self, now: Duration, asked: Asked, out: &mut Output) {
-        for (at, timer) in asked.timers {
+    /// Applies what foca requested in this step, and updates the view from its members.
+    fn apply(&mut self, now: Duration, runtime: StepRuntime, out: &mut Output) {
+        for (at, timer) in runtime.timers {
             self.next_number += 1;
             if let Timer::ChangeSuspectToDown { member_id: id, incarnation, .. } = &timer {
-                // A later probe that fails as well begins no new suspicion.
+                // Another failed probe does not start a new suspicion.
                 let new = (id.incarnation, *incarnation, now, at.saturating_sub(now));
-                let known = self.accused.entry(id.address).or_insert(new);
+                let known = self.own_suspicions.entry(id.address).or_insert(new);
                 if (known.0, known.1) != (new.0, new.1) {
                     *known = new;
                 }
             }
-            self.timers.push(Reverse(Due { at, number: self.next_number, timer }));
+            self.timers.push(Reverse(PendingTimer { at, number: self.next_number, timer }));
         }
         self.drop_idle_timers();
-        for (to, data) in asked.send {
+        for (to, data) in runtime.send {
             let mut bytes = Vec::with_capacity(ENVELOPE + data.len());
             bytes.extend_from_slice(&MAGIC);
             bytes.extend_from_slice(&self.fleet.to_be_bytes());
@@ -504,48 +506,48 @@
             self.counts.sent_bytes += bytes.len() as u64;
             out.send.push((to, bytes));
         }
-        if let Some((to, number)) = asked.pinged {
+        if let Some((to, number)) = runtime.pinged {
             self.probe = Some((to, number, now));
         }
-        if let (Some(acked), Some((to, number, sent))) = (asked.acked, self.probe) {
+        if let (Some(acked), Some((to, number, sent))) = (runtime.acked, self.probe) {
             if acked == (to, number) {
                 self.answered.insert(to, sent);
             }
         }
-        if asked.rejoined.is_some() {
+        if runtime.rejoined.is_some() {
             self.counts.rejoined += 1;
-            // All it knew went with its old identity.
+            // Its state was dropped with the old identity.
             self.seeds_at = now;
         }
-        // Whoever has to refute suspicions may be slow itself.
-        if let Some(refutations) = asked.refuted.filter(|now| *now > self.refutations) {
+        // A member that has to refute suspicions may be slow itself.
+        if let Some(refutations) = runtime.refuted.filter(|now| *now > self.refutations) {
             self.refutations = refutations;
             self.score = (self.score + 1).min(MAX_SCORE);
         }
-        if asked.rejoined.is_some() {
+        if runtime.rejoined.is_some() {
             self.refutations = 0;
         }
         let own = self.id().address;
-        self.look.extend(asked.told);
-        // Suspicions of others come without a word of foca's: the members are looked at now and then in any case.
-        // Before the states: who says that it leaves, in the datagram that tells that it is gone, has left.
-        let came = std::mem::take(&mut self.notes.lock().came);
-        for signed in came.iter().filter(|s| s.id.address != own) {
-            self.view.update_metadata(signed);
+        self.to_check.extend(runtime.changed_members);
+        // foca does not notify of suspicions by other members, so all members are also compared at intervals.
+        // Metadata comes before the states: a member whose leave is announced in the datagram that reports it down left.
+        let received = std::mem::take(&mut self.inbox.lock().received);
+        for update in received.iter().filter(|s| s.id.address != own) {
+            self.view.update_metadata(update);
         }
-        if !came.is_empty() {
-            self.shorten();
+        if !received.is_empty() {
+            self.shorten_suspicions();
         }
-        let soon = self.foca.num_members() <= SMALL && (asked.changed || self.suspects);
+        let soon = self.foca.num_members() <= SMALL_FLEET && (runtime.changed || self.has_suspects);
         if soon || now >= self.scan_at {
             self.scan_at = now + self.options.period / 4;
-            self.suspects = false;
-            // Who was alive and of whom foca said nothing still is: at 1,000 members, to look each of them
-            // up four
-            // times a period was most of all work.
-            let look = std::mem::take(&mut self.look);
+            self.has_suspects = false;
+            // A member that was alive and for which foca reported nothing is still alive. With 1,000 members, looking
+            // up each of them four times a period would be most of the work.
+            let to_check = std::mem::take(&mut self.to_check);
             let may_differ = |m: &&foca::Member<Id>| {
-                m.state() != foca::State::Alive || (!look.is_empty() && look.contains(&m.id().address))
+                m.state() != foca::State::Alive
+                    || (!to_check.is_empty() && to_check.contains(&m.id().address))
             };
             let members = self.foca.iter_membership_state().filter(may_differ);
             for member in members.filter(|m| m.id().address != own) {
@@ -555,16 +557,16 @@
                     foca::State::Down => State::Down,
                 };
                 if state == State::Suspect {
-                    self.suspects = true;
-                    self.look.insert(member.id().address);
+                    self.has_suspects = true;
+                    self.to_check.insert(member.id().address);
                 }
                 if let Some(change) = self.view.update_state(now, member.id(), state) {
-                    let mut notes = self.notes.lock();
-                    let known = notes.known.entry(change.id.address).or_default();
+                    let mut inbox = self.inbox.lock();
+                    let known = inbox.known.entry(change.id.address).or_default();
                     if known.0 != change.id.incarnation {
                         *known = (change.id.incarnation, 0);
                     }
-                    drop(notes);
+                    drop(inbox);
                     out.changes.push(change);
                 }
             }
@@ -572,28 +574,25 @@
         let transmissions = transmissions(self.foca.num_members() + 1);
         if transmissions > self.config.max_transmissions {
             self.config.max_transmissions = transmissions;
-            // Only periods may not change.
+            // foca only rejects changed periods.
             let _ = self.foca.set_config(self.config.clone());
         }
-        if asked.joined || asked.rejoined.is_some() {
-            // Whoever came knows no notes yet.
-            self.tell_at = self.tell_at.min(now + self.options.period);
+        if runtime.joined || runtime.rejoined.is_some() {
+            // A new member has no metadata of others yet.
+            self.publish_at = self.publish_at.min(now + self.options.period);
         }
     }
 }
 
-/// How often each member passes a piece of news on. With `t` times each, a member misses it with a chance of
-/// about
-/// e^-t: of the pairs of 1,000 members 12 leave 6 to miss each other's word, which the next round tells
-/// again only
-/// after 1,010 periods.
+/// How often each member passes an update on. With `t` times, a member misses it with a probability of about e^-t: with
+/// 12, 6 pairs of 1,000 members miss each other's metadata, which is published again only after 1,010 periods.
 fn transmissions(members: usize) -> NonZeroU8 {
     let enough = (2.0 * (members as f64).ln() + 4.0).ceil();
-    NonZeroU8::new((enough as u8).max(TRANSMISSIONS)).unwrap_or(NonZeroU8::MIN)
+    NonZeroU8::new((enough as u8).max(MIN_TRANSMISSIONS)).unwrap_or(NonZeroU8::MIN)
 }
 
-/// A fleet's number on the wire (FNV-1a over its name).
-fn number_of(fleet: &str) -> u32 {
+/// Hash of the fleet's name on the wire (FNV-1a).
+fn fleet_hash(fleet: &str) -> u32 {
     fleet.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -1,4 +1,5 @@
-//! What a datagram goes through before foca takes it, and what else it tells.
+//! Handling of a received datagram: checks of the envelope and the sender before foca processes it, and members that are
+//! known only from its metadata.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -6,16 +7,16 @@
 
 use foca::Timer;
 
-use super::asked::Asked;
-use super::notes::sound;
+use super::metadata::is_valid;
+use super::runtime::StepRuntime;
 use super::view::Id;
-use super::{sift, Membership, MAGIC, MAX_MEMBERS};
+use super::{update_filter, Membership, MAGIC, MAX_MEMBERS};
 
-/// Timers kept at most beside two of each member, those of the protocol itself among them.
+/// Most timers kept besides two for each member; includes the protocol's own timers.
 const MAX_OTHER_TIMERS: usize = 64;
 
 impl Membership {
-    pub(super) fn take(&mut self, bytes: &[u8], asked: &mut Asked) {
+    pub(super) fn receive(&mut self, bytes: &[u8], runtime: &mut StepRuntime) {
         let Some(rest) = bytes.strip_prefix(&MAGIC) else {
             self.counts.foreign += 1;
             return;
@@ -28,64 +29,64 @@
             self.counts.other_fleet += 1;
             return;
         }
-        // Foca's header begins with the sender.
+        // foca's header begins with the sender.
         let Ok((src, _)) = postcard::take_from_bytes::<Id>(data) else {
             self.counts.malformed += 1;
             return;
         };
-        if !sound(&src) {
+        if !is_valid(&src) {
             self.counts.malformed += 1;
             return;
         }
-        let stranger = self.view.by_address(&src.address).is_none();
+        let unknown = self.view.by_address(&src.address).is_none();
         let room = MAX_MEMBERS.saturating_sub(self.foca.iter_membership_state().len());
-        if stranger && room == 0 {
+        if unknown && room == 0 {
             self.counts.no_room += 1;
             return;
         }
         let own = self.id().address;
         let known = |address: &SocketAddrV4| *address == own || self.view.by_address(address).is_some();
-        let sifted = sift::sift(data, room - usize::from(stranger), known);
-        self.counts.no_room_told += sifted.no_room;
-        let handled = self.foca.handle_data(sifted.data.as_ref(), &mut *asked);
-        self.counts.unread += std::mem::take(&mut self.notes.lock().unread);
+        let filtered = update_filter::filter_updates(data, room - usize::from(unknown), known);
+        self.counts.no_room_told += filtered.no_room;
+        let handled = self.foca.handle_data(filtered.data.as_ref(), &mut *runtime);
+        self.counts.unread += std::mem::take(&mut self.inbox.lock().unread);
         match handled {
             Ok(()) => {
                 self.counts.taken += 1;
                 self.counts.taken_bytes += bytes.len() as u64;
-                // What is not for this life says nothing of its sender, who may be anybody.
-                if asked.received {
-                    self.heard.insert(src.address, asked.now);
+                // A datagram for another incarnation proves nothing about its sender, which may be forged.
+                if runtime.received {
+                    self.last_received.insert(src.address, runtime.now);
                 }
             }
             Err(foca::Error::DataFromOurselves) => self.counts.own += 1,
             Err(_) => self.counts.malformed += 1,
         }
-        self.meet(asked);
+        self.add_unknown_members(runtime);
     }
 
-    /// Each life that went down leaves a timer by which it is forgotten. Those of lives that have a
-    /// successor forget
-    /// nobody, and a peer can tell of any number of lives at one address.
+    /// Removes timers that have no effect once there are too many. Each incarnation that went down leaves a timer that
+    /// removes it. The timers of incarnations that were replaced remove nothing, and a peer can report any number of
+    /// incarnations at one address.
     pub(super) fn drop_idle_timers(&mut self) {
         if self.timers.len() <= 2 * MAX_MEMBERS + MAX_OTHER_TIMERS {
             return;
         }
         let known: HashSet<_> = self.foca.iter_membership_state().map(foca::Member::id).collect();
-        let idle = |timer: &Timer<Id>| matches!(timer, Timer::RemoveDown(id) if !known.contains(id));
-        self.timers.retain(|Reverse(due)| !idle(&due.timer));
+        let has_no_effect = |timer: &Timer<Id>| matches!(timer, Timer::RemoveDown(id) if !known.contains(id));
+        self.timers.retain(|Reverse(due)| !has_no_effect(&due.timer));
     }
 
-    /// Takes up lives that only their notes told of.
-    fn meet(&mut self, asked: &mut Asked) {
-        let strangers = std::mem::take(&mut self.notes.lock().strangers);
+    /// Adds members that are known only from their metadata.
+    fn add_unknown_members(&mut self, runtime: &mut StepRuntime) {
+        let unknown_members = std::mem::take(&mut self.inbox.lock().unknown_members);
         let own = self.id().address;
-        for id in strangers.into_iter().filter(|id| id.address != own) {
-            let stranger = self.view.by_address(&id.address).is_none();
-            if stranger && self.foca.iter_membership_state().len() >= MAX_MEMBERS {
+        for id in unknown_members.into_iter().filter(|id| id.address != own) {
+            let unknown = self.view.by_address(&id.address).is_none();
+            if unknown && self.foca.iter_membership_state().len() >= MAX_MEMBERS {
                 self.counts.no_room_told += 1;
             } else {
-                let _ = self.foca.apply_many([foca::Member::alive(id)].into_iter(), true, &mut *asked);
+                let _ = self.foca.apply_many([foca::Member::alive(id)].into_iter(), true, &mut *runtime);
             }
         }
     }
--- a/src/fleet/membership/asked.rs
+++ b/src/fleet/membership/runtime.rs
@@ -1,4 +1,5 @@
-//! What the protocol asks for: timers in the order of their time, and datagrams, with the local health that stretches them.
+//! The [`Runtime`] that foca calls during one step: it collects datagrams, timers and notifications, and lengthens timers
+//! by the local health score.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -8,65 +9,66 @@
 use super::view::Id;
 use super::SUSPICION_PERIODS;
 
-pub(super) struct Due {
+/// A timer that foca has set, ordered by its time.
+pub(super) struct PendingTimer {
     pub(super) at: Duration,
     pub(super) number: u64,
     pub(super) timer: Timer<Id>,
 }
 
-impl PartialEq for Due {
+impl PartialEq for PendingTimer {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.number) == (other.at, other.number)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for PendingTimer {}
+impl PartialOrd for PendingTimer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for PendingTimer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
 
-/// What foca asks for while it runs, with the time and the local health that stretch it.
-pub(super) struct Asked {
+/// Collects what foca requests during one step.
+pub(super) struct StepRuntime {
     pub(super) now: Duration,
     pub(super) score: u32,
     pub(super) up: usize,
     pub(super) period: Duration,
     pub(super) send: Vec<(SocketAddrV4, Vec<u8>)>,
     pub(super) timers: Vec<(Duration, Timer<Id>)>,
-    /// Whom the probe that failed was of.
+    /// The member whose probe failed.
     pub(super) probe_failed: Option<Id>,
-    /// Somebody's state may have changed.
+    /// The state of some member may have changed.
     pub(super) changed: bool,
-    /// Whose state foca said that it changed; it is silent of suspicions and of their refutations.
-    pub(super) told: Vec<SocketAddrV4>,
-    /// Its header was taken, and is from a member.
+    /// Members for which foca reported a change. It does not report suspicions and their refutations.
+    pub(super) changed_members: Vec<SocketAddrV4>,
+    /// foca accepted the header of the datagram, which comes from a member.
     pub(super) received: bool,
     pub(super) joined: bool,
     pub(super) rejoined: Option<Id>,
     pub(super) refuted: Option<u16>,
-    /// Whom a probe went to without a detour.
+    /// The member to which a direct probe was sent.
     pub(super) pinged: Option<(SocketAddrV4, ProbeNumber)>,
-    /// Who answered one without a detour.
+    /// The member that answered a direct probe.
     pub(super) acked: Option<(SocketAddrV4, ProbeNumber)>,
 }
 
-impl Runtime<Id> for Asked {
-    fn notify(&mut self, told: Notification<'_, Id>) {
-        match told {
+impl Runtime<Id> for StepRuntime {
+    fn notify(&mut self, notification: Notification<'_, Id>) {
+        match notification {
             Notification::ProbeFailed(_, id) => self.probe_failed = Some(id.clone()),
             Notification::MemberUp(id) => {
                 (self.joined, self.changed) = (true, true);
-                self.told.push(id.address);
+                self.changed_members.push(id.address);
             }
             Notification::MemberDown(id) | Notification::Rename(_, id) => {
                 self.changed = true;
-                self.told.push(id.address);
+                self.changed_members.push(id.address);
             }
             Notification::Rejoin(id) => self.rejoined = Some(id.clone()),
             Notification::DataSent(header) => {
@@ -91,9 +93,9 @@
 
     fn submit_after(&mut self, timer: Timer<Id>, after: Duration) {
         let after = match &timer {
-            // Lifeguard's LHA-Probe: who is slow itself probes less often and waits for longer.
+            // Lifeguard's LHA-Probe: a member that is slow itself probes less often and waits longer.
             Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => after * (self.score + 1),
-            // And it gives those whom it suspects more time, as its own ears may be at fault.
+            // It also gives suspected members more time, because the fault may be on its own side.
             Timer::ChangeSuspectToDown { .. } => {
                 self.changed = true;
                 let spread = (self.up.max(10) as f64).log10();
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,4 +1,4 @@
-//! The protocol's part of one or two members, datagram by datagram.
+//! Tests of one or two members, datagram by datagram.
 
 use super::*;
 
@@ -16,7 +16,7 @@
     Membership::new(options, Metadata::default())
 }
 
-/// Two members that know each other, at the time returned.
+/// Returns two members that know each other, and the current time.
 fn pair() -> (Membership, Membership, Duration) {
     let (mut a, mut b) = (member(1, &[]), member(2, &[1]));
     let mut now = MS;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_no_datagram_of_this_fleet_is_dropped_and_counted_by_its_reason() {
+fn datagrams_that_are_not_of_this_fleet_are_dropped_and_counted_by_reason() {
     let (mut a, mut b, now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
     let before = a.counts();
@@ -62,15 +62,15 @@
     assert_eq!(dropped, (3, 1, 3));
     a.step(now + MS, Input::Datagram(&good));
     assert_eq!(a.counts().taken, before.taken + 1);
-    // Its own word that comes back is not one of another member.
+    // A member's own datagram that is sent back does not count as one of another member.
     let own = a.step(now + MS * 500, Input::Tick).send.remove(0).1;
     a.step(now + MS * 501, Input::Datagram(&own));
     assert_eq!(a.counts().own, 1);
 }
 
-// A datagram of a later version: a note of a kind that is not known here, then one with a field more.
+// A datagram of a later version: metadata of an unknown kind, then metadata with an additional field.
 #[test]
-fn what_a_later_version_notes_is_taken_as_far_as_it_is_known_and_passed_on_whole() {
+fn metadata_of_a_later_version_is_read_as_far_as_known_and_passed_on_unchanged() {
     let (mut a, mut b, mut now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
     let metadata = Metadata { version: "10".into(), draining: true, ..Metadata::default() };
@@ -91,7 +91,7 @@
     );
     let seen = a.view().by_name("m2").unwrap().metadata();
     assert!(seen.draining && seen.version == "10", "{seen:?}");
-    // What is passed on has the field still, for who knows it.
+    // The metadata is passed on with the additional field, for members that know it.
     let mut passed = false;
     for _ in 0..100 {
         now += MS * 10;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn any_bytes_behind_a_good_envelope_leave_a_member_whole() {
+fn invalid_bytes_after_a_valid_envelope_are_rejected() {
     let (mut a, mut b, now) = pair();
     let good = b.step(now + MS * 500, Input::Tick).send.remove(0).1;
     let mut draw = 7u64;
@@ -123,9 +123,9 @@
 }
 
 #[test]
-fn a_process_that_was_stopped_takes_nobody_for_dead() {
+fn a_process_that_was_stopped_declares_no_member_down() {
     let (mut a, mut b, mut now) = pair();
-    // Ten seconds in which `a` does nothing; `b` suspects it and sees it down.
+    // `a` does nothing for ten seconds; `b` suspects it and declares it down.
     let stopped = now;
     while now < stopped + MS * 10_000 {
         now += MS * 10;
@@ -135,18 +135,18 @@
     let out = a.step(now, Input::Tick);
     assert!(out.changes.is_empty(), "{:?}", out.changes);
     assert_eq!(a.counts().stopped, 1);
-    assert!(a.score() >= MAX_SCORE - 1, "it holds itself for slow: {}", a.score());
+    assert!(a.score() >= MAX_SCORE - 1, "its local health score is not raised: {}", a.score());
     for _ in 0..400 {
         now += MS * 10;
         exchange(&mut a, &mut b, now);
     }
     assert_eq!(b.view().by_name("m1").unwrap().state, State::Alive);
-    assert!(b.view().by_name("m1").unwrap().id.incarnation > 10, "it came back as a new life");
+    assert!(b.view().by_name("m1").unwrap().id.incarnation > 10, "it rejoined under a new incarnation");
     assert_eq!(a.view().by_name("m2").unwrap().state, State::Alive);
 }
 
 #[test]
-fn a_note_reaches_the_other_and_a_leave_is_no_death() {
+fn metadata_reaches_the_other_member_and_a_leave_is_not_a_failure() {
     let (mut a, mut b, mut now) = pair();
     a.step(now, Input::Metadata(Metadata { draining: true, version: "9".into(), ..Metadata::default() }));
     for _ in 0..50 {
@@ -160,39 +160,44 @@
     }
     b.step(now + MS * 100, Input::Tick);
     assert_eq!(b.view().by_name("m1").unwrap().state, State::Left);
-    assert!(a.step(now + MS * 500, Input::Tick).send.is_empty(), "who left is silent");
+    assert!(a.step(now + MS * 500, Input::Tick).send.is_empty(), "a member that left sends nothing");
 }
 
 #[test]
-fn who_answered_a_probe_counts_from_when_it_was_sent_and_who_only_speaks_does_not() {
+fn probe_answers_count_from_the_time_of_sending_and_other_datagrams_do_not_count() {
     let (mut a, mut b, mut now) = pair();
     let window = MS * 300;
     assert_eq!(a.probe_answers(now - window).map(|(name, _)| name).collect::<Vec<_>>(), ["m2"]);
     let sent = a.probe_answers(Duration::ZERO).next().map(|(_, sent)| sent).unwrap();
     assert!(sent > now - MS * 250 && sent <= now, "{sent:?} at {now:?}");
-    // From here on nothing of `a` comes through: it hears `b`, which is no answer to anything.
-    let (mut heard, until) = (0, now + window * 2);
+    // From here on no datagram of `a` arrives. It still receives those of `b`, which are not answers.
+    let (mut received, until) = (0, now + window * 2);
     while now < until {
         now += MS * 10;
         a.step(now, Input::Tick);
         for (_, bytes) in b.step(now, Input::Tick).send {
-            heard += 1;
+            received += 1;
             a.step(now, Input::Datagram(&bytes));
         }
     }
-    assert!(heard > 5, "{heard}");
+    assert!(received > 5, "{received}");
     assert_eq!(a.probe_answers(now - window).count(), 0);
     assert_eq!(a.probe_answers(Duration::ZERO).next().map(|(_, last)| last), Some(sent));
 }
 
-/// A datagram of `from`, which tells `to` of members and passes a note on.
-fn told(from: u16, to: &Id, of: &[foca::Member<Id>], metadata: Option<MetadataUpdate>) -> Vec<u8> {
+/// A datagram from `from` to `to` with updates about members and optional metadata.
+fn gossip_datagram(
+    from: u16,
+    to: &Id,
+    members: &[foca::Member<Id>],
+    metadata: Option<MetadataUpdate>,
+) -> Vec<u8> {
     let message = foca::Message::Gossip;
-    let header = foca::Header { src: life(from, 1), src_incarnation: 0, dst: to.clone(), message };
-    let mut bytes = [&MAGIC[..], &number_of("f").to_be_bytes()].concat();
+    let header = foca::Header { src: id_of(from, 1), src_incarnation: 0, dst: to.clone(), message };
+    let mut bytes = [&MAGIC[..], &fleet_hash("f").to_be_bytes()].concat();
     bytes.extend(postcard::to_allocvec(&header).unwrap());
-    bytes.extend((of.len() as u16).to_be_bytes());
-    of.iter().for_each(|member| bytes.extend(postcard::to_allocvec(member).unwrap()));
+    bytes.extend((members.len() as u16).to_be_bytes());
+    members.iter().for_each(|member| bytes.extend(postcard::to_allocvec(member).unwrap()));
     if let Some(metadata) = metadata {
         let metadata = postcard::to_allocvec(&metadata).unwrap();
         bytes.extend((metadata.len() as u16).to_be_bytes());
@@ -201,66 +206,66 @@
     bytes
 }
 
-fn life(port: u16, incarnation: u64) -> Id {
+fn id_of(port: u16, incarnation: u64) -> Id {
     let address = SocketAddrV4::new([127, 0, 0, 1].into(), port);
     Id { address, incarnation, name: format!("m{port}") }
 }
 
 #[test]
-fn members_that_a_peer_tells_of_are_bounded_and_counted_and_those_known_go_on() {
+fn members_reported_by_a_peer_are_limited_and_counted_and_known_members_are_still_updated() {
     let mut a = member(1, &[]);
     let own = a.id().clone();
     a.step(MS, Input::Tick);
-    let all: Vec<_> = (100..5_100).map(|port| foca::Member::alive(life(port, 1))).collect();
+    let all: Vec<_> = (100..5_100).map(|port| foca::Member::alive(id_of(port, 1))).collect();
     for some in all.chunks(50) {
-        a.step(MS * 2, Input::Datagram(&told(2, &own, some, None)));
+        a.step(MS * 2, Input::Datagram(&gossip_datagram(2, &own, some, None)));
     }
     a.step(MS * 40, Input::Tick);
-    // The peer itself is one of them.
+    // The peer itself is one of the known members.
     assert_eq!(a.view().len(), MAX_MEMBERS);
     assert_eq!(a.counts().no_room_told, 5_001 - MAX_MEMBERS as u64);
     assert!(a.view().by_name("m5099").is_none());
-    // Neither the one more that speaks itself nor the one that a note tells of is taken.
-    a.step(MS * 41, Input::Datagram(&told(6_000, &own, &[], None)));
-    let metadata = MetadataUpdate { id: life(6_001, 1), number: 1, metadata: Metadata::default() };
-    a.step(MS * 41, Input::Datagram(&told(2, &own, &[], Some(metadata))));
+    // Neither a further sender nor a member known only from its metadata is added.
+    a.step(MS * 41, Input::Datagram(&gossip_datagram(6_000, &own, &[], None)));
+    let metadata = MetadataUpdate { id: id_of(6_001, 1), number: 1, metadata: Metadata::default() };
+    a.step(MS * 41, Input::Datagram(&gossip_datagram(2, &own, &[], Some(metadata))));
     assert_eq!((a.counts().no_room, a.counts().no_room_told), (1, 5_002 - MAX_MEMBERS as u64));
-    // News of one that is known is taken, beside one of a stranger that is not.
-    let news = [foca::Member::alive(life(6_002, 1)), foca::Member::down(life(100, 1))];
-    a.step(MS * 42, Input::Datagram(&told(2, &own, &news, None)));
+    // An update about a known member is applied, although the one about an unknown member beside it is dropped.
+    let news = [foca::Member::alive(id_of(6_002, 1)), foca::Member::down(id_of(100, 1))];
+    a.step(MS * 42, Input::Datagram(&gossip_datagram(2, &own, &news, None)));
     a.step(MS * 70, Input::Tick);
     assert_eq!(a.view().by_name("m100").unwrap().state, State::Down);
     assert_eq!((a.view().len(), a.counts().malformed), (MAX_MEMBERS, 0));
 }
 
 #[test]
-fn lives_without_number_at_one_address_and_words_to_another_life_leave_nothing_behind() {
+fn many_incarnations_at_one_address_and_datagrams_to_another_incarnation_use_no_memory() {
     let mut a = member(1, &[]);
     let own = a.id().clone();
     a.step(MS, Input::Tick);
-    let all: Vec<_> = (1..=20_000).map(|n| foca::Member::down(life(9, n))).collect();
+    let all: Vec<_> = (1..=20_000).map(|n| foca::Member::down(id_of(9, n))).collect();
     for some in all.chunks(50) {
-        a.step(MS * 2, Input::Datagram(&told(2, &own, some, None)));
+        a.step(MS * 2, Input::Datagram(&gossip_datagram(2, &own, some, None)));
     }
     assert!(a.timers.len() < 3 * MAX_MEMBERS, "{}", a.timers.len());
     for port in 100..200 {
-        a.step(MS * 3, Input::Datagram(&told(port, &life(77, 1), &[], None)));
+        a.step(MS * 3, Input::Datagram(&gossip_datagram(port, &id_of(77, 1), &[], None)));
     }
-    assert_eq!(a.heard.len(), 1, "only the peer spoke to this life");
+    assert_eq!(a.last_received.len(), 1, "only the peer sent to this incarnation");
 }
 
 #[test]
-fn a_note_makes_its_member_known_that_nobody_told_of_unless_it_left() {
+fn metadata_alone_makes_its_member_known_unless_it_left() {
     let mut a = member(1, &[]);
     let own = a.id().clone();
     a.step(MS, Input::Tick);
     for (port, left) in [(8, false), (9, true)] {
         let metadata = MetadataUpdate {
-            id: life(port, 1),
+            id: id_of(port, 1),
             number: 1,
             metadata: Metadata { left, ..Metadata::default() },
         };
-        a.step(MS * 2, Input::Datagram(&told(2, &own, &[], Some(metadata))));
+        a.step(MS * 2, Input::Datagram(&gossip_datagram(2, &own, &[], Some(metadata))));
     }
     a.step(MS * 40, Input::Tick);
     assert_eq!(a.view().by_name("m8").unwrap().state, State::Alive);
--- a/src/fleet/membership/sift.rs
+++ b/src/fleet/membership/update_filter.rs
@@ -1,4 +1,5 @@
-//! What other members tell of, before foca takes it: foca keeps any number of members under any name.
+//! Filters the membership updates in a datagram before foca processes them, because foca itself keeps any number of
+//! members.
 
 use std::borrow::Cow;
 use std::net::SocketAddrV4;
@@ -7,22 +8,29 @@
 
 use super::view::Id;
 
-/// A datagram's content (foca's header, updates, notes) without the updates that are not taken.
-pub(super) struct Sifted<'a> {
+/// The content of a datagram (foca's header, updates, metadata) without the dropped updates.
+pub(super) struct FilteredUpdates<'a> {
     pub(super) data: Cow<'a, [u8]>,
-    /// Updates of members that are not known and for whom there is no room.
+    /// How many updates about unknown members were dropped because the member limit is reached.
     pub(super) no_room: u64,
 }
 
-/// Leaves out updates of members for whom there is no `room`, beside those that are `known`. What cannot be
-/// read stays
-/// as it is: foca refuses the whole of it.
-pub(super) fn sift(data: &[u8], room: usize, known: impl Fn(&SocketAddrV4) -> bool) -> Sifted<'_> {
-    sifted(data, room, known).unwrap_or(Sifted { data: Cow::Borrowed(data), no_room: 0 })
+/// Drops updates about members that are not `known` once `room` new members were accepted. Content that cannot be decoded
+/// stays unchanged: foca rejects all of it.
+pub(super) fn filter_updates(
+    data: &[u8],
+    room: usize,
+    known: impl Fn(&SocketAddrV4) -> bool,
+) -> FilteredUpdates<'_> {
+    filtered(data, room, known).unwrap_or(FilteredUpdates { data: Cow::Borrowed(data), no_room: 0 })
 }
 
-/// Nothing if there is nothing to leave out.
-fn sifted(data: &[u8], mut room: usize, known: impl Fn(&SocketAddrV4) -> bool) -> Option<Sifted<'_>> {
+/// Returns `None` if no update needs to be dropped.
+fn filtered(
+    data: &[u8],
+    mut room: usize,
+    known: impl Fn(&SocketAddrV4) -> bool,
+) -> Option<FilteredUpdates<'_>> {
     let (header, rest) = postcard::take_from_bytes::<Header<Id>>(data).ok()?;
     if header.message == Message::Broadcast {
         return None;
@@ -53,5 +61,5 @@
     }
     let count = u16::try_from(kept.len()).ok()?.to_be_bytes();
     let data = [&data[..head], &count[..], &kept.concat(), rest].concat();
-    Some(Sifted { data: Cow::Owned(data), no_room })
+    Some(FilteredUpdates { data: Cow::Owned(data), no_room })
 }
