--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -1,45 +1,46 @@
-//! What a member may do while views differ: decided from when it last heard each named voter both ways over
-//! the record's links, and anybody by the membership, without I/O and without a clock. Deaths have no part in
-//! it: a member that is cut off calls the others dead seconds after they call it. Nothing else in the code
-//! asks how many are up.
+//! The [`Posture`] of a member: how much of the fleet it can reach, and what it is permitted to do. [`Reachability`]
+//! derives it from the last answers of each named voter over the record's links and of any member to the membership's
+//! probes, without I/O and without a clock. Members declared down play no part: a member that is cut off declares the
+//! others down seconds after they declare it down. No other code decides by the number of members that are up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A voter that was not heard both ways for so many protocol periods counts as out of reach.
+/// A voter counts as unreachable if it answered no request sent within this many protocol periods.
 pub const REACHABLE_PERIODS: u32 = 5;
 
-/// How much of the fleet a member is in touch with.
+/// How much of the fleet a member can reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Posture {
-    /// No other member is heard by any way, and it is no majority by itself.
+    /// No other member is reachable, neither over the record's links nor by the membership, and this member alone is no
+    /// majority.
     Alone,
-    /// Others are heard, and no majority of the voters over the record's links.
+    /// Other members are reachable, but no majority of the voters over the record's links.
     Minority,
-    /// A majority of the voters over the record's links, itself included if it votes.
+    /// A majority of the voters is reachable over the record's links, including this member if it is a voter.
     Majority,
-    /// Every voter over the record's links.
+    /// Every voter is reachable over the record's links.
     Whole,
 }
 
-/// What a posture may do.
+/// What a posture permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Answer requests: always, and what it may call is for the route lease to say.
+    /// Answer requests: always permitted. The route lease decides which calls may be made.
     pub serve: bool,
-    /// Take an operator's new table.
+    /// Accept an operator's new route table.
     pub propose: bool,
-    /// Say that a version is prepared here.
+    /// Report that a version is prepared on this member.
     pub prepare: bool,
-    /// Begin an activation, or commit it; an abort needs none of this.
+    /// Begin or commit an activation; an abort needs no permission.
     pub activate: bool,
     /// End an experiment with a winner.
     pub decide: bool,
 }
 
 impl Posture {
-    /// The one table of what each may do. `whole` and `majority` differ in what operators read, not in what is allowed:
-    /// a voter that is gone must not stop the fleet.
+    /// The permissions of each posture. `whole` and `majority` differ only in what operators read, not in what is permitted:
+    /// the loss of a voter must not stop the fleet.
     pub fn permissions(self) -> Permissions {
         let row = |serve, propose, prepare, activate, decide| Permissions {
             serve,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Its name for operators.
+    /// The name of the posture for operators.
     pub const fn name(self) -> &'static str {
         match self {
             Posture::Whole => "whole",
@@ -68,94 +69,105 @@
     }
 }
 
-/// When each other member was last heard both ways.
+/// When each other member last answered, so that both directions are known to have worked.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     own: String,
     voters: Vec<String>,
-    within: Duration,
-    heard: BTreeMap<String, Duration>,
-    /// How long an answer to the membership counts, and who gave one for so long.
-    beside: Duration,
-    members: BTreeMap<String, Duration>,
+    answer_validity: Duration,
+    answered_at: BTreeMap<String, Duration>,
+    /// How long an answer to a membership probe counts, and when the last answered probe to each member was sent.
+    membership_validity: Duration,
+    membership_answered_at: BTreeMap<String, Duration>,
 }
 
 impl Reachability {
-    /// For the member `own`, with the named voters and the membership's protocol period; nobody is heard yet.
+    /// Creates the state of the member `own` with the named voters and the period of their requests. No member is reachable
+    /// yet.
     pub fn new(own: &str, voters: &[String], period: Duration) -> Self {
         let mut voters = voters.to_vec();
         voters.sort();
         voters.dedup();
-        let (heard, members) = Default::default();
-        let within = period * REACHABLE_PERIODS;
-        Self { own: own.into(), voters, within, heard, beside: Duration::ZERO, members }
+        let (answered_at, membership_answered_at) = Default::default();
+        let answer_validity = period * REACHABLE_PERIODS;
+        Self {
+            own: own.into(),
+            voters,
+            answer_validity,
+            answered_at,
+            membership_validity: Duration::ZERO,
+            membership_answered_at,
+        }
     }
 
-    /// Beside a membership of this protocol period: its answers tell `minority` from `alone`, and nothing
-    /// else.
+    /// Adds a membership with this protocol period. Its answers distinguish `minority` from `alone`, and nothing else.
     pub fn with_membership(self, period: Duration) -> Self {
-        Self { beside: period * REACHABLE_PERIODS, ..self }
+        Self { membership_validity: period * REACHABLE_PERIODS, ..self }
     }
 
-    /// `name` answered something that was sent at `sent`: at that moment or later both ways were open. Counting from the
-    /// sending, not from the answer, is what makes a link that works one way only show.
+    /// Records that the member `name` answered a request sent at `sent`: at that moment or later both directions worked.
+    /// Counting from the request, not from the answer, is what detects a link that works in one direction only.
     pub fn answered(&mut self, name: &str, sent: Duration) {
         if name != self.own {
-            let last = self.heard.entry(name.into()).or_insert(sent);
+            let last = self.answered_at.entry(name.into()).or_insert(sent);
             *last = sent.max(*last);
         }
     }
 
-    /// `name`, voter or not, answered a probe of the membership that was sent at `sent`. It is no voter
-    /// heard: leases and the record go over other links, and the membership asks one member a period, so in a
-    /// fleet of more than six its silence for five periods says nothing of a single one.
+    /// Records that the member `name`, voter or not, answered a membership probe sent at `sent`. This does not count as an
+    /// answer of a voter: leases and the record use other links, and the membership probes one member per period, so
+    /// in a fleet of more than six members five periods without an answer mean nothing for a single member.
     pub fn membership_answered(&mut self, name: &str, sent: Duration) {
-        let beside = self.beside;
-        self.members.retain(|_, at| sent < *at + beside);
+        let membership_validity = self.membership_validity;
+        self.membership_answered_at.retain(|_, at| sent < *at + membership_validity);
         if name != self.own {
-            let last = self.members.entry(name.into()).or_insert(sent);
+            let last = self.membership_answered_at.entry(name.into()).or_insert(sent);
             *last = sent.max(*last);
         }
     }
 
-    /// A member is gone for good and no voter: it is not kept.
+    /// Removes a member that is gone for good and is not a voter.
     pub fn forget(&mut self, name: &str) {
-        self.heard.remove(name);
-        self.members.remove(name);
+        self.answered_at.remove(name);
+        self.membership_answered_at.remove(name);
     }
 
-    /// Whom the membership hears at `now`, for operators.
+    /// The members that are reachable by the membership at `now`, for operators.
     pub fn membership_reachable(&self, now: Duration) -> Vec<&str> {
-        let late = self.members.iter().filter(|(_, at)| now < **at + self.beside);
-        late.map(|(name, _)| name.as_str()).collect()
+        let recent =
+            self.membership_answered_at.iter().filter(|(_, at)| now < **at + self.membership_validity);
+        recent.map(|(name, _)| name.as_str()).collect()
     }
 
-    /// The posture at `now`. It leaves `majority` at most [`REACHABLE_PERIODS`] periods after the last answer was asked for.
+    /// The posture at `now`. It leaves `majority` at most [`REACHABLE_PERIODS`] periods after the last request that was
+    /// answered.
     pub fn posture(&self, now: Duration) -> Posture {
-        let fresh = |name: &String| self.heard.get(name).is_some_and(|at| now < *at + self.within);
+        let fresh =
+            |name: &String| self.answered_at.get(name).is_some_and(|at| now < *at + self.answer_validity);
         let reached = self.voters.iter().filter(|v| **v == self.own || fresh(v)).count();
         if reached == self.voters.len() && reached > 0 {
             Posture::Whole
         } else if reached * 2 > self.voters.len() {
             Posture::Majority
-        } else if self.heard.keys().any(fresh) || !self.membership_reachable(now).is_empty() {
+        } else if self.answered_at.keys().any(fresh) || !self.membership_reachable(now).is_empty() {
             Posture::Minority
         } else {
             Posture::Alone
         }
     }
 
-    /// When the posture may change without a word from anybody; nothing if nobody is heard.
+    /// When the posture may next change without a new answer; `None` if no member is reachable.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let record = self.heard.values().map(|at| *at + self.within);
-        let membership = self.members.values().map(|at| *at + self.beside);
+        let record = self.answered_at.values().map(|at| *at + self.answer_validity);
+        let membership = self.membership_answered_at.values().map(|at| *at + self.membership_validity);
         record.chain(membership).filter(|at| *at > now).min()
     }
 
-    /// The voters that are out of reach at `now`, for operators.
+    /// The voters that are unreachable at `now`, for operators.
     pub fn unreachable_voters(&self, now: Duration) -> Vec<&str> {
-        let lost =
-            |v: &&String| **v != self.own && self.heard.get(*v).is_none_or(|at| now >= *at + self.within);
-        self.voters.iter().filter(lost).map(String::as_str).collect()
+        let unreachable = |v: &&String| {
+            **v != self.own && self.answered_at.get(*v).is_none_or(|at| now >= *at + self.answer_validity)
+        };
+        self.voters.iter().filter(unreachable).map(String::as_str).collect()
     }
 }
