--- a/src/fleet/status.rs
+++ b/src/fleet/status.rs
@@ -1,4 +1,5 @@
-//! What a member tells of the fleet: a document for programs, and a table for people. No I/O.
+//! The [`Status`] of the fleet as one member sees it: written as a JSON document for programs, parsed from it, and
+//! formatted as a table for people. There is no I/O in this module.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -17,25 +18,25 @@
 /// The fleet as one member sees it at one moment.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// Who looks, and what it says of itself.
+    /// The member that reports, and its metadata.
     pub own: (Id, Metadata),
-    /// Its local health score; 0 is well.
+    /// Its local health score; 0 is healthy.
     pub score: u32,
-    /// The others: who, what is thought of each, for how long, and what it said.
+    /// The other members: identity, state, time since the state was entered, and metadata.
     pub others: Vec<(Id, State, Duration, Metadata)>,
-    /// Who sees the fleet otherwise, and for how long.
+    /// The members whose views differ, and for how long.
     pub disagreements: Vec<(Disagreement, Duration)>,
-    /// Links that work one way only.
+    /// Links that deliver in one direction only, as (sender, receiver).
     pub one_way: Vec<(SocketAddrV4, SocketAddrV4)>,
-    /// What was counted.
+    /// The membership's counters.
     pub counts: Counts,
 }
 
 impl Status {
-    /// Of a member at `now`.
+    /// Creates the status of `member` at `now`.
     pub fn of(member: &Membership, now: Duration) -> Self {
-        let other = |seen: &super::membership::view::MemberEntry| {
-            (seen.id.clone(), seen.state, now.saturating_sub(seen.since), seen.metadata())
+        let other = |entry: &super::membership::view::MemberEntry| {
+            (entry.id.clone(), entry.state, now.saturating_sub(entry.since), entry.metadata())
         };
         Self {
             own: (member.id().clone(), member.metadata().clone()),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// As the operators' door hands it out.
+    /// The JSON document that the admin endpoint returns.
     pub fn to_json(&self) -> String {
         let mut members = vec![member(&self.own.0, "self", Duration::ZERO, &self.own.1)];
         members.extend(
@@ -73,12 +74,12 @@
             ("one_way", view_differences::one_way(self)),
             ("counts", JsonValue::Object(counts.collect())),
         ]);
-        // Only numbers that are not finite cannot be written, and there are none.
+        // Only non-finite numbers cannot be written, and there are none.
         json.stringify().unwrap_or_default()
     }
 }
 
-/// What the membership counted, by name.
+/// The membership's counters by name.
 pub fn named_counts(c: &Counts) -> [(&'static str, u64); 14] {
     [
         ("taken", c.taken),
@@ -115,73 +116,77 @@
     ])
 }
 
-/// One row of a status that was read.
+/// One member of a parsed status document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRow {
     /// The member's name.
     pub name: String,
-    /// `self`, or what is thought of it.
+    /// `self` for the reporting member, else the member's state.
     pub state: String,
-    /// Where it is reached.
+    /// The member's address.
     pub address: String,
-    /// Which life it is.
+    /// The member's incarnation number.
     pub incarnation: u64,
-    /// For how long it has been in this state.
+    /// How long it has been in this state, in milliseconds.
     pub since_ms: u64,
-    /// The version of its program; empty before its first note came.
+    /// The version of its program; empty before its first metadata is received.
     pub version: String,
-    /// It drains.
+    /// Whether it drains.
     pub draining: bool,
 }
 
-/// Why what a door handed out is no status.
+/// Why a document from an admin endpoint is not a status document.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum StatusError {
-    /// It cannot be read at all.
-    #[error("no document in JSON: {error}")]
-    #[diagnostic(help("check that --admin names the operators' door of a matcher"))]
+    /// It is not valid JSON.
+    #[error("the document is not valid JSON: {error}")]
+    #[diagnostic(help("check that --admin names the admin endpoint of a matcher"))]
     Json {
-        /// What the reader says.
+        /// The error of the JSON parser.
         error: JsonError,
     },
-    /// A part of it is missing, or is not what it should be.
-    #[error("{place}: is no {kind}")]
-    #[diagnostic(help("this matcher may run another version of the program: ask it with that one"))]
+    /// A part of it is missing or has the wrong type.
+    #[error("{place}: expected {kind}")]
+    #[diagnostic(help(
+        "this matcher may run another version of the program: use that version's command line"
+    ))]
     Shape {
-        /// Where.
+        /// The part of the document.
         place: String,
-        /// What should be there.
+        /// The expected type.
         kind: &'static str,
     },
 }
 
 type Fields = HashMap<String, JsonValue>;
 
-fn shape(place: impl Into<String>, kind: &'static str) -> StatusError {
+fn shape_error(place: impl Into<String>, kind: &'static str) -> StatusError {
     StatusError::Shape { place: place.into(), kind }
 }
 
-fn top(json: &str) -> Result<Fields, StatusError> {
+fn parse_object(json: &str) -> Result<Fields, StatusError> {
     let json = crate::json::parse(json).map_err(|error| StatusError::Json { error })?;
-    json.get::<Fields>().cloned().ok_or_else(|| shape("the answer", "object"))
+    json.get::<Fields>().cloned().ok_or_else(|| shape_error("the answer", "object"))
 }
 
-/// Reads the members out of the door's document.
+/// Parses the members of a status document.
 ///
 /// # Errors
-/// [`StatusError`] where it is none, naming the place.
+/// [`StatusError`] if the document is invalid, with the invalid part.
 pub fn parse_members(json: &str) -> Result<Vec<MemberRow>, StatusError> {
-    let top = top(json)?;
-    let Some(JsonValue::Array(members)) = top.get("members") else { return Err(shape("members", "list")) };
+    let document = parse_object(json)?;
+    let Some(JsonValue::Array(members)) = document.get("members") else {
+        return Err(shape_error("members", "list"));
+    };
     let row = |(at, member): (usize, &JsonValue)| {
-        let m: &Fields = member.get().ok_or_else(|| shape(format!("members[{at}]"), "object"))?;
+        let m: &Fields = member.get().ok_or_else(|| shape_error(format!("members[{at}]"), "object"))?;
         let text = |key: &str| match m.get(key) {
             Some(JsonValue::String(text)) => Ok(text.clone()),
-            _ => Err(shape(format!("members[{at}].{key}"), "text")),
+            _ => Err(shape_error(format!("members[{at}].{key}"), "text")),
         };
         let number = |key: &str| match m.get(key) {
             Some(JsonValue::Number(n)) if *n >= 0.0 => Ok(*n as u64),
-            _ => Err(shape(format!("members[{at}].{key}"), "number")),
+            _ => Err(shape_error(format!("members[{at}].{key}"), "number")),
         };
         Ok(MemberRow {
             name: text("name")?,
@@ -196,13 +201,15 @@
     members.iter().enumerate().map(row).collect()
 }
 
-/// The counts of the door's document, as `name=number`, by name.
+/// Formats the counters of a status document as `name=number`, sorted by name.
 ///
 /// # Errors
-/// [`StatusError`] where there are none.
+/// [`StatusError`] if there are none.
 pub fn format_counts(json: &str) -> Result<String, StatusError> {
-    let top = top(json)?;
-    let Some(JsonValue::Object(counts)) = top.get("counts") else { return Err(shape("counts", "object")) };
+    let document = parse_object(json)?;
+    let Some(JsonValue::Object(counts)) = document.get("counts") else {
+        return Err(shape_error("counts", "object"));
+    };
     let mut all: Vec<_> = counts
         .iter()
         .filter_map(|(name, n)| n.get::<f64>().map(|n| format!("{name}={}", *n as u64)))
@@ -211,7 +218,7 @@
     Ok(all.join(" "))
 }
 
-/// A table for people.
+/// Formats the members as a table for people.
 pub fn format_table(rows: &[MemberRow]) -> String {
     let mut out = format!(
         "{:<12} {:<8} {:<22} {:>14}  {:<8} {:<8} incarnation\n",
@@ -234,7 +241,7 @@
     use super::*;
 
     #[test]
-    fn what_the_door_says_reads_back() {
+    fn status_documents_round_trip() {
         let id =
             Id { address: "127.0.0.1:7".parse().unwrap(), incarnation: 1_700_000_000_123, name: "m1".into() };
         let metadata = Metadata { version: "1.0".into(), draining: true, ..Metadata::default() };
@@ -262,7 +269,7 @@
     }
 
     #[test]
-    fn what_is_no_status_is_an_error_that_names_it() {
+    fn errors_name_the_invalid_part_of_a_document() {
         assert!(parse_members("{}").unwrap_err().to_string().contains("members"));
         assert!(parse_members(r#"{"members":[{"name":"x"}]}"#)
             .unwrap_err()
--- a/src/fleet/view_differences.rs
+++ b/src/fleet/view_differences.rs
@@ -1,4 +1,5 @@
-//! How the members' views differ, as the operators' door tells it and as people read it. No I/O.
+//! Differences between the views of members, as JSON for the admin endpoint and as lines for people. There is no I/O in
+//! this module.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -12,14 +13,15 @@
     JsonValue::String(text.to_string())
 }
 
-/// A member's name where it is known, else its address.
+/// The name of a member, or its address if the name is not known.
 fn name(status: &Status, address: SocketAddrV4) -> JsonValue {
     let known = status.others.iter().map(|(id, ..)| id).chain([&status.own.0]);
     let known = known.into_iter().find(|id| id.address == address);
     known.map_or_else(|| text(address), |id| text(&id.name))
 }
 
-/// Who disagrees: `with`, `for_ms`, and `about`: `member`, what it `thinks` and what is thought `here`.
+/// The members that disagree: `with`, `for_ms`, and `about`, a list of `member`, its state in the other view (`thinks`)
+/// and in the own view (`here`).
 pub(super) fn disagreements(status: &Status) -> JsonValue {
     let state = |state: Option<State>| state.map_or_else(|| text("unknown"), text);
     let one = |(d, since): &(super::membership::disagreement::Disagreement, std::time::Duration)| {
@@ -35,7 +37,7 @@
     JsonValue::Array(status.disagreements.iter().map(one).collect())
 }
 
-/// Links that work one way: `from` is not heard by `to`.
+/// Links that deliver in one direction only: `to` receives nothing from `from`.
 pub(super) fn one_way(status: &Status) -> JsonValue {
     let one = |(from, to): &(SocketAddrV4, SocketAddrV4)| {
         object([("from", name(status, *from)), ("to", name(status, *to))])
@@ -43,7 +45,7 @@
     JsonValue::Array(status.one_way.iter().map(one).collect())
 }
 
-/// Lines for people off the door's document; a document of an older version has none.
+/// Formats the differences in a status document as lines for people. A document of an older version has none.
 pub fn lines(document: &str) -> Vec<String> {
     let Ok(json) = crate::json::parse(document) else { return Vec::new() };
     let list = |json: &JsonValue, key: &str| -> Vec<HashMap<String, JsonValue>> {
@@ -63,12 +65,19 @@
             format!("{} ({} there, {} here)", word(a, "member"), word(a, "thinks"), word(a, "here"))
         });
         let about: Vec<_> = about.collect();
-        let about =
-            if about.is_empty() { "lives that it does not name".to_string() } else { about.join(", ") };
+        let about = if about.is_empty() {
+            "incarnations that it does not list".to_string()
+        } else {
+            about.join(", ")
+        };
         lines.push(format!("{with} disagrees for {seconds:.1} s about {about}"));
     }
-    for way in list(&json, "one_way") {
-        lines.push(format!("{} is not heard by {}, which it hears", word(&way, "from"), word(&way, "to")));
+    for link in list(&json, "one_way") {
+        lines.push(format!(
+            "{} does not reach {}, but receives its datagrams",
+            word(&link, "from"),
+            word(&link, "to")
+        ));
     }
     lines
 }
@@ -83,7 +92,7 @@
     use super::*;
 
     #[test]
-    fn what_differs_is_told_by_name_and_read_back_as_lines() {
+    fn differences_are_reported_by_name_and_formatted_as_lines() {
         let at = |n: u16| SocketAddrV4::new([127, 0, 0, 1].into(), n);
         let id = |n| Id { address: at(n), incarnation: 1, name: format!("m{n}") };
         let with = Disagreement {
@@ -103,7 +112,7 @@
             lines(&status.to_json()),
             [
                 "m2 disagrees for 1.5 s about m1 (down there, alive here), 127.0.0.1:9 (alive there, unknown here)",
-                "m2 is not heard by m1, which it hears"
+                "m2 does not reach m1, but receives its datagrams"
             ]
         );
         assert!(lines("{}").is_empty() && lines("no").is_empty());
