--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -1,5 +1,5 @@
-//! The fleet's socket and thread: datagrams in, the membership's steps, datagrams out. Whoever holds the [`MembershipHandle`] never
-//! waits for a peer: what it says goes into a bounded queue, and what it asks is the last state that was told.
+//! Runs the [`Membership`] on a UDP socket and a thread of its own. A [`MembershipHandle`] never waits for a peer: it sends
+//! orders to the thread through a bounded queue, and reads the status that the thread published last.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -16,72 +16,73 @@
 use super::posture::REACHABLE_PERIODS;
 use super::status::Status;
 
-/// The version that members are told.
+/// The program version that this member publishes.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
-/// Words of this process that may wait for the thread.
+/// Most orders that may wait for the thread.
 const MAX_ORDERS: usize = 64;
-/// The thread looks at its orders this often.
-const LOOK: Duration = Duration::from_millis(20);
-/// Datagrams taken before the timers are looked at again.
-const BATCH: usize = 256;
-/// Wait after a failed bind: another process of this matcher may hold the address until it hands over.
-const BIND_PAUSE: Duration = Duration::from_millis(100);
-/// A process that gave the address up leaves it alone for this long.
-const RELEASED: Duration = Duration::from_secs(5);
-/// How long a leaving process waits for its last words to be sent.
-const LEAVE_PATIENCE: Duration = Duration::from_millis(500);
+/// How often the thread polls for orders.
+const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Most datagrams received before the timers are checked again.
+const MAX_BATCH: usize = 256;
+/// Delay after a failed bind: another process of this matcher may hold the address until it hands over.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long a process that released the address does not bind it again.
+const RELEASE_PAUSE: Duration = Duration::from_secs(5);
+/// How long a leaving process waits until its last datagrams are sent.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a matcher is told of the fleet at its start.
+/// Options of the membership thread.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The matcher's name.
     pub name: String,
-    /// The fleet's: members of another one are not heard.
+    /// The fleet's name. Datagrams of another fleet are dropped.
     pub fleet: String,
-    /// The address of the own socket.
+    /// The address of the UDP socket.
     pub listen: SocketAddrV4,
-    /// Where the others reach it; also who it is.
+    /// The address that other members send to; part of the member's identity.
     pub advertise: SocketAddrV4,
-    /// Members that are asked at the start, and again while they are not up.
+    /// Members to which this one announces itself at the start, and again while they are not up.
     pub seeds: Vec<SocketAddrV4>,
     /// The protocol period.
     pub period: Duration,
-    /// Runs that the matcher can have at once.
+    /// How many runs the matcher can have at once.
     pub capacity: u32,
-    /// For random choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
+/// An order from a handle to the thread.
 enum Order {
-    /// This matcher drains, or does so no more.
+    /// This matcher drains, or no longer does.
     Draining(bool),
-    /// It leaves the fleet.
+    /// This matcher leaves the fleet.
     Leave,
-    /// Another process of this matcher takes its place in the fleet.
+    /// Another process of this matcher replaces it in the fleet.
     Release,
 }
 
-/// Why this process does not take part in the fleet.
+/// Why the membership could not be started.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum MembershipThreadError {
-    /// No thread for the membership.
-    #[error("fleet: its thread cannot be started: {kind}")]
+    /// The thread could not be created.
+    #[error("fleet: the membership thread cannot be started: {kind}")]
     #[diagnostic(help(
-        "raise the limit on threads of this process, or take `fleet` out of the appliance's file"
+        "raise the limit on threads of this process, or remove `fleet` from the appliance's settings file"
     ))]
     Thread {
-        /// What the system says.
+        /// The operating system's error.
         kind: std::io::ErrorKind,
     },
 }
 
-/// Who answered this process's probes of late: what the posture counts besides the record's links. Without a
-/// membership, nobody.
+/// The members that recently answered this process's probes. The posture uses them besides the record's links. Empty
+/// without a membership.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeAnswers {
     period: Duration,
-    /// By name, when the probe was sent that was answered; a handful, as a probe goes to one member a period.
-    late: Arc<Mutex<Vec<(String, Instant)>>>,
+    /// Members by name with the time at which the answered probe was sent; a few, as one member is probed per period.
+    recent: Arc<Mutex<Vec<(String, Instant)>>>,
 }
 
 impl ProbeAnswers {
@@ -90,17 +91,17 @@
         self.period
     }
 
-    /// Who answered within the last [`REACHABLE_PERIODS`] periods, and when that was asked.
+    /// The members that answered a probe of the last [`REACHABLE_PERIODS`] periods, with the time of the probe.
     pub fn recent(&self) -> Vec<(String, Instant)> {
-        self.late.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.recent.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn tell(&self, late: Vec<(String, Instant)>) {
-        *self.late.lock().unwrap_or_else(PoisonError::into_inner) = late;
+    fn publish(&self, recent: Vec<(String, Instant)>) {
+        *self.recent.lock().unwrap_or_else(PoisonError::into_inner) = recent;
     }
 }
 
-/// This process's part in the fleet.
+/// Handle to the membership thread of this process.
 #[derive(Clone)]
 pub struct MembershipHandle {
     answers: ProbeAnswers,
@@ -110,32 +111,32 @@
 }
 
 impl MembershipHandle {
-    /// Joins the fleet from a thread of its own, as soon as the address is free.
+    /// Starts the thread, which joins the fleet as soon as the address is free.
     ///
     /// # Errors
-    /// [`MembershipThreadError`].
+    /// [`MembershipThreadError`] if the thread cannot be created.
     pub fn start(options: Options) -> Result<Self, MembershipThreadError> {
         let (orders, received) = sync_channel(MAX_ORDERS);
         let (end, ended) = sync_channel(1);
         let status: Arc<Mutex<Option<Status>>> = Arc::default();
         let answers = ProbeAnswers { period: options.period, ..ProbeAnswers::default() };
         let ended = Arc::new(Mutex::new(Some(ended)));
-        let link = Self { orders, status: status.clone(), ended, answers: answers.clone() };
+        let handle = Self { orders, status: status.clone(), ended, answers: answers.clone() };
         let work = move || {
-            // What is said while the address is not ours yet is told when it is.
+            // An order to drain before the address is bound is published after joining.
             let mut drains = false;
             while let Some(socket) = bind(options.listen, &received, &mut drains) {
                 let capacity = options.capacity;
                 let metadata =
                     Metadata { version: VERSION.into(), draining: drains, capacity, ..Metadata::default() };
-                let part = Part::join(&options, metadata, socket, (status.clone(), answers.clone()));
-                if part.run(&received, &mut drains) == End::Left {
+                let worker = Worker::join(&options, metadata, socket, (status.clone(), answers.clone()));
+                if worker.run(&received, &mut drains) == End::Left {
                     break;
                 }
-                // The other process is waiting for the address; if it ends, this one serves on, and joins again.
+                // The other process waits for the address. If it ends, this process continues to serve and joins again.
                 *status.lock().unwrap_or_else(PoisonError::into_inner) = None;
-                answers.tell(Vec::new());
-                if wait_for_leave(&received, RELEASED, &mut drains) {
+                answers.publish(Vec::new());
+                if wait_for_leave(&received, RELEASE_PAUSE, &mut drains) {
                     break;
                 }
             }
@@ -143,55 +144,55 @@
         };
         let started = std::thread::Builder::new().name("fleet".into()).spawn(work);
         started.map_err(|e| MembershipThreadError::Thread { kind: e.kind() })?;
-        Ok(link)
+        Ok(handle)
     }
 
-    /// The fleet as it was seen last; nothing before it was joined.
+    /// The last published status of the fleet; `None` before the fleet is joined.
     pub fn status(&self) -> Option<Status> {
         self.status.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Who answered its probes of late, for the posture.
+    /// The recent answers to probes, for the posture.
     pub fn answers(&self) -> ProbeAnswers {
         self.answers.clone()
     }
 
-    /// Tells the others that this matcher drains, or does so no more.
+    /// Publishes to the fleet that this matcher drains, or no longer does.
     pub fn draining(&self, draining: bool) {
-        // A thread that is gone, or has so much to do, has nobody to tell it to.
+        // If the thread has ended or its queue is full, the order is dropped.
         let _ = self.orders.try_send(Order::Draining(draining));
     }
 
-    /// Leaves the fleet, and waits a moment for the word to be out.
+    /// Leaves the fleet, and waits a moment until the other members were notified.
     pub fn leave(&self) {
-        self.end(Order::Leave);
+        self.send_and_wait(Order::Leave);
     }
 
-    /// Gives up the address to another process of this matcher, without a word to the fleet.
+    /// Releases the address to another process of this matcher without notifying the fleet.
     pub fn release(&self) {
         let _ = self.orders.try_send(Order::Release);
     }
 
-    fn end(&self, order: Order) {
+    fn send_and_wait(&self, order: Order) {
         let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let (Ok(()), Some(ended)) = (self.orders.try_send(order), ended) {
-            let _ = ended.recv_timeout(LEAVE_PATIENCE);
+            let _ = ended.recv_timeout(LEAVE_TIMEOUT);
         }
     }
 }
 
-/// Why a part ended.
+/// Why a worker ended.
 #[derive(PartialEq)]
 enum End {
     Left,
     Released,
 }
 
-/// Waits `most`; true if this process leaves before that.
-fn wait_for_leave(orders: &Receiver<Order>, most: Duration, drains: &mut bool) -> bool {
+/// Waits for `duration`. Returns true if this process leaves before it has passed.
+fn wait_for_leave(orders: &Receiver<Order>, duration: Duration, drains: &mut bool) -> bool {
     let since = Instant::now();
     loop {
-        match orders.recv_timeout(most.saturating_sub(since.elapsed())) {
+        match orders.recv_timeout(duration.saturating_sub(since.elapsed())) {
             Ok(Order::Leave) | Err(RecvTimeoutError::Disconnected) => return true,
             Ok(Order::Draining(draining)) => *drains = draining,
             Ok(Order::Release) => {}
@@ -200,28 +201,29 @@
     }
 }
 
-/// The fleet's address, once it is free; nothing if this process leaves before.
+/// Binds the address once it is free. Returns `None` if this process leaves before.
 fn bind(listen: SocketAddrV4, orders: &Receiver<Order>, drains: &mut bool) -> Option<UdpSocket> {
-    let mut told = false;
+    let mut logged = false;
     loop {
         match UdpSocket::bind(listen) {
             Ok(socket) => return Some(socket),
-            Err(e) if !told => {
-                told = true;
-                warn!("fleet.listen: {listen}: {e}; tried again until it is free");
+            Err(e) if !logged => {
+                logged = true;
+                warn!("fleet.listen: {listen}: {e}; retrying until the address is free");
             }
             Err(_) => {}
         }
-        if wait_for_leave(orders, BIND_PAUSE, drains) {
+        if wait_for_leave(orders, BIND_RETRY_DELAY, drains) {
             return None;
         }
     }
 }
 
-/// What others of this process read.
-type Told = (Arc<Mutex<Option<Status>>>, ProbeAnswers);
+/// What the handles of this process read.
+type SharedState = (Arc<Mutex<Option<Status>>>, ProbeAnswers);
 
-struct Part {
+/// The membership between joining the fleet and leaving it or releasing the address.
+struct Worker {
     socket: UdpSocket,
     member: Membership,
     period: Duration,
@@ -230,10 +232,10 @@
     answers: ProbeAnswers,
 }
 
-impl Part {
-    fn join(options: &Options, metadata: Metadata, socket: UdpSocket, told: Told) -> Self {
-        // Grows across restarts as long as the system's clock does not go back; if it did, the others tell this
-        // process that it is down, and it comes back under a higher one.
+impl Worker {
+    fn join(options: &Options, metadata: Metadata, socket: UdpSocket, shared: SharedState) -> Self {
+        // Grows across restarts unless the system clock goes back. If it does, the others notify this process that it is
+        // down, and it rejoins under a higher number.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let id = Id { address: options.advertise, incarnation, name: options.name.clone() };
         let membership = membership::Options {
@@ -246,12 +248,12 @@
         info!(fleet = options.fleet, address = %options.advertise, incarnation, "fleet: joins");
         let member = Membership::new(membership, metadata);
         let began = Instant::now();
-        let (status, answers) = told;
+        let (status, answers) = shared;
         Self { socket, member, period: options.period, began, status, answers }
     }
 
     fn run(mut self, orders: &Receiver<Order>, drains: &mut bool) -> End {
-        let mut told_at = Duration::ZERO;
+        let mut publish_at = Duration::ZERO;
         let mut bytes = vec![0; MAX_BYTES + 1];
         loop {
             match orders.try_recv() {
@@ -272,17 +274,17 @@
                 Err(_) => {}
             }
             let wait = self.member.due().saturating_sub(self.began.elapsed());
-            let wait = wait.clamp(Duration::from_millis(1), LOOK);
+            let wait = wait.clamp(Duration::from_millis(1), ORDER_POLL_INTERVAL);
             let _ = self.socket.set_read_timeout(Some(wait));
-            for n in 0..BATCH {
+            for n in 0..MAX_BATCH {
                 match self.socket.recv_from(&mut bytes) {
                     Ok((len, _)) => self.step(Input::Datagram(&bytes[..len])),
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => break,
-                    // A peer that is gone is reported on the next call; it is no fault of this socket.
+                    // The failure of an earlier datagram to a peer that is gone is reported here. The socket still works.
                     Err(_) => {}
                 }
                 if n == 0 {
-                    // What came together is read together, before the timers.
+                    // Datagrams that arrived together are read together, before the timers run.
                     let _ = self.socket.set_nonblocking(true);
                 }
             }
@@ -290,16 +292,18 @@
             if self.member.due() <= self.began.elapsed() {
                 self.step(Input::Tick);
             }
-            // A copy of the view: a few a period are enough for those who ask.
+            // Publishes a copy of the view; a few copies per period are enough for the readers.
             let now = self.began.elapsed();
-            if now >= told_at {
-                told_at = now + self.period / 8;
+            if now >= publish_at {
+                publish_at = now + self.period / 8;
                 let since = now.saturating_sub(self.period * REACHABLE_PERIODS);
-                let late =
-                    self.member.probe_answers(since).map(|(name, sent)| (name.to_string(), self.began + sent));
-                self.answers.tell(late.collect());
-                let told = Status::of(&self.member, now);
-                *self.status.lock().unwrap_or_else(PoisonError::into_inner) = Some(told);
+                let recent = self
+                    .member
+                    .probe_answers(since)
+                    .map(|(name, sent)| (name.to_string(), self.began + sent));
+                self.answers.publish(recent.collect());
+                let current = Status::of(&self.member, now);
+                *self.status.lock().unwrap_or_else(PoisonError::into_inner) = Some(current);
             }
         }
     }
@@ -307,7 +311,7 @@
     fn step(&mut self, input: Input<'_>) {
         let out = self.member.step(self.began.elapsed(), input);
         for (to, bytes) in &out.send {
-            // A datagram that cannot be sent is one that was lost.
+            // A datagram that cannot be sent counts as lost.
             let _ = self.socket.send_to(bytes, to);
         }
         out.changes.iter().for_each(log);
