--- a/src/fleet/membership/metadata.rs
+++ b/src/fleet/membership/metadata.rs
@@ -12,12 +12,12 @@
 /// Identifies the metadata in a broadcast: newer metadata of the same member replaces it in the queue.
 pub struct MetadataKey {
     address: SocketAddrV4,
-    version: (u64, u64),
+    recency: (u64, u64),
 }
 
 impl Invalidates for MetadataKey {
     fn invalidates(&self, other: &Self) -> bool {
-        self.address == other.address && self.version >= other.version
+        self.address == other.address && self.recency >= other.recency
     }
 }
 
@@ -67,18 +67,19 @@
         data: &[u8],
         sender: Option<&Id>,
     ) -> Result<Option<MetadataKey>, InvalidMetadata> {
-        // Most metadata received is already known, in a large fleet nearly all of it: only the sender and the number
+        // Most metadata received is already known, in a large fleet nearly all of it: only the publisher and the number
         // of such metadata are decoded. Fields after the known ones belong to a later version. An item that cannot be
         // decoded must not discard the other items of its datagram, nor the fact that its sender was reachable.
         let is_known = |known: &(u64, u64), (id, number): &(Id, u64)| *known >= (id.incarnation, *number);
-        let sender_and_number =
-            postcard::take_from_bytes::<(Id, u64)>(data).ok().map(|(sender_and_number, _)| sender_and_number);
-        if let Some(sender_and_number) = sender_and_number.filter(|_| sender.is_some()) {
+        let publisher_and_number = postcard::take_from_bytes::<(Id, u64)>(data)
+            .ok()
+            .map(|(publisher_and_number, _)| publisher_and_number);
+        if let Some(publisher_and_number) = publisher_and_number.filter(|_| sender.is_some()) {
             if self
                 .lock()
                 .known
-                .get(&sender_and_number.0.address)
-                .is_some_and(|known| is_known(known, &sender_and_number))
+                .get(&publisher_and_number.0.address)
+                .is_some_and(|known| is_known(known, &publisher_and_number))
             {
                 return Ok(None);
             }
@@ -87,29 +88,29 @@
         let bounded = |s: &MetadataUpdate| {
             s.metadata.version.len() <= MAX_NAME && s.metadata.digest.len() <= MAX_DIGEST
         };
-        let Some(signed) = read.map(|(signed, _)| signed).filter(bounded) else {
+        let Some(update) = read.map(|(update, _)| update).filter(bounded) else {
             self.lock().unread += 1;
             return Ok(None);
         };
-        if !is_valid(&signed.id) {
+        if !is_valid(&update.id) {
             return Err(InvalidMetadata);
         }
-        let (address, version) = (signed.id.address, (signed.id.incarnation, signed.number));
+        let (address, recency) = (update.id.address, (update.id.incarnation, update.number));
         if sender.is_some() {
             let mut inbox = self.lock();
             match inbox.known.get_mut(&address) {
-                Some(known) if known.0 == version.0 && known.1 < version.1 => *known = version,
+                Some(known) if known.0 == recency.0 && known.1 < recency.1 => *known = recency,
                 _ => {
                     // A member that left is not added. A new member publishes again soon, to all that know it by then.
-                    if !signed.metadata.left {
-                        inbox.unknown_members.push(signed.id);
+                    if !update.metadata.left {
+                        inbox.unknown_members.push(update.id);
                     }
                     return Ok(None);
                 }
             }
-            inbox.received.push(signed);
+            inbox.received.push(update);
         }
-        Ok(Some(MetadataKey { address, version }))
+        Ok(Some(MetadataKey { address, recency }))
     }
 }
 
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -1,10 +1,10 @@
 //! Membership by SWIM (Das, Gupta and Motivala, 2002) on the `foca` crate, with what Lifeguard (Dadgar, Phillips and
-//! Currey, 2018) adds for members that are slow themselves. Without I/O or clock, [`Membership::step`] takes a datagram, an
-//! operator's input or the time, and returns the datagrams to send; [`Membership::due`] is the time of the next step.
+//! Currey, 2018) adds for members that are slow themselves. Without I/O or clock, [`Membership::step`] takes a
+//! datagram, an operator's input or the time, and returns the datagrams to send.
 //!
-//! This module adds to foca: an envelope by which foreign datagrams are recognized, the local health score that lengthens
-//! probes and suspicions of a slow member (timers are lengthened when foca sets them), Lifeguard's buddy system, postponed
-//! timers after a stop of the process, metadata (which members drain or left), and rejoining after a network partition.
+//! This module adds to foca: an envelope by which foreign datagrams are recognized, the local health score that
+//! lengthens probes and suspicions of a slow member (timers are lengthened when foca sets them), Lifeguard's buddy
+//! system, timers postponed after a stop of the process, metadata (who drains or left), and rejoining after a partition.
 
 pub mod disagreement;
 mod metadata;
@@ -291,8 +291,8 @@
         disagreement::disagreements(self.id(), &self.view, &self.differing_since)
     }
 
-    /// The members that answered a probe sent at `since` or later, with the time of sending: both directions worked then.
-    /// One member is probed per period, so in a large fleet most members are missing here at any moment.
+    /// The members that answered a probe sent at `since` or later, with the time of sending: both directions worked
+    /// then. One member is probed per period, so in a large fleet most members are missing here at any moment.
     pub fn probe_answers(&self, since: Duration) -> impl Iterator<Item = (&str, Duration)> {
         let recent = self.answered.iter().filter(move |(_, sent)| **sent >= since);
         recent
@@ -359,8 +359,8 @@
         }
     }
 
-    /// Postpones all timers by the time for which the process was stopped. Otherwise all timers would be overdue with the
-    /// answers to the probes unread, and all other members would be declared down.
+    /// Postpones all timers by the time for which the process was stopped. Otherwise all timers would be overdue with
+    /// the answers to the probes unread, and all other members would be declared down.
     fn shift_timers_after_stop(&mut self, now: Duration) {
         let lost = now.saturating_sub(self.expected_at);
         if self.expected_at.is_zero() || lost < self.options.period * STOPPED_PERIODS {
@@ -418,8 +418,8 @@
         }
     }
 
-    /// Returns false for the end of a suspicion that was refuted meanwhile. foca would change nothing then, but still notify
-    /// that member that it is down (2.0.0, `handle_timer`), which would make it drop its state and rejoin.
+    /// Returns false for the end of a suspicion that was refuted meanwhile. foca would then change nothing, but still
+    /// notify that member that it is down (2.0.0, `handle_timer`), which would make it drop its state and rejoin.
     fn is_still_suspect(&self, timer: &Timer<Id>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return true };
         let mut suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
@@ -443,8 +443,8 @@
         }
     }
 
-    /// Lifeguard's buddy system: notifies each suspect directly and repeatedly until it refutes the suspicion, instead of
-    /// relying on random gossip alone.
+    /// Lifeguard's buddy system: notifies each suspect directly and repeatedly until it refutes the suspicion, instead
+    /// of relying on random gossip alone.
     fn warn_suspects(&self, runtime: &mut StepRuntime) {
         let suspects = self.foca.iter_members().filter(|m| m.state() == foca::State::Suspect);
         for suspect in suspects.take(MAX_WARNED) {
@@ -530,7 +530,7 @@
         let own = self.id().address;
         self.to_check.extend(runtime.changed_members);
         // foca does not notify of suspicions by other members, so all members are also compared at intervals.
-        // Metadata comes before the states: a member whose leave is announced in the datagram that reports it down left.
+        // Metadata is applied before the states: a leave announced in the same datagram gives `Left`, not `Down`.
         let received = std::mem::take(&mut self.inbox.lock().received);
         for update in received.iter().filter(|s| s.id.address != own) {
             self.view.update_metadata(update);
--- a/src/fleet/membership/receive.rs
+++ b/src/fleet/membership/receive.rs
@@ -1,5 +1,5 @@
-//! Handling of a received datagram: checks of the envelope and the sender before foca processes it, and members that are
-//! known only from its metadata.
+//! Handling of a received datagram: checks of the envelope and the sender before foca processes it, and members that
+//! are known only from its metadata.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
--- a/src/fleet/membership/runtime.rs
+++ b/src/fleet/membership/runtime.rs
@@ -1,5 +1,5 @@
-//! The [`Runtime`] that foca calls during one step: it collects datagrams, timers and notifications, and lengthens timers
-//! by the local health score.
+//! The [`Runtime`] that foca calls during one step: it collects datagrams, timers and notifications, and lengthens
+//! timers by the local health score.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/src/fleet/membership/update_filter.rs
+++ b/src/fleet/membership/update_filter.rs
@@ -15,8 +15,8 @@
     pub(super) no_room: u64,
 }
 
-/// Drops updates about members that are not `known` once `room` new members were accepted. Content that cannot be decoded
-/// stays unchanged: foca rejects all of it.
+/// Drops updates about members that are not `known` once `room` new members were accepted. Content that cannot be
+/// decoded stays unchanged: foca rejects all of it.
 pub(super) fn filter_updates(
     data: &[u8],
     room: usize,
--- a/src/fleet/membership/view.rs
+++ b/src/fleet/membership/view.rs
@@ -21,8 +21,8 @@
 pub struct Id {
     /// The address to which other members send datagrams.
     pub address: SocketAddrV4,
-    /// Grows with each restart: milliseconds since the Unix epoch at the start, plus one for each time that the member was
-    /// declared down and rejoined.
+    /// Grows with each restart: milliseconds since the Unix epoch at the start, plus one for each time that the member
+    /// was declared down and rejoined.
     pub incarnation: u64,
     /// The name of the matcher.
     pub name: String,
@@ -131,8 +131,8 @@
 }
 
 impl View {
-    /// Updates the state of a member and returns the change, if there is one. A state of an incarnation older than the one
-    /// known at the address is ignored.
+    /// Updates the state of a member and returns the change, if there is one. A state of an incarnation older than the
+    /// one known at the address is ignored.
     pub fn update_state(&mut self, now: Duration, id: &Id, state: State) -> Option<Change> {
         let known = self.members.get(&id.address);
         if known.is_some_and(|k| k.id.incarnation > id.incarnation) {
@@ -156,8 +156,8 @@
         Some(Change { id: id.clone(), from, to: state })
     }
 
-    /// Updates the metadata of a member. Returns whether it is newer than the known metadata, so that it should be passed
-    /// on. Metadata of an unknown incarnation is ignored: that incarnation publishes it again.
+    /// Updates the metadata of a member. Returns whether it is newer than the known metadata, so that it should be
+    /// passed on. Metadata of an unknown incarnation is ignored: that incarnation publishes it again.
     pub fn update_metadata(&mut self, update: &MetadataUpdate) -> bool {
         let Some(entry) = self.members.get_mut(&update.id.address).filter(|s| s.id == update.id) else {
             return false;
@@ -175,8 +175,8 @@
         true
     }
 
-    /// Removes a member that has been down for a long time. Returns false if another incarnation is known at its address by
-    /// now.
+    /// Removes a member that has been down for a long time. Returns false if another incarnation is known at its
+    /// address by now.
     pub fn forget(&mut self, id: &Id) -> bool {
         if self.members.get(&id.address).is_some_and(|s| s.id != *id) {
             return false;
@@ -216,8 +216,8 @@
         self.members.is_empty()
     }
 
-    /// Whether a member is up: alive, or suspected and not yet declared down. A member that drains is up, but takes no new
-    /// duties.
+    /// Whether a member is up: alive, or suspected and not yet declared down. A member that drains is up, but takes no
+    /// new duties.
     pub fn is_up(entry: &MemberEntry) -> bool {
         let left = entry.metadata.as_ref().is_some_and(|(_, metadata)| metadata.left);
         matches!(entry.state, State::Alive | State::Suspect) && !left
--- a/src/fleet/membership_thread.rs
+++ b/src/fleet/membership_thread.rs
@@ -1,5 +1,5 @@
-//! Runs the [`Membership`] on a UDP socket and a thread of its own. A [`MembershipHandle`] never waits for a peer: it sends
-//! orders to the thread through a bounded queue, and reads the status that the thread published last.
+//! Runs the [`Membership`] on a UDP socket and a thread of its own. A [`MembershipHandle`] never waits for a peer: it
+//! sends orders to the thread through a bounded queue, and reads the status that the thread published last.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -163,7 +163,7 @@
         let _ = self.orders.try_send(Order::Draining(draining));
     }
 
-    /// Leaves the fleet, and waits a moment until the other members were notified.
+    /// Leaves the fleet, and waits a moment until the datagrams that announce it are sent.
     pub fn leave(&self) {
         self.send_and_wait(Order::Leave);
     }
@@ -234,8 +234,8 @@
 
 impl Worker {
     fn join(options: &Options, metadata: Metadata, socket: UdpSocket, shared: SharedState) -> Self {
-        // Grows across restarts unless the system clock goes back. If it does, the others notify this process that it is
-        // down, and it rejoins under a higher number.
+        // Grows across restarts unless the system clock goes back. If it does, the others notify this process that it
+        // is down, and it rejoins under a higher number.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let id = Id { address: options.advertise, incarnation, name: options.name.clone() };
         let membership = membership::Options {
@@ -280,7 +280,8 @@
                 match self.socket.recv_from(&mut bytes) {
                     Ok((len, _)) => self.step(Input::Datagram(&bytes[..len])),
                     Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => break,
-                    // The failure of an earlier datagram to a peer that is gone is reported here. The socket still works.
+                    // The failure of an earlier datagram to a peer that is gone is reported here. The socket still
+                    // works.
                     Err(_) => {}
                 }
                 if n == 0 {
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -39,8 +39,8 @@
 }
 
 impl Posture {
-    /// The permissions of each posture. `whole` and `majority` differ only in what operators read, not in what is permitted:
-    /// the loss of a voter must not stop the fleet.
+    /// The permissions of each posture. `whole` and `majority` differ only in what operators read, not in what is
+    /// permitted: the loss of a voter must not stop the fleet.
     pub fn permissions(self) -> Permissions {
         let row = |serve, propose, prepare, activate, decide| Permissions {
             serve,
@@ -82,8 +82,8 @@
 }
 
 impl Reachability {
-    /// Creates the state of the member `own` with the named voters and the period of their requests. No member is reachable
-    /// yet.
+    /// Creates the state of the member `own` with the named voters and the period of their requests. No member is
+    /// reachable yet.
     pub fn new(own: &str, voters: &[String], period: Duration) -> Self {
         let mut voters = voters.to_vec();
         voters.sort();
@@ -105,8 +105,8 @@
         Self { membership_validity: period * REACHABLE_PERIODS, ..self }
     }
 
-    /// Records that the member `name` answered a request sent at `sent`: at that moment or later both directions worked.
-    /// Counting from the request, not from the answer, is what detects a link that works in one direction only.
+    /// Records that the member `name` answered a request sent at `sent`: at that moment or later both directions
+    /// worked. Counting from the request, not from the answer, is what detects a link that works in one direction only.
     pub fn answered(&mut self, name: &str, sent: Duration) {
         if name != self.own {
             let last = self.answered_at.entry(name.into()).or_insert(sent);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Records that the member `name`, voter or not, answered a membership probe sent at `sent`. This does not count as an
-    /// answer of a voter: leases and the record use other links, and the membership probes one member per period, so
+    /// Records that the member `name`, voter or not, answered a membership probe sent at `sent`. This does not count as
+    /// an answer of a voter: leases and the record use other links, and the membership probes one member per period, so
     /// in a fleet of more than six members five periods without an answer mean nothing for a single member.
     pub fn membership_answered(&mut self, name: &str, sent: Duration) {
         let membership_validity = self.membership_validity;
--- a/src/fleet/view_differences.rs
+++ b/src/fleet/view_differences.rs
@@ -53,16 +53,16 @@
         let Some(JsonValue::Array(list)) = object.and_then(|o| o.get(key)) else { return Vec::new() };
         list.iter().filter_map(|one| one.get().cloned()).collect()
     };
-    let word = |object: &HashMap<String, JsonValue>, key: &str| {
+    let text_of = |object: &HashMap<String, JsonValue>, key: &str| {
         object.get(key).and_then(|v| v.get::<String>()).cloned().unwrap_or_default()
     };
     let mut lines = Vec::new();
     for one in list(&json, "disagree") {
         let seconds = one.get("for_ms").and_then(|v| v.get::<f64>()).unwrap_or(&0.0) / 1000.0;
-        let with = word(&one, "with");
+        let with = text_of(&one, "with");
         let about = list(&JsonValue::Object(one), "about");
         let about = about.iter().map(|a| {
-            format!("{} ({} there, {} here)", word(a, "member"), word(a, "thinks"), word(a, "here"))
+            format!("{} ({} there, {} here)", text_of(a, "member"), text_of(a, "thinks"), text_of(a, "here"))
         });
         let about: Vec<_> = about.collect();
         let about = if about.is_empty() {
@@ -75,8 +75,8 @@
     for link in list(&json, "one_way") {
         lines.push(format!(
             "{} does not reach {}, but receives its datagrams",
-            word(&link, "from"),
-            word(&link, "to")
+            text_of(&link, "from"),
+            text_of(&link, "to")
         ));
     }
     lines
