--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -8,7 +8,7 @@
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::experiment::record::{End, WINNER};
 use crate::fleet::experiment::words;
-use crate::fleet::posture::Ears;
+use crate::fleet::posture::Reachability;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::lease::GrantedLease;
 use crate::fleet::routes::member::Member;
@@ -173,7 +173,7 @@
 }
 
 /// The document about what a member knows itself, also without a leader.
-pub fn member_document(member: &Member, now: Duration, reachability: &Ears, leader: Option<&str>) -> Value {
+pub fn member_document(member: &Member, now: Duration, reachability: &Reachability, leader: Option<&str>) -> Value {
     let (lease, switch) = member.lease_and_switch();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
@@ -183,8 +183,8 @@
         "name": member.identity().name,
         "incarnation": member.identity().incarnation,
         "posture": reachability.posture(now).name(),
-        "unheard": reachability.unheard(now),
-        "membership_hears": reachability.by_membership(now),
+        "unheard": reachability.unreachable_voters(now),
+        "membership_hears": reachability.membership_reachable(now),
         "leader": leader,
         "ready": member.ready(now),
         "lease_ms": ms(lease.until().saturating_sub(now)),
--- a/src/fleet/driver/leader_role.rs
+++ b/src/fleet/driver/leader_role.rs
@@ -8,7 +8,7 @@
 use crate::fleet::experiment::collect::Collector;
 use crate::fleet::experiment::counter::Report;
 use crate::fleet::experiment::record as experiments;
-use crate::fleet::posture::May;
+use crate::fleet::posture::Permissions;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::leader::{Effect, Input, Leader};
 use crate::fleet::routes::lease::GrantedLease;
@@ -29,7 +29,7 @@
     pub now: Duration,
     pub unix: Duration,
     pub state: &'a State,
-    pub may: May,
+    pub may: Permissions,
 }
 
 /// The state of one voter as the leader; inactive while it does not lead.
@@ -173,7 +173,7 @@
 
 /// Whether the posture permits an entry in the log. An abort and the completion of a decided switch need no
 /// permission.
-pub fn is_allowed(entry: &Entry, may: May) -> bool {
+pub fn is_allowed(entry: &Entry, may: Permissions) -> bool {
     use experiments::Entry as E;
     use routes::Entry as R;
     match entry {
@@ -233,7 +233,7 @@
 }
 
 /// Removes a member's acceptance of a prepare from an ask if its posture does not permit it.
-pub fn filter_answer(mut ask: LeaseRequest, may: May) -> LeaseRequest {
+pub fn filter_answer(mut ask: LeaseRequest, may: Permissions) -> LeaseRequest {
     if !may.prepare && matches!(ask.answer, Some((_, Ok(_)))) {
         ask.answer = None;
     }
@@ -274,7 +274,7 @@
     fn it_leads_in_exactly_the_terms_in_which_the_record_leads() {
         let mut role = LeaderRole::new(["m1".to_string()].into(), Timing::default());
         let state = State::default();
-        let context = |now| Context { now, unix: now, state: &state, may: Posture::Whole.may() };
+        let context = |now| Context { now, unix: now, state: &state, may: Posture::Whole.permissions() };
         let seat = Seat::Voter;
         let standing = |term, leads| Standing { term, leads, leader: None, applied: 1, seat };
         role.follow_record(&context(s(10)), &standing(3, false), None);
@@ -311,7 +311,7 @@
 
     #[test]
     fn a_minority_may_submit_nothing_but_an_abort() {
-        let (minority, majority) = (Posture::Minority.may(), Posture::Majority.may());
+        let (minority, majority) = (Posture::Minority.permissions(), Posture::Majority.permissions());
         let abort = |why| Entry::Routes(routes::Entry::Abort { turn: 1, why });
         let by = || "anna".to_string();
         for entry in [
--- a/src/fleet/driver/mod.rs
+++ b/src/fleet/driver/mod.rs
@@ -33,7 +33,7 @@
 use tasks::DriverState;
 
 use super::clock::{Clock, Fault};
-use super::link::Answers;
+use super::membership_thread::ProbeAnswers;
 use super::metrics::Metrics;
 use super::record::disk::Disk;
 use super::routes::member::Member;
@@ -95,7 +95,7 @@
     /// The disk that holds the record's folder.
     pub disk: Disk,
     /// The answers that the membership has received from other members.
-    pub answers: Answers,
+    pub answers: ProbeAnswers,
 }
 
 impl Environment {
@@ -104,7 +104,7 @@
             clock: Clock::start(fault),
             net: Arc::new(Tcp),
             disk: Disk::Files,
-            answers: Answers::default(),
+            answers: ProbeAnswers::default(),
         }
     }
 }
@@ -134,14 +134,14 @@
     ///
     /// # Errors [`DriverError`].
     pub fn start(options: Options) -> Result<Self, DriverError> {
-        Self::start_with_membership(options, Answers::default())
+        Self::start_with_membership(options, ProbeAnswers::default())
     }
 
     /// As [`Driver::start`], with a membership whose received answers count for the posture as well.
     ///
     /// # Errors
     /// [`DriverError`].
-    pub fn start_with_membership(options: Options, answers: Answers) -> Result<Self, DriverError> {
+    pub fn start_with_membership(options: Options, answers: ProbeAnswers) -> Result<Self, DriverError> {
         let error = |e: std::io::Error| DriverError::Thread { kind: e.kind() };
         let environment = Environment { answers, ..Environment::of_this_machine(options.clock_fault) };
         // As in the membership, the incarnation increases with each restart, as long as the system's clock is not set
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -19,9 +19,9 @@
 use super::{documents, orders, Control, Environment, Options};
 use crate::fleet::clock::Clock;
 use crate::fleet::experiment::counter::Counter;
-use crate::fleet::link::Answers;
+use crate::fleet::membership_thread::ProbeAnswers;
 use crate::fleet::metrics::Metrics;
-use crate::fleet::posture::{Ears, May};
+use crate::fleet::posture::{Permissions, Reachability};
 use crate::fleet::record::disk::Disk;
 use crate::fleet::routes::member::{Effect, Input};
 use crate::fleet::routes::table::{Hash, KnownNames};
@@ -65,13 +65,13 @@
     pub(super) clock: Clock,
     pub(super) disk: Disk,
     /// The answers that the membership has received.
-    answers: Answers,
+    answers: ProbeAnswers,
     pub(super) metrics: Metrics,
     pub(super) routing: Routing,
     pub(super) clients: BTreeMap<String, Client>,
     pub(super) role: Mutex<LeaderRole>,
     pub(super) voter: Mutex<Option<Arc<Voter>>>,
-    reachability: Mutex<Ears>,
+    reachability: Mutex<Reachability>,
     /// The leader according to the last answer; `None` to ask the voters in turn.
     known_leader: Mutex<Option<String>>,
     next_voter: AtomicUsize,
@@ -109,7 +109,7 @@
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let driver = Self {
             reachability: Mutex::new(
-                Ears::new(&options.name, &names, HELLO_INTERVAL).beside(answers.period()),
+                Reachability::new(&options.name, &names, HELLO_INTERVAL).with_membership(answers.period()),
             ),
             role: Mutex::new(LeaderRole::new(voters, Timing::default())),
             voter: Mutex::default(),
@@ -237,9 +237,9 @@
                 }
             });
         }
-        for (name, sent) in driver.answers.late() {
+        for (name, sent) in driver.answers.recent() {
             let sent = driver.clock.now().saturating_sub(sent.elapsed());
-            lock(&driver.reachability).acked(&name, sent);
+            lock(&driver.reachability).membership_answered(&name, sent);
         }
         driver.update_unreachable_voters();
     }
@@ -283,12 +283,12 @@
     }
 
     /// What its posture permits now.
-    pub fn permissions(&self) -> May {
-        lock(&self.reachability).posture(self.clock.now()).may()
+    pub fn permissions(&self) -> Permissions {
+        lock(&self.reachability).posture(self.clock.now()).permissions()
     }
 
     fn update_unreachable_voters(&self) {
-        let unreachable = lock(&self.reachability).unheard(self.clock.now()).len();
+        let unreachable = lock(&self.reachability).unreachable_voters(self.clock.now()).len();
         self.metrics.unreachable_voters.set(unreachable as i64);
     }
 
--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::admin_client::{self, AdminClientError};
 use hopwalk::fleet::routes::table::MAX_BYTES;
 use hopwalk::fleet::status::{self, StatusError};
-use hopwalk::fleet::views;
+use hopwalk::fleet::view_differences;
 use miette::Diagnostic;
 use thiserror::Error;
 
@@ -151,8 +151,8 @@
             if json {
                 told
             } else {
-                let mut out = status::table(&status::rows(&told)?);
-                views::lines(&told).iter().for_each(|line| out += &format!("{line}\n"));
+                let mut out = status::format_table(&status::parse_members(&told)?);
+                view_differences::lines(&told).iter().for_each(|line| out += &format!("{line}\n"));
                 out
             }
         }
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -16,7 +16,7 @@
 use crate::fleet::driver::simulated::{create, SimulatedDriver};
 use crate::fleet::driver::{Environment, Options};
 use crate::fleet::experiment::counts::Kind;
-use crate::fleet::membership::view::{Id, Note, State, View};
+use crate::fleet::membership::view::{Id, Metadata, State, View};
 use crate::fleet::membership::{self, Input, Membership};
 use crate::fleet::record::disk;
 use crate::fleet::routes::table::KnownNames;
@@ -171,7 +171,7 @@
             period: PERIOD,
             seed,
         };
-        let member = Membership::new(told, Note::default());
+        let member = Membership::new(told, Metadata::default());
         let row = chance::take(None).unwrap_or(row);
         self.life = Some(Life {
             runtime,
@@ -357,7 +357,7 @@
 
     /// The members that count as up in its view, itself included.
     pub fn up(&self) -> Vec<Id> {
-        let others = self.member.view().members().filter(|s| View::counts_as_up(s)).map(|s| s.id.clone());
+        let others = self.member.view().members().filter(|s| View::is_up(s)).map(|s| s.id.clone());
         let mut up: Vec<_> = others.chain([self.member.id().clone()]).collect();
         up.sort_by(|a, b| a.name.cmp(&b.name));
         up
--- a/src/lab/sim/membership.rs
+++ b/src/lab/sim/membership.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-use crate::fleet::membership::view::{Id, Note, State, View};
+use crate::fleet::membership::view::{Id, Metadata, State, View};
 use crate::fleet::membership::{Input, Membership, Options};
 use crate::lab::random::Random;
 
@@ -107,7 +107,7 @@
                 period: fleet.plan.period,
                 seed: fleet.plan.seed.wrapping_mul(1_000_003).wrapping_add(m as u64),
             };
-            fleet.members.push(Some(Membership::new(options, Note::default())));
+            fleet.members.push(Some(Membership::new(options, Metadata::default())));
             fleet.index.insert(address(m), m);
             // Not all in the same microsecond.
             let at = fleet.plan.period.mul_f64(fleet.random.unit());
@@ -205,17 +205,17 @@
     pub fn agreed(&self) -> bool {
         let living: Vec<_> = self.members.iter().flatten().collect();
         living.iter().all(|m| {
-            let up = m.view().members().filter(|s| View::counts_as_up(s)).count();
+            let up = m.view().members().filter(|s| View::is_up(s)).count();
             up + 1 == living.len()
                 && living.iter().filter(|o| o.id() != m.id()).all(|o| {
-                    m.view().at(&o.id().address).is_some_and(|s| s.id == *o.id() && View::counts_as_up(s))
+                    m.view().by_address(&o.id().address).is_some_and(|s| s.id == *o.id() && View::is_up(s))
                 })
         })
     }
 
     /// Whether all agree, and each also knows it of every other one, by its note.
     pub fn settled(&self) -> bool {
-        let heard = |m: &Membership| m.view().members().all(|s| s.note.is_some() || !View::counts_as_up(s));
+        let heard = |m: &Membership| m.view().members().all(|s| s.metadata.is_some() || !View::is_up(s));
         let settled = |m: &Membership| heard(m) && m.disagreements().is_empty();
         self.agreed() && self.members.iter().flatten().all(settled)
     }
@@ -380,7 +380,7 @@
         assert!(fleet.agree(S * 20).is_some());
         for m in [0, 1, 3, 4] {
             assert_eq!(
-                fleet.member(m).unwrap().view().named("m2").unwrap().state,
+                fleet.member(m).unwrap().view().by_name("m2").unwrap().state,
                 State::Left,
                 "seen by m{m}"
             );
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hopwalk::fleet::posture::{Ears, Posture, HEARD_PERIODS};
+use hopwalk::fleet::posture::{Posture, Reachability, REACHABLE_PERIODS};
 use hopwalk::fleet::routes::clock::{Clock, ClockError, Sample};
 use hopwalk::fleet::routes::leader::{self, Leader};
 use hopwalk::fleet::routes::member::{self, CallDecision, CallRequest, Member};
@@ -481,15 +481,19 @@
 #[test]
 fn the_posture_of_a_member_that_is_cut_off_changes_before_the_others_are_declared_dead() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
-    let mut ears = Ears::new("m0", &voters, ms(200));
-    assert_eq!(ears.posture(ms(0)), Posture::Alone);
+    let mut reachability = Reachability::new("m0", &voters, ms(200));
+    assert_eq!(reachability.posture(ms(0)), Posture::Alone);
     for (heard, posture) in [(2, Posture::Minority), (3, Posture::Majority), (5, Posture::Whole)] {
-        voters[1..heard].iter().for_each(|v| ears.answered(v, ms(1000)));
-        assert_eq!(ears.posture(ms(1100)), posture);
+        voters[1..heard].iter().for_each(|v| reachability.answered(v, ms(1000)));
+        assert_eq!(reachability.posture(ms(1100)), posture);
     }
-    assert_eq!(ears.posture(ms(1000) + ms(200) * HEARD_PERIODS), Posture::Alone, "5 periods: 1 s");
+    assert_eq!(
+        reachability.posture(ms(1000) + ms(200) * REACHABLE_PERIODS),
+        Posture::Alone,
+        "5 periods: 1 s"
+    );
     for p in [Posture::Whole, Posture::Majority, Posture::Minority, Posture::Alone] {
-        let (may, quorum) = (p.may(), p >= Posture::Majority);
+        let (may, quorum) = (p.permissions(), p >= Posture::Majority);
         assert!(may.serve && [may.propose, may.prepare, may.activate, may.decide] == [quorum; 4]);
     }
 }
@@ -504,25 +508,27 @@
         .into_iter()
         .flat_map(|own| (0..32u32).flat_map(move |r| (0..128u32).map(move |m| (own, r, m))))
     {
-        let (plain, beside) =
-            (Ears::new(own, &voters, ms(200)), Ears::new(own, &voters, ms(200)).beside(ms(100)));
-        let hear = |mut ears: Ears| {
+        let (plain, beside) = (
+            Reachability::new(own, &voters, ms(200)),
+            Reachability::new(own, &voters, ms(200)).with_membership(ms(100)),
+        );
+        let hear = |mut reachability: Reachability| {
             let heard = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
-            heard.for_each(|(_, name)| ears.answered(name, ms(1000)));
-            ears
+            heard.for_each(|(_, name)| reachability.answered(name, ms(1000)));
+            reachability
         };
         let (plain, mut beside) = (hear(plain), hear(beside));
         let acked = all.iter().enumerate().filter(|(n, _)| membership >> n & 1 == 1);
-        acked.clone().for_each(|(_, name)| beside.acked(name, ms(1000)));
+        acked.clone().for_each(|(_, name)| beside.membership_answered(name, ms(1000)));
         let others = acked.filter(|(_, name)| *name != own).count() > 0;
         let (without, with) = (plain.posture(ms(1400)), beside.posture(ms(1400)));
-        assert_eq!(with.may(), without.may(), "{own} {record:b} {membership:b}");
+        assert_eq!(with.permissions(), without.permissions(), "{own} {record:b} {membership:b}");
         let expected = if without == Posture::Alone && others { Posture::Minority } else { without };
         assert_eq!(with, expected, "{own} {record:b} {membership:b}");
         // The membership's answers count for five of its own periods, and are then forgotten.
-        assert_eq!(beside.posture(ms(1000) + ms(100) * HEARD_PERIODS), without);
-        beside.acked("m5", ms(2000));
-        assert_eq!(beside.by_membership(ms(2100)), ["m5"]);
+        assert_eq!(beside.posture(ms(1000) + ms(100) * REACHABLE_PERIODS), without);
+        beside.membership_answered("m5", ms(2000));
+        assert_eq!(beside.membership_reachable(ms(2100)), ["m5"]);
     }
 }
 
