--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -2,7 +2,6 @@
 //! them out on a socket and a thread of its own. All of it is off unless the operator's file switches it on, and off in
 //! `run`: the platform allows no talk between instances.
 
-pub mod chance;
 pub mod clock;
 pub mod decided;
 pub mod door;
@@ -12,6 +11,7 @@
 pub mod membership;
 pub mod metrics;
 pub mod posture;
+pub mod random;
 pub mod record;
 pub mod routes;
 pub mod routing;
--- a/src/fleet/record/election.rs
+++ b/src/fleet/record/election.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use crate::fleet::chance;
+use crate::fleet::random;
 use crate::fleet::wire::raft::{NodeId, Types, Voter};
 
 type Metrics = watch::Receiver<RaftMetrics<NodeId, Voter>>;
@@ -47,7 +47,7 @@
 /// A time in `range`, to the millisecond; its middle where the system has no random numbers.
 fn draw(range: Range<Duration>) -> Duration {
     let width = (range.end - range.start).as_millis() as u64;
-    let offset = chance::number().map_or(width / 2, |number| number % width.max(1));
+    let offset = random::number().map_or(width / 2, |number| number % width.max(1));
     range.start + Duration::from_millis(offset)
 }
 
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -29,8 +29,8 @@
 pub use error::{ConfirmError, RecordError, SubmitError};
 pub use seat::Seat;
 
-use super::chance;
 use super::decided::{Applied, Entry, Refused, State};
+use super::random;
 use super::wire::message::{AdmitError, Hello, Request, Response};
 use super::wire::raft::{NodeId, RaftRefusal, RaftRequest, RaftResponse, Types, Voter};
 use super::wire::Client;
@@ -190,7 +190,7 @@
     pub async fn open(options: Options, clients: BTreeMap<String, Client>) -> Result<Self, RecordError> {
         let config = options.check()?;
         let (folder, fleet, name) = (options.folder.clone(), options.fleet.clone(), options.name.clone());
-        let drawn = chance::number().ok_or(RecordError::Stopped)?;
+        let drawn = random::number().ok_or(RecordError::Stopped)?;
         let disk = options.disk.clone();
         let opened = options.disk.run(move || Store::open_on(&disk, &folder, &fleet, &name, drawn)).await;
         let store = Arc::new(opened.ok_or(RecordError::Stopped)??);
--- a/src/fleet/wire/raft.rs
+++ b/src/fleet/wire/raft.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::fleet::{chance, decided};
+use crate::fleet::{decided, random};
 
 /// The number of a store, drawn when it is made. A store that is lost takes its number along: so no voter votes twice in
 /// a term.
@@ -41,7 +41,7 @@
         NodeId = NodeId,
         Node = Voter,
         SnapshotData = Cursor<Vec<u8>>,
-        AsyncRuntime = chance::Runtime,
+        AsyncRuntime = random::Runtime,
 );
 
 /// From one voter to another.
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -11,13 +11,13 @@
 
 use super::disk::Disk;
 use super::net::{address, mix, service, Host, Network};
-use crate::fleet::chance;
 use crate::fleet::clock::{Clock, Fault};
 use crate::fleet::driver::inside::{begin, Inside};
 use crate::fleet::driver::{Options, World};
 use crate::fleet::experiment::counts::Kind;
 use crate::fleet::membership::view::{Id, Note, State, View};
 use crate::fleet::membership::{self, Input, Membership};
+use crate::fleet::random;
 use crate::fleet::record::disk;
 use crate::fleet::routes::table::Known;
 use crate::fleet::routes::Fence;
@@ -132,7 +132,7 @@
         // A current-thread runtime without I/O needs nothing of the system.
         let Ok(runtime) = builder.build() else { return };
         let row = mix(seed, 1);
-        chance::take(Some(row));
+        random::take(Some(row));
         let step = self.steps.iter().find(|(at, _)| *at > now);
         let (at, step_ms) = step.map_or((u64::MAX >> 10, 0), |(at, ms)| (at - now, *ms));
         let fault = Fault { rate: self.rate, step_at: Duration::from_micros(at), step_ms };
@@ -172,7 +172,7 @@
             seed,
         };
         let member = Membership::new(told, Note::default());
-        let row = chance::take(None).unwrap_or(row);
+        let row = random::take(None).unwrap_or(row);
         self.life = Some(Life {
             runtime,
             start,
@@ -201,14 +201,14 @@
         self.paused_until = 0;
         let unsynced = if power { self.disk.crash() } else { 0 };
         if let Some(life) = self.life.take() {
-            chance::take(Some(life.row));
+            random::take(Some(life.row));
             let Life { runtime, inside, .. } = life;
             {
                 let _entered = runtime.enter();
                 drop(inside);
             }
             drop(runtime);
-            chance::take(None);
+            random::take(None);
         }
         unsynced
     }
@@ -229,7 +229,7 @@
             return None;
         }
         let life = self.life.as_mut()?;
-        chance::take(Some(life.row));
+        random::take(Some(life.row));
         if life.missed > 0 {
             // All that was due meanwhile is due at once.
             let missed = TICK * life.missed;
@@ -241,7 +241,7 @@
         life.runtime.block_on(async { sleep_until(until).await });
         let mut seen = life.serve(setup, &mut self.random, now);
         seen.views = life.gossip(network, self.host);
-        life.row = chance::take(None).unwrap_or(life.row);
+        life.row = random::take(None).unwrap_or(life.row);
         Some(seen)
     }
 
