--- a/src/fleet/random.rs
+++ b/src/fleet/random.rs
@@ -14,7 +14,7 @@
 
 /// What this thread draws from now on: a row that begins with a state, or the system's numbers. Returns the state of the
 /// row so far, so that several members take turns on one thread.
-pub fn take(row: Option<u64>) -> Option<u64> {
+pub fn replace_state(row: Option<u64>) -> Option<u64> {
     ROW.replace(row)
 }
 
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -132,7 +132,7 @@
         // A current-thread runtime without I/O needs nothing of the system.
         let Ok(runtime) = builder.build() else { return };
         let row = mix(seed, 1);
-        random::take(Some(row));
+        random::replace_state(Some(row));
         let step = self.steps.iter().find(|(at, _)| *at > now);
         let (at, step_ms) = step.map_or((u64::MAX >> 10, 0), |(at, ms)| (at - now, *ms));
         let fault = Fault { rate: self.rate, step_at: Duration::from_micros(at), step_ms };
@@ -172,7 +172,7 @@
             seed,
         };
         let member = Membership::new(told, Note::default());
-        let row = random::take(None).unwrap_or(row);
+        let row = random::replace_state(None).unwrap_or(row);
         self.life = Some(Life {
             runtime,
             start,
@@ -201,14 +201,14 @@
         self.paused_until = 0;
         let unsynced = if power { self.disk.crash() } else { 0 };
         if let Some(life) = self.life.take() {
-            random::take(Some(life.row));
+            random::replace_state(Some(life.row));
             let Life { runtime, inside, .. } = life;
             {
                 let _entered = runtime.enter();
                 drop(inside);
             }
             drop(runtime);
-            random::take(None);
+            random::replace_state(None);
         }
         unsynced
     }
@@ -229,7 +229,7 @@
             return None;
         }
         let life = self.life.as_mut()?;
-        random::take(Some(life.row));
+        random::replace_state(Some(life.row));
         if life.missed > 0 {
             // All that was due meanwhile is due at once.
             let missed = TICK * life.missed;
@@ -241,7 +241,7 @@
         life.runtime.block_on(async { sleep_until(until).await });
         let mut seen = life.serve(setup, &mut self.random, now);
         seen.views = life.gossip(network, self.host);
-        life.row = random::take(None).unwrap_or(life.row);
+        life.row = random::replace_state(None).unwrap_or(life.row);
         Some(seen)
     }
 
