--- a/src/fleet/clock.rs
+++ b/src/fleet/clock.rs
@@ -50,7 +50,7 @@
     }
 
     /// Waits `pause` more finely than the runtime's timers do, and holds up the thread for it.
-    pub async fn look(&self, pause: Duration) {
+    pub async fn sleep_precisely(&self, pause: Duration) {
         match self.simulated {
             None => std::thread::sleep(pause),
             // No time passes while the thread is held up.
--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -206,7 +206,7 @@
         tokio::select! {
             () = sleep(until.saturating_sub(early)) => {
                 while early > Duration::ZERO && part.clock.now() < next {
-                    part.clock.look(LOOK).await;
+                    part.clock.sleep_precisely(LOOK).await;
                 }
                 part.step(Input::Tick);
             }
