--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -7,7 +7,7 @@
 use crate::fleet::decided::{Applied, State};
 use crate::fleet::experiment::record as experiments;
 use crate::fleet::experiment::record::{End, WINNER};
-use crate::fleet::experiment::words;
+use crate::fleet::experiment::summary;
 use crate::fleet::posture::Ears;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::lease::Given;
@@ -138,7 +138,7 @@
                     "closed": run.weighing.closed(),
                     "blocks": run.experiment.blocks(),
                     "verdict": run.weighing.verdict(&run.experiment, Duration::ZERO),
-                    "evidence": words::running(&run.experiment, &run.weighing),
+                    "evidence": summary::running(&run.experiment, &run.weighing),
                     "document": run.experiment,
                 })
             });
@@ -154,7 +154,7 @@
                     "on": fence(past.on),
                     "closed": past.closed,
                     "end": end,
-                    "evidence": words::ended(past),
+                    "evidence": summary::ended(past),
                     "made": past.made,
                     "activation": past.made.map(|made| winners(made, past.on, &state.routes)),
                     "document": past.experiment,
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -4,7 +4,7 @@
 //! [`assign`] says which arm a subject is in, [`counter`] what of it is counted at a matcher, [`counts`] holds what each
 //! matcher counted, [`blocks`] makes observations of them once enough matchers told, [`collect`] has the leader put them
 //! into the log, [`sequential`] weighs them, [`decide`] says what follows, [`record`] is what the fleet decided, and
-//! [`words`] tells operators why. Arm 0 is the control. docs/experiments.md has the ways that were weighed and what was measured.
+//! [`summary`] tells operators why. Arm 0 is the control. docs/experiments.md has the ways that were weighed and what was measured.
 
 pub mod assign;
 pub mod blocks;
@@ -14,7 +14,7 @@
 pub mod decide;
 pub mod record;
 pub mod sequential;
-pub mod words;
+pub mod summary;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -11,7 +11,7 @@
 use hopwalk::fleet::experiment::decide::{decide, Weighing};
 use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MOST_BY, MOST_HISTORY};
 use hopwalk::fleet::experiment::sequential::Running;
-use hopwalk::fleet::experiment::words;
+use hopwalk::fleet::experiment::summary;
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
 use hopwalk::fleet::routes::record as routes;
 use hopwalk::fleet::routes::Version;
@@ -225,7 +225,7 @@
     take(&mut state, start(x.clone(), false)).unwrap();
     let said = |state: &decided::State| {
         let run = state.experiments.run().unwrap();
-        words::running(&run.experiment, &run.weighing).join("\n")
+        summary::running(&run.experiment, &run.weighing).join("\n")
     };
     for block in 0..9 {
         take(&mut state, closed(block, &[few(5), few(5)])).unwrap();
@@ -241,9 +241,9 @@
     let Ok(Applied::Ended(Some(Verdict::Invalid { .. }))) = take(&mut state, closed(9, &lost)) else {
         panic!()
     };
-    let past = words::ended(state.experiments.history().last().unwrap()).join("\n");
+    let past = summary::ended(state.experiments.history().last().unwrap()).join("\n");
     assert!(past.contains("the split is not") && past.contains("16.5 points less than asked"), "{past}");
-    let past = words::ended(won(true).0.experiments.history().last().unwrap()).join("\n");
+    let past = summary::ended(won(true).0.experiments.history().last().unwrap()).join("\n");
     assert!(past.contains("a1 won: it served ") && past.contains("points more in aim than a0"), "{past}");
 }
 
