--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -388,7 +388,7 @@
         if held.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
             let life = held.member.life();
             let life = (life.name.clone(), life.incarnation);
-            held.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
+            held.counter = Some(Counter::new(experiment, life, &members, self.clock.unix()));
         }
         held.counter.iter_mut().for_each(|counter| counter.closed(closed));
     }
--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -61,7 +61,7 @@
     /// Begins to count at `now`. `members` are those who serve, as this matcher knows them at the start; the same at all
     /// of them, else some subjects are counted twice or not at all. A life that begins after the first block (a restart, or a
     /// member that joins) counts no subjects as assigned: an earlier one may have. Its outcomes count.
-    pub fn of(experiment: Experiment, life: Life, members: &BTreeSet<String>, now: Duration) -> Self {
+    pub fn new(experiment: Experiment, life: Life, members: &BTreeSet<String>, now: Duration) -> Self {
         let key = |name: &String| hash(&experiment, b"owner", name.as_bytes());
         let others = members.iter().filter(|name| **name != life.0).map(key).collect();
         let keys = (now < experiment.end_of(0)).then(|| (key(&life.0), others));
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -450,7 +450,7 @@
         };
         let (life, members) = (("m1".to_string(), 1), ["m1".to_string()].into());
         routing.held().counter =
-            Some(Counter::of(experiment, life.clone(), &members, routing.0.clock.unix()));
+            Some(Counter::new(experiment, life.clone(), &members, routing.0.clock.unix()));
         let mut new = 0;
         for n in 0..1000u32 {
             let call = call("seat", None, &n.to_le_bytes());
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -265,7 +265,7 @@
 }
 
 fn counter(at: u64, of: u64) -> Counter {
-    Counter::of(two(), (format!("m{at}"), 1), &members(of), Duration::from_millis(4000))
+    Counter::new(two(), (format!("m{at}"), 1), &members(of), Duration::from_millis(4000))
 }
 
 const fn at(ms: u64) -> Duration {
@@ -296,7 +296,7 @@
     assert!(assigned.iter().sum::<u64>() == 1000 && assigned.iter().all(|n| (130..270).contains(n)));
     assert!(reports.iter().all(|report| of(report, 0, Kind::Late) == (1, 1000)));
     // A life that begins later may follow one that counted: it leaves the subjects.
-    let mut late = Counter::of(two(), ("m0".into(), 2), &members(1), at(6000));
+    let mut late = Counter::new(two(), ("m0".into(), 2), &members(1), at(6000));
     late.assigned(b"s", at(6100)).unwrap();
     late.ended(b"s", Kind::Served, at(6100)).unwrap();
     let report = late.report(at(7000)).unwrap();
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -199,7 +199,7 @@
     let (experiment, who) = (equal(200, 20), BTreeSet::from(["m".to_string()]));
     let count = |plainly: bool| {
         let begin = |random: &mut Random| {
-            let counter = Counter::of(experiment.clone(), ("m".into(), 1), &who, Duration::ZERO);
+            let counter = Counter::new(experiment.clone(), ("m".into(), 1), &who, Duration::ZERO);
             (random.unit().to_bits(), counter)
         };
         let next = |random: &mut Random, (play, counter): &mut (u64, Counter), block: u64| {
@@ -262,7 +262,7 @@
         let play = random.unit().to_bits();
         let counter = |name: &String| {
             let known = if alone { BTreeSet::from([name.clone()]) } else { all.clone() };
-            Counter::of(experiment.clone(), (name.clone(), 1), &known, Duration::ZERO)
+            Counter::new(experiment.clone(), (name.clone(), 1), &known, Duration::ZERO)
         };
         let mut counters: Vec<_> = all.iter().map(counter).collect();
         // Blocks are counted in order of time: who comes when is drawn first.
--- a/tests/experiment/splits.rs
+++ b/tests/experiment/splits.rs
@@ -146,7 +146,7 @@
     let experiment: Experiment = experiment(&[0.5, 0.5]);
     let counter = |(own, view): (usize, &[usize])| {
         let members: BTreeSet<String> = view.iter().map(name).collect();
-        Counter::of(experiment.clone(), (name(&own), 1), &members, at(4000))
+        Counter::new(experiment.clone(), (name(&own), 1), &members, at(4000))
     };
     let mut counters: Vec<_> = views.into_iter().enumerate().map(counter).collect();
     let mut all = 0;
