--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// [`CountsError`] where there is no room; nothing is counted then.
-    pub fn assigned(&mut self, subject: &[u8], now: Duration) -> Result<(), CountsError> {
+    pub fn count_assigned(&mut self, subject: &[u8], now: Duration) -> Result<(), CountsError> {
         let (Some(block), Some((own, others))) = (self.block(now), &self.keys) else { return Ok(()) };
         let hash = hash(&self.experiment, b"subject", subject);
         let score = mix(hash ^ own);
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -214,7 +214,7 @@
                 let name = &experiment.arms.get(arm(experiment, &call.subject))?.name;
                 let arm = route.arms.iter().find(|a| a.name == *name)?;
                 // What has no room is not counted, for no arm.
-                let _ = counter.assigned(&call.subject, clock.unix());
+                let _ = counter.count_assigned(&call.subject, clock.unix());
                 Some(arm)
             });
             let pool = table.pools.get(arm.map_or(&route.pool, |a| &a.pool))?;
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -286,7 +286,7 @@
     for subject in 0..1000u64 {
         for counter in &mut counters {
             for _ in 0..3 {
-                counter.assigned(&subject.to_le_bytes(), seen).unwrap();
+                counter.count_assigned(&subject.to_le_bytes(), seen).unwrap();
                 counter.ended(&subject.to_le_bytes(), Kind::Late, seen).unwrap();
             }
         }
@@ -297,7 +297,7 @@
     assert!(reports.iter().all(|report| of(report, 0, Kind::Late) == (1, 1000)));
     // A life that begins later may follow one that counted: it leaves the subjects.
     let mut late = Counter::new(two(), ("m0".into(), 2), &members(1), at(6000));
-    late.assigned(b"s", at(6100)).unwrap();
+    late.count_assigned(b"s", at(6100)).unwrap();
     late.ended(b"s", Kind::Served, at(6100)).unwrap();
     let report = late.report(at(7000)).unwrap();
     assert_eq!((of(&report, 1, Kind::Assigned).1, of(&report, 1, Kind::Served).1), (0, 1));
@@ -307,7 +307,7 @@
 fn what_a_matcher_holds_and_sends_is_bounded() {
     let mut one = counter(0, 1);
     for subject in 0..MOST_SUBJECTS as u64 + 50 {
-        one.assigned(&subject.to_le_bytes(), at(5100)).unwrap();
+        one.count_assigned(&subject.to_le_bytes(), at(5100)).unwrap();
         one.ended(&(subject % (2 * SUBJECTS_APART as u64)).to_le_bytes(), Kind::Served, at(5100)).unwrap();
     }
     // Full: no more in any arm. Forgotten after so many others: counts anew.
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -281,7 +281,7 @@
                 if lossy && number % 50 == 0 && arm(&experiment, &subject) == 1 {
                     continue;
                 }
-                counters[*matcher].assigned(&subject, at(block as u64)).unwrap();
+                counters[*matcher].count_assigned(&subject, at(block as u64)).unwrap();
             }
             let told = |counter: &mut Counter| counter.report(at(block as u64 + 1)).unwrap().counts;
             counts.push(counters.iter_mut().map(told).collect::<Vec<_>>());
--- a/tests/experiment/splits.rs
+++ b/tests/experiment/splits.rs
@@ -154,7 +154,7 @@
         for counter in &mut counters {
             if block % 10 == 0 {
                 for subject in 0..2000u64 {
-                    counter.assigned(&subject.to_le_bytes(), at(5500 + 1000 * block)).unwrap();
+                    counter.count_assigned(&subject.to_le_bytes(), at(5500 + 1000 * block)).unwrap();
                 }
             }
             let counts = counter.report(at(6000 + 1000 * block)).unwrap().counts;
