--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// [`CountsError`] where there is no room; nothing is counted then.
-    pub fn ended(&mut self, subject: &[u8], kind: Kind, now: Duration) -> Result<(), CountsError> {
+    pub fn count_outcome(&mut self, subject: &[u8], kind: Kind, now: Duration) -> Result<(), CountsError> {
         let Some(block) = self.block(now).filter(|_| kind != Kind::Assigned) else { return Ok(()) };
         let hash = hash(&self.experiment, b"subject", subject);
         let [newer, older] = &mut self.ended;
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -305,7 +305,7 @@
         if let (Some(route), Some(counter)) = (route, counter) {
             if !route.arms.is_empty() {
                 // What has no room is not counted, for no arm.
-                let _ = counter.ended(&call.subject, kind, self.0.clock.unix());
+                let _ = counter.count_outcome(&call.subject, kind, self.0.clock.unix());
             }
         }
     }
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -287,7 +287,7 @@
         for counter in &mut counters {
             for _ in 0..3 {
                 counter.count_assigned(&subject.to_le_bytes(), seen).unwrap();
-                counter.ended(&subject.to_le_bytes(), Kind::Late, seen).unwrap();
+                counter.count_outcome(&subject.to_le_bytes(), Kind::Late, seen).unwrap();
             }
         }
     }
@@ -298,7 +298,7 @@
     // A life that begins later may follow one that counted: it leaves the subjects.
     let mut late = Counter::new(two(), ("m0".into(), 2), &members(1), at(6000));
     late.count_assigned(b"s", at(6100)).unwrap();
-    late.ended(b"s", Kind::Served, at(6100)).unwrap();
+    late.count_outcome(b"s", Kind::Served, at(6100)).unwrap();
     let report = late.report(at(7000)).unwrap();
     assert_eq!((of(&report, 1, Kind::Assigned).1, of(&report, 1, Kind::Served).1), (0, 1));
 }
@@ -308,7 +308,8 @@
     let mut one = counter(0, 1);
     for subject in 0..MOST_SUBJECTS as u64 + 50 {
         one.count_assigned(&subject.to_le_bytes(), at(5100)).unwrap();
-        one.ended(&(subject % (2 * SUBJECTS_APART as u64)).to_le_bytes(), Kind::Served, at(5100)).unwrap();
+        one.count_outcome(&(subject % (2 * SUBJECTS_APART as u64)).to_le_bytes(), Kind::Served, at(5100))
+            .unwrap();
     }
     // Full: no more in any arm. Forgotten after so many others: counts anew.
     let report = one.report(at(6000)).unwrap();
@@ -316,7 +317,7 @@
     assert_eq!(of(&report, 0, Kind::Served).1, 2 * SUBJECTS_APART as u64 + 50);
     // All blocks, none closed.
     for ms in (5000..205_000u64).step_by(1000) {
-        one.ended(&(ms << 32).to_le_bytes(), Kind::Failed, at(ms)).unwrap();
+        one.count_outcome(&(ms << 32).to_le_bytes(), Kind::Failed, at(ms)).unwrap();
     }
     let (held, report) = (one.cells(), one.report(at(900_000)).unwrap());
     assert_eq!(of(&report, 1, Kind::Failed), (MOST_SENT, 2));
@@ -330,12 +331,12 @@
 #[test]
 fn a_clock_that_is_set_back_counts_in_the_first_block_that_is_open() {
     let mut one = counter(0, 1);
-    one.ended(b"early", Kind::Served, at(4999)).unwrap();
+    one.count_outcome(b"early", Kind::Served, at(4999)).unwrap();
     one.report(at(9500)).unwrap();
-    one.ended(b"back", Kind::Served, at(5500)).unwrap();
+    one.count_outcome(b"back", Kind::Served, at(5500)).unwrap();
     let report = one.report(at(5600)).unwrap();
     assert_eq!(of(&report, 4, Kind::Served), (4, 1));
-    one.ended(b"after", Kind::Served, at(205_000)).unwrap();
+    one.count_outcome(b"after", Kind::Served, at(205_000)).unwrap();
     assert_eq!(one.cells(), 1);
 }
 
@@ -499,7 +500,7 @@
             for counter in &mut counters {
                 counter.closed(state.experiments.closed());
                 let subject = random.unit().to_bits().to_le_bytes();
-                counter.ended(&subject, Kind::Served, at(now)).unwrap();
+                counter.count_outcome(&subject, Kind::Served, at(now)).unwrap();
                 if let Some(block) = two().block_at(at(now)) {
                     counted[block as usize] += 1;
                 }
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -218,7 +218,7 @@
                     }
                 } else {
                     let kind = if served { Kind::Served } else { Kind::Late };
-                    counter.ended(&subject, kind, at(block)).unwrap();
+                    counter.count_outcome(&subject, kind, at(block)).unwrap();
                 }
             }
             if plainly {
