--- a/src/fleet/driver/part.rs
+++ b/src/fleet/driver/part.rs
@@ -390,7 +390,7 @@
             let life = (life.name.clone(), life.incarnation);
             held.counter = Some(Counter::new(experiment, life, &members, self.clock.unix()));
         }
-        held.counter.iter_mut().for_each(|counter| counter.closed(closed));
+        held.counter.iter_mut().for_each(|counter| counter.discard_closed(closed));
     }
 
     /// Whom to ask for the leader's word: this process itself, or a voter; the last one's word, else one after another.
--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -121,7 +121,7 @@
     }
 
     /// The leader's record closed the first `closed` blocks: what was counted of them is dropped.
-    pub fn closed(&mut self, closed: u64) {
+    pub fn discard_closed(&mut self, closed: u64) {
         if closed > self.closed {
             self.closed = closed;
             self.counts.forget(closed);
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -322,7 +322,7 @@
     let (held, report) = (one.cells(), one.report(at(900_000)).unwrap());
     assert_eq!(of(&report, 1, Kind::Failed), (MOST_SENT, 2));
     assert!(report.counts.cells() as u64 <= MOST_SENT + 4 && held > 199);
-    one.closed(150);
+    one.discard_closed(150);
     let report = one.report(at(900_000)).unwrap();
     assert_eq!((of(&report, 150, Kind::Failed), of(&report, 149, Kind::Failed).1), ((200, 1), 0));
     assert!(one.cells() == 50);
@@ -498,7 +498,7 @@
         while state.experiments.running().is_some() {
             now += 100;
             for counter in &mut counters {
-                counter.closed(state.experiments.closed());
+                counter.discard_closed(state.experiments.closed());
                 let subject = random.unit().to_bits().to_le_bytes();
                 counter.count_outcome(&subject, Kind::Served, at(now)).unwrap();
                 if let Some(block) = two().block_at(at(now)) {
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -225,7 +225,7 @@
                 return tallies.to_vec();
             }
             let report = counter.report(at(block + 1)).unwrap();
-            counter.closed(block + 1);
+            counter.discard_closed(block + 1);
             sums(&[report.counts], block, 2)
         };
         plays(n, &experiment, begin, next).won()
@@ -285,7 +285,7 @@
             }
             let told = |counter: &mut Counter| counter.report(at(block as u64 + 1)).unwrap().counts;
             counts.push(counters.iter_mut().map(told).collect::<Vec<_>>());
-            counters.iter_mut().for_each(|counter| counter.closed(block as u64 + 1));
+            counters.iter_mut().for_each(|counter| counter.discard_closed(block as u64 + 1));
         }
         counts
     };
--- a/tests/experiment/splits.rs
+++ b/tests/experiment/splits.rs
@@ -159,7 +159,7 @@
             }
             let counts = counter.report(at(6000 + 1000 * block)).unwrap().counts;
             all += sums(&[counts], block, 2).iter().map(|tally| tally.assigned).sum::<u64>();
-            counter.closed(block + 1);
+            counter.discard_closed(block + 1);
         }
     }
     all
