--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -123,8 +123,8 @@
     }
 
     /// Takes what a matcher counted; false if it was not taken.
-    pub fn heard(&mut self, state: &State, report: &Report) -> bool {
-        self.term.is_some() && self.collector.heard(&state.experiments, report).is_ok()
+    pub fn add_report(&mut self, state: &State, report: &Report) -> bool {
+        self.term.is_some() && self.collector.add_report(&state.experiments, report).is_ok()
     }
 
     /// What the experiments want in the log now: a block's end, or the activation of a winner's table.
--- a/src/fleet/experiment/collect.rs
+++ b/src/fleet/experiment/collect.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// [`CountsError`] where there is no room, or the report cannot be; nothing is taken then.
-    pub fn heard(&mut self, state: &State, report: &Report) -> Result<(), CountsError> {
+    pub fn add_report(&mut self, state: &State, report: &Report) -> Result<(), CountsError> {
         self.follow(state);
         if self.experiment.as_ref() != Some(&report.experiment) {
             return Ok(());
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -349,9 +349,9 @@
     let mut other = report(9000);
     other.experiment = "y".into();
     for mut counter in [counter(0, 3), counter(1, 3)] {
-        collector.heard(&state.experiments, &counter.report(at(7000)).unwrap()).unwrap();
+        collector.add_report(&state.experiments, &counter.report(at(7000)).unwrap()).unwrap();
     }
-    collector.heard(&state.experiments, &other).unwrap();
+    collector.add_report(&state.experiments, &other).unwrap();
     assert_eq!(collector.propose(&state.experiments, &who, at(6000)), None);
     assert_eq!(collector.propose(&state.experiments, &who, at(7999)), None);
     let first = collector.propose(&state.experiments, &who, at(8000)).unwrap();
@@ -376,7 +376,7 @@
     take(&mut state, start(two(), false)).unwrap();
     let who = members(3);
     let tell = |collector: &mut Collector, m| {
-        collector.heard(&state.experiments, &counter(m, 3).report(at(7000)).unwrap()).unwrap()
+        collector.add_report(&state.experiments, &counter(m, 3).report(at(7000)).unwrap()).unwrap()
     };
     let mut late = Collector::default();
     [0, 1].into_iter().for_each(|m| tell(&mut late, m));
@@ -513,7 +513,7 @@
             }
             for _ in 0..3 {
                 if let Some(report) = late.get((random.unit() * late.len() as f64) as usize) {
-                    collector.heard(&state.experiments, report).unwrap();
+                    collector.add_report(&state.experiments, report).unwrap();
                 }
             }
             late.drain(..late.len().saturating_sub(8));
