--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -148,8 +148,8 @@
     }
 
     /// An entry of the experiments was taken, refused or given up.
-    pub fn answered(&mut self) {
-        self.collector.answered();
+    pub fn proposal_finished(&mut self) {
+        self.collector.proposal_finished();
     }
 }
 
--- a/src/fleet/experiment/collect.rs
+++ b/src/fleet/experiment/collect.rs
@@ -43,7 +43,7 @@
     }
 
     /// The entry to propose at `now`, since the Unix epoch, if there is one: the next block that can be closed, else the
-    /// end. `members` are those who are to be heard. None while an earlier one is on its way: [`Collector::answered`].
+    /// end. `members` are those who are to be heard. None while an earlier one is on its way: [`Collector::proposal_finished`].
     /// Until the first call is the grace ago nobody is given up on, and it does not end.
     pub fn propose(&mut self, state: &State, members: &BTreeSet<String>, now: Duration) -> Option<Entry> {
         self.follow(state);
@@ -71,7 +71,7 @@
 
     /// What was proposed has come to its end: applied, refused, or given up. If the log did not take it, it is proposed
     /// again; if the log took it late, the record refuses the second one.
-    pub fn answered(&mut self) {
+    pub fn proposal_finished(&mut self) {
         self.flight = None;
     }
 
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -357,7 +357,7 @@
     let first = collector.propose(&state.experiments, &who, at(8000)).unwrap();
     assert!(matches!(first, Entry::Block { block: 0, .. }));
     assert_eq!(collector.propose(&state.experiments, &who, at(8100)), None);
-    collector.answered();
+    collector.proposal_finished();
     let again = collector.propose(&state.experiments, &who, at(8100)).unwrap();
     take(&mut state, first).unwrap();
     assert!(matches!(take(&mut state, again), Err(RecordError::Order { block: 0, next: 1 })));
@@ -529,7 +529,7 @@
                     }
                     take(&mut state, entry).unwrap();
                 }
-                collector.answered();
+                collector.proposal_finished();
             }
             prop_assert!(collector.cells() < 3 * 10 * 40);
         }
