--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -114,7 +114,7 @@
             served: of(Kind::Served),
             late: of(Kind::Late),
             failed: of(Kind::Failed),
-            turned_away: of(Kind::TurnedAway),
+            turned_away: of(Kind::Refused),
         }
     };
     Some((0..experiment.arms.len() as u8).map(tally).collect())
--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -32,7 +32,8 @@
     /// Requests that failed.
     Failed,
     /// Requests turned away.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    Refused,
 }
 
 /// Which counter of a life.
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -288,7 +288,7 @@
     bench.advance_to(5_100);
     bench.set_route_states(5_200, RouteState::Closed);
     bench.send(5_210, "queue-status", |_| ());
-    assert_eq!(bench.counted_kinds(), [Kind::Served, Kind::Late, Kind::Failed, Kind::TurnedAway]);
+    assert_eq!(bench.counted_kinds(), [Kind::Served, Kind::Late, Kind::Failed, Kind::Refused]);
 }
 
 const ONCE: Allowed = Allowed { tries: 1, without: false };
