--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -21,18 +21,19 @@
     /// Failed.
     pub failed: u64,
     /// Turned away.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub refused: u64,
 }
 
 impl Tally {
     /// The greatest of its counts.
     pub fn most(&self) -> u64 {
-        let all = [self.assigned, self.served, self.late, self.failed, self.turned_away];
+        let all = [self.assigned, self.served, self.late, self.failed, self.refused];
         all.into_iter().max().unwrap_or(0)
     }
 
     fn requests(&self) -> f64 {
-        [self.served, self.late, self.failed, self.turned_away].into_iter().map(|n| n as f64).sum()
+        [self.served, self.late, self.failed, self.refused].into_iter().map(|n| n as f64).sum()
     }
 
     /// The share served within its aim, of all requests; none without requests.
@@ -114,7 +115,7 @@
             served: of(Kind::Served),
             late: of(Kind::Late),
             failed: of(Kind::Failed),
-            turned_away: of(Kind::Refused),
+            refused: of(Kind::Refused),
         }
     };
     Some((0..experiment.arms.len() as u8).map(tally).collect())
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -424,12 +424,12 @@
 fn blocks() -> impl Strategy<Value = Vec<Vec<Tally>>> {
     let counts = |most: u64| (0..=most, 0..most, 0..5u64, 0..3u64, 0..400u64);
     let tally = move |most| {
-        counts(most).prop_map(|(served, late, failed, turned_away, assigned)| Tally {
+        counts(most).prop_map(|(served, late, failed, refused, assigned)| Tally {
             assigned,
             served,
             late,
             failed,
-            turned_away,
+            refused,
         })
     };
     (40u64..120, 40u64..120).prop_flat_map(move |(a, b)| {
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -62,7 +62,7 @@
             own = 0.8 * own + 0.6 * 0.03 * random.normal();
             served += (0..20).filter(|_| random.unit() < chance + common + own).count() as u64;
         }
-        Tally { assigned: 0, served, late: 200 - served, failed: 0, turned_away: 0 }
+        Tally { assigned: 0, served, late: 200 - served, failed: 0, refused: 0 }
     };
     chances.iter().map(play).collect()
 }
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -247,7 +247,7 @@
         served: sum(arm, Kind::Served),
         late: sum(arm, Kind::Late),
         failed: sum(arm, Kind::Failed),
-        turned_away: sum(arm, Kind::Refused),
+        refused: sum(arm, Kind::Refused),
     };
     (0..arms).map(tally).collect()
 }
