--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -135,10 +135,10 @@
                     "by": run.by,
                     "on": fence(run.on),
                     "activate": run.activate,
-                    "closed": run.weighing.closed(),
+                    "closed": run.evaluation.closed(),
                     "blocks": run.experiment.blocks(),
-                    "verdict": run.weighing.verdict(&run.experiment, Duration::ZERO),
-                    "evidence": summary::running(&run.experiment, &run.weighing),
+                    "verdict": run.evaluation.verdict(&run.experiment, Duration::ZERO),
+                    "evidence": summary::running(&run.experiment, &run.evaluation),
                     "document": run.experiment,
                 })
             });
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -313,7 +313,7 @@
         let (effects, leads, running) = self.deciding(voter, |at, lead| {
             let running = at.state.experiments.run().map(|run| {
                 let experiment = run.experiment.clone();
-                Box::new(Running { experiment, closed: run.weighing.closed(), members: lead.members() })
+                Box::new(Running { experiment, closed: run.evaluation.closed(), members: lead.members() })
             });
             (lead.ask(at, ask), lead.leads(at.now), running)
         });
--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -19,7 +19,7 @@
 
 /// What is kept of the blocks so far: a few figures an arm, however many blocks there were.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Weighing {
+pub struct Evaluation {
     closed: u64,
     pub(super) weighed: u64,
     pub(super) assigned: Vec<u64>,
@@ -30,12 +30,12 @@
 /// The verdict at `now`, since the fleet's epoch. The blocks are gone through from the first one, and the first that
 /// decides does: whoever asks later, with more blocks, hears the same. Time is linear in blocks and arms.
 pub fn decide(experiment: &Experiment, blocks: &Blocks, now: Duration) -> Verdict {
-    let mut weighing = Weighing::new(experiment);
-    let decided = blocks.closed().iter().find_map(|block| weighing.push(experiment, block));
-    decided.unwrap_or_else(|| weighing.verdict(experiment, now))
+    let mut evaluation = Evaluation::new(experiment);
+    let decided = blocks.closed().iter().find_map(|block| evaluation.push(experiment, block));
+    decided.unwrap_or_else(|| evaluation.verdict(experiment, now))
 }
 
-impl Weighing {
+impl Evaluation {
     /// Before the first block.
     pub fn new(experiment: &Experiment) -> Self {
         let arms = experiment.arms.len();
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use super::blocks::Tally;
-use super::decide::Weighing;
+use super::decide::Evaluation;
 use super::{DocumentError, Experiment, Verdict};
 use crate::fleet::routes::record as routes;
 use crate::fleet::routes::table::{Table, SHARES};
@@ -141,7 +141,8 @@
     /// The table that holds its arms.
     pub on: Fence,
     /// What its blocks came to so far.
-    pub weighing: Weighing,
+    #[serde(rename = "weighing")]
+    pub evaluation: Evaluation,
 }
 
 /// What all entries come to. Its size does not grow with blocks: a few figures an arm, and [`MOST_HISTORY`] documents.
@@ -167,7 +168,7 @@
             }
             Entry::Block { name, block, tallies, at_ms } => {
                 let running = self.runs(name)?;
-                let (next, arms) = (running.weighing.closed(), running.experiment.arms.len());
+                let (next, arms) = (running.evaluation.closed(), running.experiment.arms.len());
                 if *block != next {
                     return Err(RecordError::Order { block: *block, next });
                 }
@@ -180,9 +181,9 @@
                 }
                 // A block that is closed late is weighed like one in time: only `Over` gives up on those that are left.
                 let now = running.experiment.end_of(next);
-                let Running { experiment, weighing, .. } = running;
-                let verdict = weighing.push(experiment, tallies);
-                match verdict.unwrap_or_else(|| weighing.verdict(experiment, now)) {
+                let Running { experiment, evaluation, .. } = running;
+                let verdict = evaluation.push(experiment, tallies);
+                match verdict.unwrap_or_else(|| evaluation.verdict(experiment, now)) {
                     Verdict::Continue { .. } => Ok(Applied::Taken { block: *block }),
                     verdict => Ok(self.end(End::Verdict { verdict, at_ms: *at_ms }, routes)),
                 }
@@ -193,7 +194,7 @@
                 let end = overtaken(running, routes).unwrap_or_else(|| {
                     let now = Duration::from_millis(*at_ms);
                     End::Verdict {
-                        verdict: running.weighing.verdict(&running.experiment, now),
+                        verdict: running.evaluation.verdict(&running.experiment, now),
                         at_ms: *at_ms,
                     }
                 });
@@ -226,7 +227,7 @@
         let table = routes.table(on.version).ok_or(RecordError::NoTable)?;
         fits(experiment, table, on.version)?;
         self.running = Some(Running {
-            weighing: Weighing::new(experiment),
+            evaluation: Evaluation::new(experiment),
             experiment: experiment.clone(),
             activate,
             by: by.into(),
@@ -254,8 +255,8 @@
             }
             _ => None,
         };
-        let Running { experiment, by, on, weighing, .. } = running;
-        self.history.push_back(Past { experiment, by, on, closed: weighing.closed(), end, made });
+        let Running { experiment, by, on, evaluation, .. } = running;
+        self.history.push_back(Past { experiment, by, on, closed: evaluation.closed(), end, made });
         if self.history.len() > MOST_HISTORY {
             self.history.pop_front();
         }
@@ -274,7 +275,7 @@
 
     /// Blocks of the running experiment that are closed for good; none runs: 0.
     pub fn closed(&self) -> u64 {
-        self.running.as_ref().map_or(0, |running| running.weighing.closed())
+        self.running.as_ref().map_or(0, |running| running.evaluation.closed())
     }
 
     /// How experiments ended, oldest first.
--- a/src/fleet/experiment/summary.rs
+++ b/src/fleet/experiment/summary.rs
@@ -1,6 +1,6 @@
 //! What an experiment stands on, in plain words, for operators.
 
-use super::decide::Weighing;
+use super::decide::Evaluation;
 use super::record::{End, Past};
 use super::sequential::Running;
 use super::{Arm, Evidence, Experiment, Verdict};
@@ -49,19 +49,19 @@
 }
 
 /// Of the one that runs: its blocks, each arm against the control, the split.
-pub fn running(experiment: &Experiment, weighing: &Weighing) -> Vec<String> {
-    let blocks = weighing.weighed;
+pub fn running(experiment: &Experiment, evaluation: &Evaluation) -> Vec<String> {
+    let blocks = evaluation.weighed;
     let mut lines = vec![
         format!(
             "{} of {} blocks are closed; {blocks} had requests in every arm",
-            weighing.closed(),
+            evaluation.closed(),
             experiment.blocks()
         ),
         asked(experiment),
     ];
     let control = name(experiment, 0);
     let comparisons = experiment.comparisons();
-    for (at, c) in weighing.arms.iter().enumerate() {
+    for (at, c) in evaluation.arms.iter().enumerate() {
         let level = |alpha: f64, of: &Running| between(of.interval(alpha / comparisons, experiment.wave()));
         lines.push(format!(
             "{} serves {} in aim than {control}, {}; {}",
@@ -79,14 +79,14 @@
             fewer(&c.bad, experiment, blocks)
         ));
     }
-    let all = weighing.assigned.iter().map(|n| *n as f64).sum::<f64>();
+    let all = evaluation.assigned.iter().map(|n| *n as f64).sum::<f64>();
     let arm = |(arm, n): (&Arm, &u64)| format!("{} {n} for {:.1}", arm.name, arm.share * all);
-    let subjects: Vec<_> = experiment.arms.iter().zip(&weighing.assigned).map(arm).collect();
+    let subjects: Vec<_> = experiment.arms.iter().zip(&evaluation.assigned).map(arm).collect();
     lines.push(format!(
         "subjects, each counted once, for those asked: {}; the evidence against the split was {} at its most, and \
          {} stops the experiment",
         subjects.join(", "),
-        odds(weighing.most_split),
+        odds(evaluation.most_split),
         odds(-experiment.split_alpha.ln())
     ));
     lines
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::experiment::collect::Collector;
 use hopwalk::fleet::experiment::counter::{Counter, Report, MOST_SENT, MOST_SUBJECTS, SUBJECTS_APART};
 use hopwalk::fleet::experiment::counts::Kind;
-use hopwalk::fleet::experiment::decide::{decide, Weighing};
+use hopwalk::fleet::experiment::decide::{decide, Evaluation};
 use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MOST_BY, MOST_HISTORY};
 use hopwalk::fleet::experiment::sequential::Running;
 use hopwalk::fleet::experiment::summary;
@@ -225,7 +225,7 @@
     take(&mut state, start(x.clone(), false)).unwrap();
     let said = |state: &decided::State| {
         let run = state.experiments.run().unwrap();
-        summary::running(&run.experiment, &run.weighing).join("\n")
+        summary::running(&run.experiment, &run.evaluation).join("\n")
     };
     for block in 0..9 {
         take(&mut state, closed(block, &[few(5), few(5)])).unwrap();
@@ -251,12 +251,12 @@
 fn the_state_does_not_grow_with_blocks() {
     let arms = experiment(&[0.125; 8]).arms;
     let long = Experiment { arms, longest_ms: 10_000_000, ..two() };
-    let (mut weighing, mut random) = (Weighing::new(&long), Random(SEED));
+    let (mut evaluation, mut random) = (Evaluation::new(&long), Random(SEED));
     for _ in 0..10_000 {
         let block: Vec<_> = (0..8).map(|_| served(50 + (random.unit() * 20.0) as u64)).collect();
-        weighing.push(&long, &block);
+        evaluation.push(&long, &block);
     }
-    let bytes = postcard::to_allocvec(&weighing).unwrap().len();
+    let bytes = postcard::to_allocvec(&evaluation).unwrap().len();
     assert!(bytes < 16 * 1024, "{bytes} bytes");
 }
 
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -8,7 +8,7 @@
 use hopwalk::fleet::experiment::blocks::Tally;
 use hopwalk::fleet::experiment::counter::Counter;
 use hopwalk::fleet::experiment::counts::{Cell, Kind};
-use hopwalk::fleet::experiment::decide::Weighing;
+use hopwalk::fleet::experiment::decide::Evaluation;
 use hopwalk::fleet::experiment::{Experiment, Verdict};
 
 use super::{experiment, Random, SEED};
@@ -31,15 +31,15 @@
 ) -> Ends {
     let (mut random, mut ends) = (Random(SEED), Ends::default());
     for _ in 0..plays {
-        let (mut kept, mut weighing) = (begin(&mut random), Weighing::new(experiment));
+        let (mut kept, mut evaluation) = (begin(&mut random), Evaluation::new(experiment));
         let verdict = (0..experiment.blocks()).find_map(|block| {
             let tallies = next(&mut random, &mut kept, block);
-            weighing.push(experiment, &tallies)
+            evaluation.push(experiment, &tallies)
         });
         match verdict {
             Some(Verdict::Winner { arm, .. }) => {
                 ends.winners[arm] += 1.0 / f64::from(plays);
-                ends.blocks.push(weighing.closed());
+                ends.blocks.push(evaluation.closed());
             }
             Some(Verdict::Harm { .. }) => ends.harm += 1.0 / f64::from(plays),
             Some(Verdict::Invalid { .. }) => ends.invalid += 1.0 / f64::from(plays),
