--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use super::blocks::{Blocks, Tally};
-use super::sequential::{ln_e_split, Running};
+use super::sequential::{ln_e_split, BatchMeans};
 use super::{Evidence, Experiment, Verdict};
 
 /// One arm against the control.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Comparison {
-    pub(super) aim: Running,
-    pub(super) bad: Running,
+    pub(super) aim: BatchMeans,
+    pub(super) bad: BatchMeans,
     /// The greatest logarithms of evidence so far, for a p-value that never grows.
     most: (f64, f64),
 }
@@ -61,7 +61,7 @@
     ///   where all of them lie below it.
     /// - Harm is weighed in the same way, on its own `harm_alpha`; the split on all subjects, at `split_alpha`.
     /// - A block in which an arm had no request gives no observation, and counts for the split only.
-    /// - Where differences of neighbouring blocks hang together, they count as fewer ([`Running::effective`]), for waves of
+    /// - Where differences of neighbouring blocks hang together, they count as fewer ([`BatchMeans::effective`]), for waves of
     ///   up to [`Experiment::wave`] blocks whether or not they are seen; there is no winner and no harm on fewer than
     ///   [`Experiment::least_weighed`] blocks weighed.
     pub fn push(&mut self, experiment: &Experiment, block: &[Tally]) -> Option<Verdict> {
@@ -147,7 +147,7 @@
 
 /// All finite, so that JSON can hold it: a difference of shares lies between -1 and 1.
 fn evidence(
-    of: &Running,
+    of: &BatchMeans,
     null: f64,
     most: f64,
     (alpha, comparisons): (f64, f64),
--- a/src/fleet/experiment/sequential.rs
+++ b/src/fleet/experiment/sequential.rs
@@ -39,7 +39,7 @@
 /// doubt added, were of a wave of `wave` observations: the longest that the experiment is to bear. A longer one shows in
 /// the figures above once it has come and gone some times, and not before.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Running(Vec<Level>);
+pub struct BatchMeans(Vec<Level>);
 
 /// Means of one length: their own mean and variance (Welford, 1962), and how far one hangs together with the next (the
 /// mean square successive difference of von Neumann, 1941).
@@ -95,7 +95,7 @@
     }
 }
 
-impl Running {
+impl BatchMeans {
     /// Takes one observation in.
     pub fn push(&mut self, x: f64) {
         let mut x = x;
--- a/src/fleet/experiment/summary.rs
+++ b/src/fleet/experiment/summary.rs
@@ -2,7 +2,7 @@
 
 use super::decide::Evaluation;
 use super::record::{End, Past};
-use super::sequential::Running;
+use super::sequential::BatchMeans;
 use super::{Arm, Evidence, Experiment, Verdict};
 
 /// In points, which are hundredths.
@@ -41,7 +41,7 @@
     )
 }
 
-fn fewer(of: &Running, experiment: &Experiment, blocks: u64) -> String {
+fn fewer(of: &BatchMeans, experiment: &Experiment, blocks: u64) -> String {
     match of.effective(experiment.wave()) {
         0.0 => format!("its {blocks} blocks are too few or hang together too much to tell"),
         n => format!("its {blocks} blocks count as {n:.1} that do not hang together"),
@@ -62,7 +62,8 @@
     let control = name(experiment, 0);
     let comparisons = experiment.comparisons();
     for (at, c) in evaluation.arms.iter().enumerate() {
-        let level = |alpha: f64, of: &Running| between(of.interval(alpha / comparisons, experiment.wave()));
+        let level =
+            |alpha: f64, of: &BatchMeans| between(of.interval(alpha / comparisons, experiment.wave()));
         lines.push(format!(
             "{} serves {} in aim than {control}, {}; {}",
             name(experiment, at + 1),
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -10,7 +10,7 @@
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::decide::{decide, Evaluation};
 use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MOST_BY, MOST_HISTORY};
-use hopwalk::fleet::experiment::sequential::Running;
+use hopwalk::fleet::experiment::sequential::BatchMeans;
 use hopwalk::fleet::experiment::summary;
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
 use hopwalk::fleet::routes::record as routes;
@@ -395,7 +395,7 @@
     assert!(matches!(over.propose(&state.experiments, &who, at(302_000)), Some(Entry::Over { .. })));
 }
 
-/// The variance of a mean, straight from the list: what `Running` keeps in sums.
+/// The variance of a mean, straight from the list: what `BatchMeans` keeps in sums.
 fn effective(of: &[f64], wave: f64) -> f64 {
     let level = |means: &[f64], rho: f64| {
         let n = means.len() as f64;
@@ -442,7 +442,7 @@
 
     #[test]
     fn figures_that_are_kept_are_those_of_the_whole_list(list in prop::collection::vec(-1.0f64..1.0, 3..300), wave in 1.0f64..20.0) {
-        let mut running = Running::default();
+        let mut running = BatchMeans::default();
         list.iter().for_each(|x| running.push(*x));
         let plain = effective(&list, wave);
         prop_assert!((running.effective(wave) - plain).abs() < 1e-6 * plain || (plain < 2.0 && running.effective(wave) == 0.0));
