--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -131,7 +131,7 @@
 
 /// The experiment that runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Running {
+pub struct RunningExperiment {
     /// The document.
     pub experiment: Experiment,
     /// Whether a winner is switched to.
@@ -148,7 +148,7 @@
 /// What all entries come to. Its size does not grow with blocks: a few figures an arm, and [`MOST_HISTORY`] documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    running: Option<Running>,
+    running: Option<RunningExperiment>,
     history: VecDeque<Past>,
 }
 
@@ -181,7 +181,7 @@
                 }
                 // A block that is closed late is weighed like one in time: only `Over` gives up on those that are left.
                 let now = running.experiment.end_of(next);
-                let Running { experiment, evaluation, .. } = running;
+                let RunningExperiment { experiment, evaluation, .. } = running;
                 let verdict = evaluation.push(experiment, tallies);
                 match verdict.unwrap_or_else(|| evaluation.verdict(experiment, now)) {
                     Verdict::Continue { .. } => Ok(Applied::Taken { block: *block }),
@@ -226,7 +226,7 @@
         let on = routes.active().ok_or(RecordError::NoTable)?.fence;
         let table = routes.table(on.version).ok_or(RecordError::NoTable)?;
         fits(experiment, table, on.version)?;
-        self.running = Some(Running {
+        self.running = Some(RunningExperiment {
             evaluation: Evaluation::new(experiment),
             experiment: experiment.clone(),
             activate,
@@ -236,7 +236,7 @@
         Ok(Applied::Started)
     }
 
-    fn runs(&mut self, name: &str) -> Result<&mut Running, RecordError> {
+    fn runs(&mut self, name: &str) -> Result<&mut RunningExperiment, RecordError> {
         let running = self.running.as_mut().filter(|running| running.experiment.name == name);
         running.ok_or_else(|| RecordError::NotRunning { name: name.into() })
     }
@@ -255,7 +255,7 @@
             }
             _ => None,
         };
-        let Running { experiment, by, on, evaluation, .. } = running;
+        let RunningExperiment { experiment, by, on, evaluation, .. } = running;
         self.history.push_back(Past { experiment, by, on, closed: evaluation.closed(), end, made });
         if self.history.len() > MOST_HISTORY {
             self.history.pop_front();
@@ -269,7 +269,7 @@
     }
 
     /// The experiment that runs, with what its blocks came to.
-    pub fn run(&self) -> Option<&Running> {
+    pub fn run(&self) -> Option<&RunningExperiment> {
         self.running.as_ref()
     }
 
@@ -305,7 +305,7 @@
 }
 
 /// How it ends where another table is active than the one that it started on.
-fn overtaken(running: &Running, routes: &routes::State) -> Option<End> {
+fn overtaken(running: &RunningExperiment, routes: &routes::State) -> Option<End> {
     let active = routes.active().map(|active| active.fence);
     (active != Some(running.on)).then_some(End::Overtaken { active })
 }
