--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -142,7 +142,7 @@
                     "document": run.experiment,
                 })
             });
-            let ended = |past: &experiments::Past| {
+            let ended = |past: &experiments::EndedExperiment| {
                 let end = match &past.end {
                     End::Verdict { verdict, at_ms } => json!({ "verdict": verdict, "at_ms": at_ms }),
                     End::Stopped { by } => json!({ "stopped_by": by }),
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -114,7 +114,7 @@
 
 /// An experiment that ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct EndedExperiment {
     /// The document.
     pub experiment: Experiment,
     /// Who started it.
@@ -149,7 +149,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     running: Option<RunningExperiment>,
-    history: VecDeque<Past>,
+    history: VecDeque<EndedExperiment>,
 }
 
 impl State {
@@ -256,7 +256,14 @@
             _ => None,
         };
         let RunningExperiment { experiment, by, on, evaluation, .. } = running;
-        self.history.push_back(Past { experiment, by, on, closed: evaluation.closed(), end, made });
+        self.history.push_back(EndedExperiment {
+            experiment,
+            by,
+            on,
+            closed: evaluation.closed(),
+            end,
+            made,
+        });
         if self.history.len() > MOST_HISTORY {
             self.history.pop_front();
         }
@@ -279,7 +286,7 @@
     }
 
     /// How experiments ended, oldest first.
-    pub fn history(&self) -> impl Iterator<Item = &Past> {
+    pub fn history(&self) -> impl Iterator<Item = &EndedExperiment> {
         self.history.iter()
     }
 
--- a/src/fleet/experiment/summary.rs
+++ b/src/fleet/experiment/summary.rs
@@ -1,7 +1,7 @@
 //! What an experiment stands on, in plain words, for operators.
 
 use super::decide::Evaluation;
-use super::record::{End, Past};
+use super::record::{End, EndedExperiment};
 use super::sequential::BatchMeans;
 use super::{Arm, Evidence, Experiment, Verdict};
 
@@ -94,7 +94,7 @@
 }
 
 /// Of one that ended: why, and on what.
-pub fn ended(past: &Past) -> Vec<String> {
+pub fn ended(past: &EndedExperiment) -> Vec<String> {
     let experiment = &past.experiment;
     let closed = format!("{} of {} blocks were closed", past.closed, experiment.blocks());
     match &past.end {
