--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -129,7 +129,7 @@
             json!({ "activations": state.routes.history().map(past).collect::<Vec<_>>() })
         }
         Look::Experiments => {
-            let run = state.experiments.run().map(|run| {
+            let run = state.experiments.running_experiment().map(|run| {
                 json!({
                     "name": run.experiment.name,
                     "by": run.by,
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -199,7 +199,7 @@
             (past.fence.turn == *turn).then_some(Applied::Routes(routes::Applied::Moved(*turn)))
         }
         Entry::Experiment(E::Start { by, .. }) => {
-            let run = state.experiments.run().is_some_and(|run| run.by == *by);
+            let run = state.experiments.running_experiment().is_some_and(|run| run.by == *by);
             let past = || state.experiments.history().any(|past| past.by == *by);
             (run || past()).then_some(Applied::Experiment(experiments::Applied::Started))
         }
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -311,7 +311,7 @@
 
     fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: Ask) -> Response {
         let (effects, leads, running) = self.deciding(voter, |at, lead| {
-            let running = at.state.experiments.run().map(|run| {
+            let running = at.state.experiments.running_experiment().map(|run| {
                 let experiment = run.experiment.clone();
                 Box::new(Running { experiment, closed: run.evaluation.closed(), members: lead.members() })
             });
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -276,7 +276,7 @@
     }
 
     /// The experiment that runs, with what its blocks came to.
-    pub fn run(&self) -> Option<&RunningExperiment> {
+    pub fn running_experiment(&self) -> Option<&RunningExperiment> {
         self.running.as_ref()
     }
 
--- a/src/lab/sim/judge.rs
+++ b/src/lab/sim/judge.rs
@@ -69,7 +69,7 @@
                     || routes.history().any(|past| past.fence.turn == *turn)
             }
             Self::Started(name) => {
-                experiments.run().is_some_and(|r| r.experiment.name == *name) || ended(name)
+                experiments.running_experiment().is_some_and(|r| r.experiment.name == *name) || ended(name)
             }
             Self::Stopped(name) => ended(name),
         }
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -224,7 +224,7 @@
     let (x, few) = (Experiment { least_blocks: 10, ..two() }, |n| Tally { assigned: n, ..served(80) });
     take(&mut state, start(x.clone(), false)).unwrap();
     let said = |state: &decided::State| {
-        let run = state.experiments.run().unwrap();
+        let run = state.experiments.running_experiment().unwrap();
         summary::running(&run.experiment, &run.evaluation).join("\n")
     };
     for block in 0..9 {
