--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -6,7 +6,7 @@
 
 use crate::fleet::decided::{Applied, State};
 use crate::fleet::experiment::record as experiments;
-use crate::fleet::experiment::record::{End, WINNER};
+use crate::fleet::experiment::record::{End, WINNER_OPERATOR};
 use crate::fleet::experiment::summary;
 use crate::fleet::posture::Ears;
 use crate::fleet::record::Standing;
@@ -57,7 +57,7 @@
     if routes.made() == Some(made) {
         return told("waits", "it begins once the activation that is on its way has ended".into());
     }
-    let begun = routes.history().filter(|past| its(past.fence)).skip_while(|past| past.by != WINNER);
+    let begun = routes.history().filter(|past| its(past.fence)).skip_while(|past| past.by != WINNER_OPERATOR);
     let Some(last) = begun.last() else {
         let help =
             format!("another table was activated before it, or too long ago; if it is wanted: {again}");
@@ -245,7 +245,7 @@
         assert_eq!(told(&state)["stage"], "not begun");
         assert_eq!(state.make(Table::parse(&table(2)).unwrap()), 2);
         assert_eq!(told(&state)["stage"], "waits");
-        let turn = begin(&mut state, 2, WINNER);
+        let turn = begin(&mut state, 2, WINNER_OPERATOR);
         assert_eq!((&told(&state)["stage"], &told(&state)["turn"]), (&json!("on its way"), &json!(turn)));
         let silent = Why::Silent(Life { name: "m3".into(), incarnation: 1 });
         state.apply(&Entry::Abort { turn, why: silent }).unwrap();
--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -138,7 +138,8 @@
             return Some(Entry::Experiment(entry));
         }
         let version = at.state.experiments.to_activate(&at.state.routes)?;
-        let entry = Entry::Routes(routes::Entry::Prepare { version, by: experiments::WINNER.into() });
+        let entry =
+            Entry::Routes(routes::Entry::Prepare { version, by: experiments::WINNER_OPERATOR.into() });
         let waits = self.winner.is_some_and(|last| at.now < last + AGAIN);
         if waits || !allowed(&entry, at.may) {
             return None;
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -22,7 +22,7 @@
 /// Ended experiments that are kept.
 pub const MOST_HISTORY: usize = 64;
 /// Whose the activation of a winner's table is. No operator has this name: theirs say where and when.
-pub const WINNER: &str = "the experiment's winner";
+pub const WINNER_OPERATOR: &str = "the experiment's winner";
 /// Bytes of an operator's name at most.
 pub const MOST_BY: usize = 256;
 /// The greatest count of a tally: what an f64 holds without rounding.
