--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -24,7 +24,7 @@
 /// Whose the activation of a winner's table is. No operator has this name: theirs say where and when.
 pub const WINNER_OPERATOR: &str = "the experiment's winner";
 /// Bytes of an operator's name at most.
-pub const MOST_BY: usize = 256;
+pub const MAX_OPERATOR_NAME: usize = 256;
 /// The greatest count of a tally: what an f64 holds without rounding.
 pub const MOST_COUNT: u64 = 1 << 53;
 
@@ -70,7 +70,7 @@
     ))]
     Known { name: String },
     #[error("the name of the operator has {bytes} bytes")]
-    #[diagnostic(help("name who asks in {MOST_BY} bytes or less"))]
+    #[diagnostic(help("name who asks in {MAX_OPERATOR_NAME} bytes or less"))]
     By { bytes: usize },
     #[error("no experiment: {problem}")]
     #[diagnostic(help("correct the document, and start it again"))]
@@ -299,7 +299,7 @@
 
 fn named(by: &str) -> Result<(), RecordError> {
     match by.len() {
-        bytes if bytes > MOST_BY => Err(RecordError::By { bytes }),
+        bytes if bytes > MAX_OPERATOR_NAME => Err(RecordError::By { bytes }),
         _ => Ok(()),
     }
 }
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -9,7 +9,7 @@
 use hopwalk::fleet::experiment::counter::{Counter, Report, MOST_SENT, MOST_SUBJECTS, SUBJECTS_APART};
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::decide::{decide, Evaluation};
-use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MOST_BY, MOST_HISTORY};
+use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MAX_OPERATOR_NAME, MOST_HISTORY};
 use hopwalk::fleet::experiment::sequential::BatchMeans;
 use hopwalk::fleet::experiment::summary;
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
@@ -117,7 +117,10 @@
     for bad in [short, uneven, Experiment { alpha: 2.0, ..two() }] {
         refused(&mut state, start(bad, true));
     }
-    refused(&mut state, Entry::Start { experiment: two(), activate: true, by: "o".repeat(MOST_BY + 1) });
+    refused(
+        &mut state,
+        Entry::Start { experiment: two(), activate: true, by: "o".repeat(MAX_OPERATOR_NAME + 1) },
+    );
     let plain = propose(&mut state, "");
     let turn = begin(&mut state, plain);
     refused(&mut state, start(two(), true));
