--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -22,12 +22,12 @@
 use super::{assign, Experiment};
 
 /// Subjects that are counted as assigned at most, at one matcher. Who comes later is not, in no arm.
-pub const MOST_SUBJECTS: usize = 1 << 17;
+pub const MAX_SUBJECTS: usize = 1 << 17;
 /// Subjects whose outcome was counted are forgotten once so many others came after, and then count anew: so no subject
 /// gives more than one outcome in so many.
-pub const SUBJECTS_APART: usize = 1 << 16;
+pub const SUBJECT_RETENTION: usize = 1 << 16;
 /// Blocks of which counters are sent at once: what is more waits until those are closed.
-pub const MOST_SENT: u64 = 128;
+pub const MAX_REPORTED_BLOCKS: u64 = 128;
 
 /// The hashes are keyed already.
 type Hashes = HashSet<u64, BuildHasherDefault<DefaultHasher>>;
@@ -37,7 +37,7 @@
 pub struct Report {
     /// Of which experiment.
     pub experiment: String,
-    /// What it counted. At most [`MOST_SENT`] blocks.
+    /// What it counted. At most [`MAX_REPORTED_BLOCKS`] blocks.
     pub counts: Counts,
 }
 
@@ -83,7 +83,7 @@
         let hash = hash(&self.experiment, b"subject", subject);
         let score = mix(hash ^ own);
         if others.iter().any(|other| mix(hash ^ other) > score)
-            || self.assigned.len() >= MOST_SUBJECTS
+            || self.assigned.len() >= MAX_SUBJECTS
             || !self.assigned.insert(hash)
         {
             return Ok(());
@@ -102,7 +102,7 @@
         if older.contains(&hash) || !newer.insert(hash) {
             return Ok(());
         }
-        if newer.len() >= SUBJECTS_APART {
+        if newer.len() >= SUBJECT_RETENTION {
             std::mem::swap(newer, older);
             newer.clear();
         }
@@ -142,7 +142,8 @@
         };
         self.told = self.told.max(over).max(self.closed);
         self.counts.tell(&self.life, self.told)?;
-        let counts = self.counts.part(&self.life, self.closed, self.closed.saturating_add(MOST_SENT));
+        let counts =
+            self.counts.part(&self.life, self.closed, self.closed.saturating_add(MAX_REPORTED_BLOCKS));
         Ok(Report { experiment: self.experiment.name.clone(), counts })
     }
 
--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -10,12 +10,12 @@
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
 
-use super::{MOST_ARMS, MOST_BLOCKS};
+use super::{MAX_ARMS, MAX_BLOCKS};
 
 /// Lives of members that are held at most.
-pub const MOST_LIVES: usize = 1024;
+pub const MAX_INCARNATIONS: usize = 1024;
 /// Counters that are held at most, over all lives.
-pub const MOST_CELLS: usize = 1 << 20;
+pub const MAX_CELLS: usize = 1 << 20;
 
 /// One life of a member: its name and incarnation.
 pub type Life = (String, u64);
@@ -52,14 +52,14 @@
 pub enum CountsError {
     /// No room for another life.
     #[error("{count} lives of members would be held")]
-    #[diagnostic(help("at most {MOST_LIVES} are: look for a member that restarts over and over"))]
+    #[diagnostic(help("at most {MAX_INCARNATIONS} are: look for a member that restarts over and over"))]
     Lives {
         /// How many it would be.
         count: usize,
     },
     /// No room for another counter.
     #[error("{count} counters would be held")]
-    #[diagnostic(help("at most {MOST_CELLS} are: take longer blocks, a shorter duration or fewer arms"))]
+    #[diagnostic(help("at most {MAX_CELLS} are: take longer blocks, a shorter duration or fewer arms"))]
     Cells {
         /// How many it would be.
         count: usize,
@@ -67,7 +67,7 @@
     /// A counter of an arm or block that cannot be.
     #[error("there is no arm {arm} in block {block}")]
     #[diagnostic(help(
-        "arms go to {MOST_ARMS} and blocks to {MOST_BLOCKS}: look for another version in the fleet"
+        "arms go to {MAX_ARMS} and blocks to {MAX_BLOCKS}: look for another version in the fleet"
     ))]
     Place {
         /// The block.
@@ -195,12 +195,12 @@
 
     fn room(&self, lives: usize, cells: usize) -> Result<(), CountsError> {
         let count = self.0.len() + lives;
-        if lives > 0 && count > MOST_LIVES {
+        if lives > 0 && count > MAX_INCARNATIONS {
             return Err(CountsError::Lives { count });
         }
         if cells > 0 {
             let count = self.cells() + cells;
-            if count > MOST_CELLS {
+            if count > MAX_CELLS {
                 return Err(CountsError::Cells { count });
             }
         }
@@ -210,7 +210,7 @@
 
 fn place(cell: Cell) -> Result<(), CountsError> {
     let Cell { block, arm, .. } = cell;
-    if usize::from(arm) >= MOST_ARMS || block >= MOST_BLOCKS {
+    if usize::from(arm) >= MAX_ARMS || block >= MAX_BLOCKS {
         return Err(CountsError::Place { block, arm });
     }
     Ok(())
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -23,11 +23,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Arms at most, the control included; two at least.
-pub const MOST_ARMS: usize = 8;
+pub const MAX_ARMS: usize = 8;
 /// Blocks at most that the longest duration may hold.
-pub const MOST_BLOCKS: u64 = 10_000;
+pub const MAX_BLOCKS: u64 = 10_000;
 /// Blocks at least before a decision: fewer say too little of how they vary.
-pub const LEAST_BLOCKS: u64 = 10;
+pub const MIN_BLOCKS: u64 = 10;
 /// Blocks at least that are weighed before a winner or harm, for each block that a wave of one arm may last.
 pub const BLOCKS_A_WAVE: u64 = 5;
 /// Blocks that a wave may last, by how many blocks there are to be before a decision: these at least, whatever is asked.
@@ -35,11 +35,11 @@
 /// And these at most: for longer waves blocks are to be longer.
 pub const LONGEST_WAVE: u64 = 20;
 /// The highest level of error.
-pub const MOST_ALPHA: f64 = 0.2;
+pub const MAX_ALPHA: f64 = 0.2;
 /// How long after its order an experiment starts whose document names no start: every matcher is to know of it by then.
-pub const START_AFTER: Duration = Duration::from_secs(2);
+pub const START_DELAY: Duration = Duration::from_secs(2);
 /// Bytes of a name at most.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME: usize = 64;
 /// What the shares' sum may be off 1 by rounding.
 const ROUNDING: f64 = 1e-6;
 
@@ -89,14 +89,14 @@
 pub enum DocumentError {
     /// A name is empty or too long.
     #[error("the name {name:?} has {} bytes", name.len())]
-    #[diagnostic(help("give a name of 1 to {MOST_NAME} bytes"))]
+    #[diagnostic(help("give a name of 1 to {MAX_NAME} bytes"))]
     Name {
         /// The name.
         name: String,
     },
     /// Too few or too many arms.
     #[error("there are {count} arms")]
-    #[diagnostic(help("give 2 to {MOST_ARMS} arms, the control first"))]
+    #[diagnostic(help("give 2 to {MAX_ARMS} arms, the control first"))]
     Arms {
         /// How many.
         count: usize,
@@ -126,7 +126,7 @@
     },
     /// A level of error is out of bounds.
     #[error("{field} is {value}")]
-    #[diagnostic(help("give a level of error over 0 and up to {MOST_ALPHA}, such as 0.05"))]
+    #[diagnostic(help("give a level of error over 0 and up to {MAX_ALPHA}, such as 0.05"))]
     Alpha {
         /// Which one.
         field: String,
@@ -149,7 +149,7 @@
     },
     /// The longest duration holds too few or too many blocks.
     #[error("longest_ms holds {blocks} blocks, and least_blocks is {least}")]
-    #[diagnostic(help("let it hold at least least_blocks and at most {MOST_BLOCKS} blocks of block_ms"))]
+    #[diagnostic(help("let it hold at least least_blocks and at most {MAX_BLOCKS} blocks of block_ms"))]
     Longest {
         /// Blocks it holds.
         blocks: u64,
@@ -158,7 +158,7 @@
     },
     /// A decision would come too early.
     #[error("least_blocks is {value}")]
-    #[diagnostic(help("ask for at least {LEAST_BLOCKS} blocks before a decision"))]
+    #[diagnostic(help("ask for at least {MIN_BLOCKS} blocks before a decision"))]
     Least {
         /// What was given.
         value: u64,
@@ -176,11 +176,11 @@
     /// Each of [`DocumentError`].
     pub fn check(&self) -> Result<(), DocumentError> {
         for name in self.arms.iter().map(|arm| &arm.name).chain([&self.name]) {
-            if name.is_empty() || name.len() > MOST_NAME {
+            if name.is_empty() || name.len() > MAX_NAME {
                 return Err(DocumentError::Name { name: name.clone() });
             }
         }
-        if !(2..=MOST_ARMS).contains(&self.arms.len()) {
+        if !(2..=MAX_ARMS).contains(&self.arms.len()) {
             return Err(DocumentError::Arms { count: self.arms.len() });
         }
         let mut names = BTreeSet::new();
@@ -199,7 +199,7 @@
         let levels =
             [("alpha", self.alpha), ("harm_alpha", self.harm_alpha), ("split_alpha", self.split_alpha)];
         for (field, value) in levels {
-            if !(value > 0.0 && value <= MOST_ALPHA) {
+            if !(value > 0.0 && value <= MAX_ALPHA) {
                 return Err(DocumentError::Alpha { field: field.into(), value });
             }
         }
@@ -209,23 +209,23 @@
         if !(100..=3_600_000).contains(&self.block_ms) {
             return Err(DocumentError::Block { value: self.block_ms });
         }
-        if self.least_blocks < LEAST_BLOCKS {
+        if self.least_blocks < MIN_BLOCKS {
             return Err(DocumentError::Least { value: self.least_blocks });
         }
         let blocks = self.blocks();
-        if !(self.least_blocks..=MOST_BLOCKS).contains(&blocks) {
+        if !(self.least_blocks..=MAX_BLOCKS).contains(&blocks) {
             return Err(DocumentError::Longest { blocks, least: self.least_blocks });
         }
         let end = self.start_ms.checked_add(self.longest_ms).and_then(|end| end.checked_add(self.grace_ms));
         end.map(|_| ()).ok_or(DocumentError::Time)
     }
 
-    /// With a start: a document with a `start_ms` of 0 starts [`START_AFTER`] `now`, since the Unix epoch. For who takes the
+    /// With a start: a document with a `start_ms` of 0 starts [`START_DELAY`] `now`, since the Unix epoch. For who takes the
     /// order, before it is put into the log.
     #[must_use]
     pub fn starting(mut self, now: Duration) -> Self {
         if self.start_ms == 0 {
-            self.start_ms = u64::try_from(now.saturating_add(START_AFTER).as_millis()).unwrap_or(u64::MAX);
+            self.start_ms = u64::try_from(now.saturating_add(START_DELAY).as_millis()).unwrap_or(u64::MAX);
         }
         self
     }
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -20,13 +20,13 @@
 use crate::fleet::routes::{Fence, Version};
 
 /// Ended experiments that are kept.
-pub const MOST_HISTORY: usize = 64;
+pub const MAX_HISTORY: usize = 64;
 /// Whose the activation of a winner's table is. No operator has this name: theirs say where and when.
 pub const WINNER_OPERATOR: &str = "the experiment's winner";
 /// Bytes of an operator's name at most.
 pub const MAX_OPERATOR_NAME: usize = 256;
 /// The greatest count of a tally: what an f64 holds without rounding.
-pub const MOST_COUNT: u64 = 1 << 53;
+pub const MAX_COUNT: u64 = 1 << 53;
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
     #[error("block {block} does not follow: the next is {next}")]
     #[diagnostic(help("another leader closed it: nothing is lost, and nothing is to be done"))]
     Order { block: u64, next: u64 },
-    #[error("a block of {tallies} tallies, or one over {MOST_COUNT}, for {arms} arms")]
+    #[error("a block of {tallies} tallies, or one over {MAX_COUNT}, for {arms} arms")]
     #[diagnostic(help("look for another version of the program among the voters"))]
     Tallies { tallies: usize, arms: usize },
     #[error("{at_ms} ms is {early_ms} ms too early")]
@@ -145,7 +145,7 @@
     pub evaluation: Evaluation,
 }
 
-/// What all entries come to. Its size does not grow with blocks: a few figures an arm, and [`MOST_HISTORY`] documents.
+/// What all entries come to. Its size does not grow with blocks: a few figures an arm, and [`MAX_HISTORY`] documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     running: Option<RunningExperiment>,
@@ -172,7 +172,7 @@
                 if *block != next {
                     return Err(RecordError::Order { block: *block, next });
                 }
-                if tallies.len() != arms || tallies.iter().any(|tally| tally.most() > MOST_COUNT) {
+                if tallies.len() != arms || tallies.iter().any(|tally| tally.most() > MAX_COUNT) {
                     return Err(RecordError::Tallies { tallies: tallies.len(), arms });
                 }
                 early(*at_ms, running.experiment.end_of(next))?;
@@ -264,7 +264,7 @@
             end,
             made,
         });
-        if self.history.len() > MOST_HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
         Applied::Ended(verdict)
--- a/src/fleet/experiment/sequential.rs
+++ b/src/fleet/experiment/sequential.rs
@@ -15,14 +15,14 @@
 /// third of one.
 const PRIOR: f64 = 10.0;
 /// The least standard deviation that is believed, in shares: blocks that are all alike say nothing of how they vary.
-const LEAST_DEVIATION: f64 = 1e-3;
+const MIN_DEVIATION: f64 = 1e-3;
 /// The Dirichlet priors of the split are worth so many subjects around the shares asked for, and believed alike: the
 /// first is best for few subjects and shares that are far off, the last for shares off by one or two in a hundred.
 const STRENGTHS: [f64; 3] = [10.0, 100.0, 1000.0];
 /// Means of one length at least that are asked how they vary.
-const LEAST_MEANS: u64 = 16;
+const MIN_MEANS: u64 = 16;
 /// The greatest correlation of neighbours that is told from a mean that wanders.
-const MOST_CORRELATION: f64 = 0.99;
+const MAX_CORRELATION: f64 = 0.99;
 /// So many of its standard errors the correlation of neighbours is taken higher than seen, where a wave is looked for
 /// that noise may hide.
 const DOUBT: f64 = 1.25;
@@ -76,7 +76,7 @@
     /// The variance, and by how much that of the mean is over it as if all were independent.
     fn variance(&self) -> (f64, f64) {
         let (seen, hidden) = self.correlation();
-        let r = if seen > 0.0 { (seen + hidden).clamp(0.0, MOST_CORRELATION) } else { 0.0 };
+        let r = if seen > 0.0 { (seen + hidden).clamp(0.0, MAX_CORRELATION) } else { 0.0 };
         let wider = (1.0 + r) / (1.0 - r);
         (self.squares / (self.n as f64 - wider).max(1.0), wider)
     }
@@ -120,10 +120,10 @@
     /// The variance of an observation, and so many independent ones would know as much of the mean; none before two.
     fn known(&self, wave: f64) -> Option<(f64, f64)> {
         let first = self.0.first().filter(|level| level.n >= 2)?;
-        let variance = first.variance().0.max(LEAST_DEVIATION * LEAST_DEVIATION);
+        let variance = first.variance().0.max(MIN_DEVIATION * MIN_DEVIATION);
         let (mut longest, mut rho) = (first, 1.0 - 1.0 / wave.max(1.0));
         let mut of_mean = first.variance_of_mean();
-        for level in self.0.iter().skip(1).take_while(|level| level.n >= LEAST_MEANS) {
+        for level in self.0.iter().skip(1).take_while(|level| level.n >= MIN_MEANS) {
             of_mean = of_mean.max(level.variance_of_mean());
             (longest, rho) = (level, rho * rho);
         }
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -6,10 +6,12 @@
 use hopwalk::fleet::decided::{self, Refused};
 use hopwalk::fleet::experiment::blocks::{Blocks, Tally};
 use hopwalk::fleet::experiment::collect::Collector;
-use hopwalk::fleet::experiment::counter::{Counter, Report, MOST_SENT, MOST_SUBJECTS, SUBJECTS_APART};
+use hopwalk::fleet::experiment::counter::{
+    Counter, Report, MAX_REPORTED_BLOCKS, MAX_SUBJECTS, SUBJECT_RETENTION,
+};
 use hopwalk::fleet::experiment::counts::Kind;
 use hopwalk::fleet::experiment::decide::{decide, Evaluation};
-use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MAX_OPERATOR_NAME, MOST_HISTORY};
+use hopwalk::fleet::experiment::record::{Applied, End, Entry, RecordError, MAX_HISTORY, MAX_OPERATOR_NAME};
 use hopwalk::fleet::experiment::sequential::BatchMeans;
 use hopwalk::fleet::experiment::summary;
 use hopwalk::fleet::experiment::{DocumentError, Experiment, Verdict};
@@ -144,12 +146,12 @@
     assert_eq!(take(&mut state, stop("x")), Ok(Applied::Ended(None)));
     refused(&mut state, start(two(), true));
     assert_eq!(seen.len(), 12, "{seen:?}");
-    for at in 0..2 * MOST_HISTORY {
+    for at in 0..2 * MAX_HISTORY {
         let name = format!("e{at}");
         take(&mut state, start(named(&name), true)).unwrap();
         take(&mut state, stop(&name)).unwrap();
     }
-    assert_eq!(state.experiments.history().count(), MOST_HISTORY);
+    assert_eq!(state.experiments.history().count(), MAX_HISTORY);
     assert!(DocumentError::Time.help().is_some());
 }
 
@@ -309,22 +311,22 @@
 #[test]
 fn what_a_matcher_holds_and_sends_is_bounded() {
     let mut one = counter(0, 1);
-    for subject in 0..MOST_SUBJECTS as u64 + 50 {
+    for subject in 0..MAX_SUBJECTS as u64 + 50 {
         one.count_assigned(&subject.to_le_bytes(), at(5100)).unwrap();
-        one.count_outcome(&(subject % (2 * SUBJECTS_APART as u64)).to_le_bytes(), Kind::Served, at(5100))
+        one.count_outcome(&(subject % (2 * SUBJECT_RETENTION as u64)).to_le_bytes(), Kind::Served, at(5100))
             .unwrap();
     }
     // Full: no more in any arm. Forgotten after so many others: counts anew.
     let report = one.report(at(6000)).unwrap();
-    assert_eq!(of(&report, 0, Kind::Assigned).1, MOST_SUBJECTS as u64);
-    assert_eq!(of(&report, 0, Kind::Served).1, 2 * SUBJECTS_APART as u64 + 50);
+    assert_eq!(of(&report, 0, Kind::Assigned).1, MAX_SUBJECTS as u64);
+    assert_eq!(of(&report, 0, Kind::Served).1, 2 * SUBJECT_RETENTION as u64 + 50);
     // All blocks, none closed.
     for ms in (5000..205_000u64).step_by(1000) {
         one.count_outcome(&(ms << 32).to_le_bytes(), Kind::Failed, at(ms)).unwrap();
     }
     let (held, report) = (one.cells(), one.report(at(900_000)).unwrap());
-    assert_eq!(of(&report, 1, Kind::Failed), (MOST_SENT, 2));
-    assert!(report.counts.cells() as u64 <= MOST_SENT + 4 && held > 199);
+    assert_eq!(of(&report, 1, Kind::Failed), (MAX_REPORTED_BLOCKS, 2));
+    assert!(report.counts.cells() as u64 <= MAX_REPORTED_BLOCKS + 4 && held > 199);
     one.discard_closed(150);
     let report = one.report(at(900_000)).unwrap();
     assert_eq!((of(&report, 150, Kind::Failed), of(&report, 149, Kind::Failed).1), ((200, 1), 0));
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -9,7 +9,7 @@
 
 use hopwalk::fleet::experiment::assign::arm;
 use hopwalk::fleet::experiment::blocks::{Blocks, Tally};
-use hopwalk::fleet::experiment::counts::{Cell, Counts, CountsError, Kind, MOST_CELLS, MOST_LIVES};
+use hopwalk::fleet::experiment::counts::{Cell, Counts, CountsError, Kind, MAX_CELLS, MAX_INCARNATIONS};
 use hopwalk::fleet::experiment::decide::decide;
 use hopwalk::fleet::experiment::{Arm, DocumentError, Experiment, Verdict};
 use miette::Diagnostic;
@@ -276,7 +276,7 @@
 #[test]
 fn counts_are_bounded_and_final_once_told() {
     let (mut counts, cell) = (Counts::default(), Cell { block: 0, arm: 0, kind: Kind::Failed });
-    for incarnation in 0..MOST_LIVES as u64 {
+    for incarnation in 0..MAX_INCARNATIONS as u64 {
         counts.tell(&("m".into(), incarnation), 1).unwrap();
     }
     let before = counts.clone();
@@ -284,7 +284,7 @@
         counts.tell(&("n".into(), 0), 1).unwrap_err(),
         counts.add(&("m".into(), 0), cell, 1).unwrap_err(),
         counts.add(&("m".into(), 0), Cell { arm: 8, ..cell }, 1).unwrap_err(),
-        CountsError::Cells { count: MOST_CELLS + 1 },
+        CountsError::Cells { count: MAX_CELLS + 1 },
     ];
     assert!(matches!(errors[0], CountsError::Lives { .. }) && matches!(errors[1], CountsError::Told { .. }));
     assert!(counts == before && errors.iter().all(|error| error.help().is_some()));
