--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -62,7 +62,7 @@
     /// - Harm is weighed in the same way, on its own `harm_alpha`; the split on all subjects, at `split_alpha`.
     /// - A block in which an arm had no request gives no observation, and counts for the split only.
     /// - Where differences of neighbouring blocks hang together, they count as fewer ([`BatchMeans::effective`]), for waves of
-    ///   up to [`Experiment::wave`] blocks whether or not they are seen; there is no winner and no harm on fewer than
+    ///   up to [`Experiment::correlation_time`] blocks whether or not they are seen; there is no winner and no harm on fewer than
     ///   [`Experiment::least_weighed`] blocks weighed.
     pub fn push(&mut self, experiment: &Experiment, block: &[Tally]) -> Option<Verdict> {
         let shares: Vec<f64> = experiment.arms.iter().map(|arm| arm.share).collect();
@@ -74,7 +74,7 @@
         let seen: Option<Vec<_>> = block.iter().map(|tally| Some((tally.in_aim()?, tally.bad()?))).collect();
         if let Some((control, others)) = seen.as_deref().and_then(<[_]>::split_first) {
             self.weighed += 1;
-            let wave = experiment.wave();
+            let wave = experiment.correlation_time();
             for (arm, c) in others.iter().zip(&mut self.arms) {
                 c.aim.push(arm.0 - control.0);
                 c.bad.push(arm.1 - control.1);
@@ -97,7 +97,7 @@
     fn of_arms(&self, experiment: &Experiment) -> Option<Verdict> {
         let comparisons = experiment.comparisons();
         let (alpha, harm_alpha) = (experiment.alpha / comparisons, experiment.harm_alpha / comparisons);
-        let wave = experiment.wave();
+        let wave = experiment.correlation_time();
         let harms = |c: &Comparison| c.bad.interval(harm_alpha, wave).0 > experiment.harm_margin;
         let harmful = self.arms.iter().enumerate().filter(|(_, c)| harms(c));
         if let Some((arm, c)) = harmful.max_by(|a, b| a.1.bad.mean().total_cmp(&b.1.bad.mean())) {
@@ -129,7 +129,7 @@
     fn in_aim(&self, experiment: &Experiment, c: &Comparison) -> Evidence {
         let comparisons = experiment.comparisons();
         let levels = (experiment.alpha / comparisons, comparisons);
-        evidence(&c.aim, 0.0, c.most.0, levels, (experiment.wave(), self.weighed))
+        evidence(&c.aim, 0.0, c.most.0, levels, (experiment.correlation_time(), self.weighed))
     }
 
     fn of_split(&self, shares: &[f64]) -> Evidence {
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -29,11 +29,11 @@
 /// Blocks at least before a decision: fewer say too little of how they vary.
 pub const MIN_BLOCKS: u64 = 10;
 /// Blocks at least that are weighed before a winner or harm, for each block that a wave of one arm may last.
-pub const BLOCKS_A_WAVE: u64 = 5;
+pub const BLOCKS_PER_CORRELATION_TIME: u64 = 5;
 /// Blocks that a wave may last, by how many blocks there are to be before a decision: these at least, whatever is asked.
-pub const SHORTEST_WAVE: u64 = 5;
+pub const MIN_CORRELATION_TIME: u64 = 5;
 /// And these at most: for longer waves blocks are to be longer.
-pub const LONGEST_WAVE: u64 = 20;
+pub const MAX_CORRELATION_TIME: u64 = 20;
 /// The highest level of error.
 pub const MAX_ALPHA: f64 = 0.2;
 /// How long after its order an experiment starts whose document names no start: every matcher is to know of it by then.
@@ -79,8 +79,8 @@
     pub longest_ms: u64,
     /// How long a block waits for members after its end, once a quorum told; and the last one for a quorum.
     pub grace_ms: u64,
-    /// Blocks at least before any decision. A [`BLOCKS_A_WAVE`]th of it is how many blocks outcomes of one arm may hang
-    /// together: [`Experiment::wave`].
+    /// Blocks at least before any decision. A [`BLOCKS_PER_CORRELATION_TIME`]th of it is how many blocks outcomes of one arm may hang
+    /// together: [`Experiment::correlation_time`].
     pub least_blocks: u64,
 }
 
@@ -254,15 +254,16 @@
     }
 
     /// So many blocks a wave of one arm may last (1 / (1 - correlation of neighbours)) with the levels of error kept:
-    /// [`SHORTEST_WAVE`] to [`LONGEST_WAVE`].
-    pub fn wave(&self) -> f64 {
-        (self.least_blocks as f64 / BLOCKS_A_WAVE as f64).clamp(SHORTEST_WAVE as f64, LONGEST_WAVE as f64)
+    /// [`MIN_CORRELATION_TIME`] to [`MAX_CORRELATION_TIME`].
+    pub fn correlation_time(&self) -> f64 {
+        (self.least_blocks as f64 / BLOCKS_PER_CORRELATION_TIME as f64)
+            .clamp(MIN_CORRELATION_TIME as f64, MAX_CORRELATION_TIME as f64)
     }
 
     /// Blocks at least that are weighed before a winner or harm: fewer would not show a wave that may be. Where
     /// `least_blocks` is lower, it is turned up.
     pub fn least_weighed(&self) -> u64 {
-        self.least_blocks.max(BLOCKS_A_WAVE * SHORTEST_WAVE)
+        self.least_blocks.max(BLOCKS_PER_CORRELATION_TIME * MIN_CORRELATION_TIME)
     }
 
     /// Arms that are compared with the control; the levels of error are divided by it (Bonferroni).
--- a/src/fleet/experiment/summary.rs
+++ b/src/fleet/experiment/summary.rs
@@ -37,12 +37,12 @@
         "no winner and no harm before {} blocks are weighed; the levels of error are kept where outcomes of an arm \
          hang together over up to {:.0} blocks",
         experiment.least_weighed(),
-        experiment.wave()
+        experiment.correlation_time()
     )
 }
 
 fn fewer(of: &BatchMeans, experiment: &Experiment, blocks: u64) -> String {
-    match of.effective(experiment.wave()) {
+    match of.effective(experiment.correlation_time()) {
         0.0 => format!("its {blocks} blocks are too few or hang together too much to tell"),
         n => format!("its {blocks} blocks count as {n:.1} that do not hang together"),
     }
@@ -62,8 +62,9 @@
     let control = name(experiment, 0);
     let comparisons = experiment.comparisons();
     for (at, c) in evaluation.arms.iter().enumerate() {
-        let level =
-            |alpha: f64, of: &BatchMeans| between(of.interval(alpha / comparisons, experiment.wave()));
+        let level = |alpha: f64, of: &BatchMeans| {
+            between(of.interval(alpha / comparisons, experiment.correlation_time()))
+        };
         lines.push(format!(
             "{} serves {} in aim than {control}, {}; {}",
             name(experiment, at + 1),
