--- a/src/fleet/experiment/collect.rs
+++ b/src/fleet/experiment/collect.rs
@@ -63,7 +63,7 @@
             self.flight = Some(Flight::Block(block));
             return Some(Entry::Block { name, block, tallies, at_ms });
         }
-        (now >= experiment.over() && !young).then(|| {
+        (now >= experiment.deadline() && !young).then(|| {
             self.flight = Some(Flight::Over);
             Entry::Over { name, at_ms }
         })
--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -120,7 +120,7 @@
     pub fn verdict(&self, experiment: &Experiment, now: Duration) -> Verdict {
         let most = self.arms.iter().max_by(|a, b| a.most.0.total_cmp(&b.most.0));
         let evidence = self.in_aim(experiment, &most.cloned().unwrap_or_default());
-        if self.closed >= experiment.blocks() || now >= experiment.over() {
+        if self.closed >= experiment.blocks() || now >= experiment.deadline() {
             return Verdict::NoWinner { evidence };
         }
         Verdict::Continue { evidence }
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -242,7 +242,7 @@
     }
 
     /// The longest duration and the grace are over: there is a verdict from here on, whoever was heard.
-    pub fn over(&self) -> Duration {
+    pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.start_ms.saturating_add(self.longest_ms).saturating_add(self.grace_ms))
     }
 
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -190,7 +190,7 @@
             }
             Entry::Over { name, at_ms } => {
                 let running = self.runs(name)?;
-                early(*at_ms, running.experiment.over())?;
+                early(*at_ms, running.experiment.deadline())?;
                 let end = overtaken(running, routes).unwrap_or_else(|| {
                     let now = Duration::from_millis(*at_ms);
                     End::Verdict {
