--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -67,7 +67,7 @@
         Order::Start { document } => {
             let start: Start = serde_json::from_str(&document)
                 .map_err(|e| OrderError::Document { line: e.line(), column: e.column() })?;
-            let (experiment, activate) = (start.experiment.starting(part.clock.unix()), start.activate);
+            let (experiment, activate) = (start.experiment.with_start(part.clock.unix()), start.activate);
             let name = experiment.name.clone();
             let entry = Experiments::Start { experiment, activate, by };
             submit(part, Entry::Experiment(entry)).await?;
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -71,7 +71,7 @@
     pub split_alpha: f64,
     /// Harm is a share of failed and late requests over the control's by more than this, 0 to below 1.
     pub harm_margin: f64,
-    /// The start, in ms since the Unix epoch; 0 in an operator's document for [`Experiment::starting`].
+    /// The start, in ms since the Unix epoch; 0 in an operator's document for [`Experiment::with_start`].
     pub start_ms: u64,
     /// The length of a block, 100 ms to 1 h.
     pub block_ms: u64,
@@ -223,7 +223,7 @@
     /// With a start: a document with a `start_ms` of 0 starts [`START_DELAY`] `now`, since the Unix epoch. For who takes the
     /// order, before it is put into the log.
     #[must_use]
-    pub fn starting(mut self, now: Duration) -> Self {
+    pub fn with_start(mut self, now: Duration) -> Self {
         if self.start_ms == 0 {
             self.start_ms = u64::try_from(now.saturating_add(START_DELAY).as_millis()).unwrap_or(u64::MAX);
         }
