--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -63,7 +63,7 @@
     /// - A block in which an arm had no request gives no observation, and counts for the split only.
     /// - Where differences of neighbouring blocks hang together, they count as fewer ([`BatchMeans::effective`]), for waves of
     ///   up to [`Experiment::correlation_time`] blocks whether or not they are seen; there is no winner and no harm on fewer than
-    ///   [`Experiment::least_weighed`] blocks weighed.
+    ///   [`Experiment::min_evaluated_blocks`] blocks weighed.
     pub fn push(&mut self, experiment: &Experiment, block: &[Tally]) -> Option<Verdict> {
         let shares: Vec<f64> = experiment.arms.iter().map(|arm| arm.share).collect();
         self.closed += 1;
@@ -88,7 +88,7 @@
         if self.most_split >= -experiment.split_alpha.ln() {
             return Some(Verdict::Invalid { evidence: self.of_split(&shares) });
         }
-        if self.weighed < experiment.least_weighed() {
+        if self.weighed < experiment.min_evaluated_blocks() {
             return None;
         }
         self.of_arms(experiment)
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -262,7 +262,7 @@
 
     /// Blocks at least that are weighed before a winner or harm: fewer would not show a wave that may be. Where
     /// `least_blocks` is lower, it is turned up.
-    pub fn least_weighed(&self) -> u64 {
+    pub fn min_evaluated_blocks(&self) -> u64 {
         self.least_blocks.max(BLOCKS_PER_CORRELATION_TIME * MIN_CORRELATION_TIME)
     }
 
--- a/src/fleet/experiment/summary.rs
+++ b/src/fleet/experiment/summary.rs
@@ -36,7 +36,7 @@
     format!(
         "no winner and no harm before {} blocks are weighed; the levels of error are kept where outcomes of an arm \
          hang together over up to {:.0} blocks",
-        experiment.least_weighed(),
+        experiment.min_evaluated_blocks(),
         experiment.correlation_time()
     )
 }
