--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -27,7 +27,7 @@
 
 impl Tally {
     /// The greatest of its counts.
-    pub fn most(&self) -> u64 {
+    pub fn max_count(&self) -> u64 {
         let all = [self.assigned, self.served, self.late, self.failed, self.refused];
         all.into_iter().max().unwrap_or(0)
     }
@@ -37,12 +37,12 @@
     }
 
     /// The share served within its aim, of all requests; none without requests.
-    pub fn in_aim(&self) -> Option<f64> {
+    pub fn on_time_share(&self) -> Option<f64> {
         (self.requests() > 0.0).then(|| self.served as f64 / self.requests())
     }
 
     /// The share that failed or was late, of all requests; none without requests.
-    pub fn bad(&self) -> Option<f64> {
+    pub fn bad_share(&self) -> Option<f64> {
         (self.requests() > 0.0).then(|| (self.failed as f64 + self.late as f64) / self.requests())
     }
 }
--- a/src/fleet/experiment/decide.rs
+++ b/src/fleet/experiment/decide.rs
@@ -71,7 +71,8 @@
             *sum = sum.saturating_add(tally.assigned);
         }
         self.most_split = self.most_split.max(ln_e_split(&self.assigned, &shares));
-        let seen: Option<Vec<_>> = block.iter().map(|tally| Some((tally.in_aim()?, tally.bad()?))).collect();
+        let seen: Option<Vec<_>> =
+            block.iter().map(|tally| Some((tally.on_time_share()?, tally.bad_share()?))).collect();
         if let Some((control, others)) = seen.as_deref().and_then(<[_]>::split_first) {
             self.weighed += 1;
             let wave = experiment.correlation_time();
--- a/src/fleet/experiment/record.rs
+++ b/src/fleet/experiment/record.rs
@@ -172,7 +172,7 @@
                 if *block != next {
                     return Err(RecordError::Order { block: *block, next });
                 }
-                if tallies.len() != arms || tallies.iter().any(|tally| tally.most() > MAX_COUNT) {
+                if tallies.len() != arms || tallies.iter().any(|tally| tally.max_count() > MAX_COUNT) {
                     return Err(RecordError::Tallies { tallies: tallies.len(), arms });
                 }
                 early(*at_ms, running.experiment.end_of(next))?;
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -104,7 +104,7 @@
 /// Blocks of the test with a fixed sample, for 80 in 100 at 0.05 on both sides, from the variance of 4,000 blocks.
 fn fixed(chances: &[f64]) -> f64 {
     let mut random = Random(SEED);
-    let of = |block: Vec<Tally>| block[1].in_aim().unwrap() - block[0].in_aim().unwrap();
+    let of = |block: Vec<Tally>| block[1].on_time_share().unwrap() - block[0].on_time_share().unwrap();
     let seen: Vec<f64> = (0..4000).map(|_| of(block(&mut random, chances, 0.05))).collect();
     let mean = seen.iter().sum::<f64>() / 4000.0;
     let variance = seen.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / 3999.0;
