--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -53,7 +53,7 @@
 
 impl Blocks {
     /// Of tallies from elsewhere, such as a file or a play.
-    pub fn of(closed: Vec<Vec<Tally>>) -> Self {
+    pub fn new(closed: Vec<Vec<Tally>>) -> Self {
         Self(closed)
     }
 
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -477,7 +477,7 @@
                 (Err(RecordError::NotRunning { .. }), Some(_)) => {}
                 (other, _) => prop_assert!(false, "{other:?}"),
             }
-            let all = decide(&experiment, &Blocks::of(list[..=at].to_vec()), Duration::ZERO);
+            let all = decide(&experiment, &Blocks::new(list[..=at].to_vec()), Duration::ZERO);
             match &ended {
                 Some(verdict) => prop_assert_eq!(verdict, &all),
                 None => prop_assert!(matches!(all, Verdict::Continue { .. }), "{:?}", all),
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -70,7 +70,7 @@
 /// The end of one play: the verdict, and the blocks it took.
 fn play(random: &mut Random, experiment: &Experiment, chances: &[f64]) -> (Verdict, u64) {
     let closed = (0..experiment.blocks()).map(|_| block(random, chances, 0.05)).collect();
-    let verdict = decide(experiment, &Blocks::of(closed), Duration::ZERO);
+    let verdict = decide(experiment, &Blocks::new(closed), Duration::ZERO);
     let blocks = match &verdict {
         Verdict::Continue { evidence } | Verdict::NoWinner { evidence } | Verdict::Invalid { evidence } => {
             evidence
@@ -178,7 +178,7 @@
             let first = 2000.0 + 1000f64.sqrt() * random.normal();
             vec![tally(first), tally((4000.0 - first) * (1.0 - lost))]
         };
-        let verdict = decide(&experiment, &Blocks::of((0..200).map(block).collect()), Duration::ZERO);
+        let verdict = decide(&experiment, &Blocks::new((0..200).map(block).collect()), Duration::ZERO);
         f64::from(u8::from(matches!(verdict, Verdict::Invalid { .. }))) / f64::from(plays)
     };
     let fair = (0..plays).map(|_| invalid(0.0)).sum();
