--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -96,7 +96,7 @@
         return None;
     }
     let told: Vec<_> = counts
-        .lives()
+        .incarnations()
         .filter(|(life, told)| *told > block && members.contains(&life.0))
         .map(|(life, _)| life)
         .collect();
--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 
-use super::counts::{Cell, Counts, CountsError, Kind, Life};
+use super::counts::{Cell, Counts, CountsError, Kind, MemberIncarnation};
 use super::{assign, Experiment};
 
 /// Subjects that are counted as assigned at most, at one matcher. Who comes later is not, in no arm.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub struct Counter {
     experiment: Experiment,
-    life: Life,
+    life: MemberIncarnation,
     /// Its own key of ownership, and those of the others; none where it counts no subjects.
     keys: Option<(u64, Vec<u64>)>,
     assigned: Hashes,
@@ -61,7 +61,12 @@
     /// Begins to count at `now`. `members` are those who serve, as this matcher knows them at the start; the same at all
     /// of them, else some subjects are counted twice or not at all. A life that begins after the first block (a restart, or a
     /// member that joins) counts no subjects as assigned: an earlier one may have. Its outcomes count.
-    pub fn new(experiment: Experiment, life: Life, members: &BTreeSet<String>, now: Duration) -> Self {
+    pub fn new(
+        experiment: Experiment,
+        life: MemberIncarnation,
+        members: &BTreeSet<String>,
+        now: Duration,
+    ) -> Self {
         let key = |name: &String| hash(&experiment, b"owner", name.as_bytes());
         let others = members.iter().filter(|name| **name != life.0).map(key).collect();
         let keys = (now < experiment.end_of(0)).then(|| (key(&life.0), others));
@@ -131,7 +136,7 @@
     /// What to send at `now`: its blocks that are over are told, and final. Sent again and again, until they are closed.
     ///
     /// # Errors
-    /// None but [`CountsError::Lives`], which one life does not come to.
+    /// None but [`CountsError::Incarnations`], which one life does not come to.
     pub fn report(&mut self, now: Duration) -> Result<Report, CountsError> {
         let over = match self.experiment.block_at(now) {
             Some(block) => block,
--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -18,7 +18,7 @@
 pub const MAX_CELLS: usize = 1 << 20;
 
 /// One life of a member: its name and incarnation.
-pub type Life = (String, u64);
+pub type MemberIncarnation = (String, u64);
 
 /// What is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     /// No room for another life.
     #[error("{count} lives of members would be held")]
     #[diagnostic(help("at most {MAX_INCARNATIONS} are: look for a member that restarts over and over"))]
-    Lives {
+    Incarnations {
         /// How many it would be.
         count: usize,
     },
@@ -96,15 +96,15 @@
 
 /// What all lives told. Equal states are equal whatever came first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts(BTreeMap<Life, Told>);
+pub struct Counts(BTreeMap<MemberIncarnation, Told>);
 
 impl Counts {
     /// Counts `n` more.
     ///
     /// # Errors
-    /// [`CountsError::Place`] and [`CountsError::Told`] for a block that cannot be counted; [`CountsError::Lives`] and
+    /// [`CountsError::Place`] and [`CountsError::Told`] for a block that cannot be counted; [`CountsError::Incarnations`] and
     /// [`CountsError::Cells`] where there is no room.
-    pub fn add(&mut self, life: &Life, cell: Cell, n: u64) -> Result<(), CountsError> {
+    pub fn add(&mut self, life: &MemberIncarnation, cell: Cell, n: u64) -> Result<(), CountsError> {
         place(cell)?;
         let before = match self.0.get(life) {
             Some(told) if cell.block < told.blocks => return Err(CountsError::Told { block: cell.block }),
@@ -122,8 +122,8 @@
     /// Says that the first `blocks` blocks of a life are final.
     ///
     /// # Errors
-    /// [`CountsError::Lives`] where there is no room.
-    pub fn tell(&mut self, life: &Life, blocks: u64) -> Result<(), CountsError> {
+    /// [`CountsError::Incarnations`] where there is no room.
+    pub fn tell(&mut self, life: &MemberIncarnation, blocks: u64) -> Result<(), CountsError> {
         self.room(usize::from(!self.0.contains_key(life)), 0)?;
         let told = self.0.entry(life.clone()).or_default();
         told.blocks = told.blocks.max(blocks);
@@ -133,7 +133,7 @@
     /// Takes in what another matcher holds: commutative, associative and idempotent while there is room.
     ///
     /// # Errors
-    /// [`CountsError::Lives`], [`CountsError::Cells`] and [`CountsError::Place`].
+    /// [`CountsError::Incarnations`], [`CountsError::Cells`] and [`CountsError::Place`].
     pub fn merge(&mut self, other: &Self) -> Result<(), CountsError> {
         let (mut lives, mut cells) = (0, 0);
         for (life, told) in &other.0 {
@@ -161,13 +161,13 @@
             told.cells.dots = told.cells.dots.split_off(&first);
         }
         let latest: BTreeMap<String, u64> = self.0.keys().cloned().collect();
-        let is_latest = |life: &Life| latest.get(&life.0).is_none_or(|latest| life.1 >= *latest);
+        let is_latest = |life: &MemberIncarnation| latest.get(&life.0).is_none_or(|latest| life.1 >= *latest);
         self.0.retain(|life, told| !told.cells.dots.is_empty() || told.blocks > block || is_latest(life));
     }
 
     /// What `life` counted in blocks from `from` to before `to`, and no more blocks told than those before `to`.
     #[must_use]
-    pub fn part(&self, life: &Life, from: u64, to: u64) -> Self {
+    pub fn part(&self, life: &MemberIncarnation, from: u64, to: u64) -> Self {
         let mut part = Told::default();
         if let Some(told) = self.0.get(life) {
             part.blocks = told.blocks.min(to);
@@ -184,19 +184,19 @@
     }
 
     /// The lives, and how many blocks each told.
-    pub fn lives(&self) -> impl Iterator<Item = (&Life, u64)> {
+    pub fn incarnations(&self) -> impl Iterator<Item = (&MemberIncarnation, u64)> {
         self.0.iter().map(|(life, told)| (life, told.blocks))
     }
 
     /// One counter.
-    pub fn get(&self, life: &Life, cell: Cell) -> u64 {
+    pub fn get(&self, life: &MemberIncarnation, cell: Cell) -> u64 {
         self.0.get(life).map_or(0, |told| told.cells.get(&cell))
     }
 
     fn room(&self, lives: usize, cells: usize) -> Result<(), CountsError> {
         let count = self.0.len() + lives;
         if lives > 0 && count > MAX_INCARNATIONS {
-            return Err(CountsError::Lives { count });
+            return Err(CountsError::Incarnations { count });
         }
         if cells > 0 {
             let count = self.cells() + cells;
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -412,7 +412,7 @@
             "src/fleet/experiment/counts.rs",
             "CountsError",
             samples!(CountsError {
-                Lives { count: 9 },
+                Incarnations { count: 9 },
                 Cells { count: 9 },
                 Place { block: 9, arm: 9 },
                 Told { block: 9 },
--- a/tests/experiment/decided.rs
+++ b/tests/experiment/decided.rs
@@ -280,7 +280,7 @@
 /// What a report says: blocks told, and the sum of `kind` in `block`.
 fn of(report: &Report, block: u64, kind: Kind) -> (u64, u64) {
     use hopwalk::fleet::experiment::counts::Cell;
-    let (life, told) = report.counts.lives().next().unwrap();
+    let (life, told) = report.counts.incarnations().next().unwrap();
     (told, (0..2).map(|arm| report.counts.get(life, Cell { block, arm, kind })).sum())
 }
 
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -286,7 +286,10 @@
         counts.add(&("m".into(), 0), Cell { arm: 8, ..cell }, 1).unwrap_err(),
         CountsError::Cells { count: MAX_CELLS + 1 },
     ];
-    assert!(matches!(errors[0], CountsError::Lives { .. }) && matches!(errors[1], CountsError::Told { .. }));
+    assert!(
+        matches!(errors[0], CountsError::Incarnations { .. })
+            && matches!(errors[1], CountsError::Told { .. })
+    );
     assert!(counts == before && errors.iter().all(|error| error.help().is_some()));
 }
 
--- a/tests/experiment/plays.rs
+++ b/tests/experiment/plays.rs
@@ -238,7 +238,7 @@
 pub fn sums(counts: &[hopwalk::fleet::experiment::counts::Counts], block: u64, arms: u8) -> Vec<Tally> {
     let sum = |arm, kind| {
         let each = counts.iter().flat_map(|counts| {
-            counts.lives().map(move |(life, _)| counts.get(life, Cell { block, arm, kind }))
+            counts.incarnations().map(move |(life, _)| counts.get(life, Cell { block, arm, kind }))
         });
         each.sum()
     };
