--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -146,7 +146,7 @@
             None => 0,
         };
         self.told = self.told.max(over).max(self.closed);
-        self.counts.tell(&self.life, self.told)?;
+        self.counts.mark_final(&self.life, self.told)?;
         let counts =
             self.counts.part(&self.life, self.closed, self.closed.saturating_add(MAX_REPORTED_BLOCKS));
         Ok(Report { experiment: self.experiment.name.clone(), counts })
--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -80,7 +80,7 @@
     #[diagnostic(help(
         "count a request in the block that it ends in, and tell only of blocks that are over"
     ))]
-    Told {
+    Final {
         /// The block.
         block: u64,
     },
@@ -102,12 +102,12 @@
     /// Counts `n` more.
     ///
     /// # Errors
-    /// [`CountsError::Place`] and [`CountsError::Told`] for a block that cannot be counted; [`CountsError::Incarnations`] and
+    /// [`CountsError::Place`] and [`CountsError::Final`] for a block that cannot be counted; [`CountsError::Incarnations`] and
     /// [`CountsError::Cells`] where there is no room.
     pub fn add(&mut self, life: &MemberIncarnation, cell: Cell, n: u64) -> Result<(), CountsError> {
         place(cell)?;
         let before = match self.0.get(life) {
-            Some(told) if cell.block < told.blocks => return Err(CountsError::Told { block: cell.block }),
+            Some(told) if cell.block < told.blocks => return Err(CountsError::Final { block: cell.block }),
             Some(told) => told.cells.get(&cell),
             None => 0,
         };
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// [`CountsError::Incarnations`] where there is no room.
-    pub fn tell(&mut self, life: &MemberIncarnation, blocks: u64) -> Result<(), CountsError> {
+    pub fn mark_final(&mut self, life: &MemberIncarnation, blocks: u64) -> Result<(), CountsError> {
         self.room(usize::from(!self.0.contains_key(life)), 0)?;
         let told = self.0.entry(life.clone()).or_default();
         told.blocks = told.blocks.max(blocks);
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -415,7 +415,7 @@
                 Incarnations { count: 9 },
                 Cells { count: 9 },
                 Place { block: 9, arm: 9 },
-                Told { block: 9 },
+                Final { block: 9 },
             }),
         ),
         (
--- a/tests/experiment/main.rs
+++ b/tests/experiment/main.rs
@@ -227,15 +227,15 @@
         }
     }
     let seconds = Duration::from_secs;
-    counts.tell(&life("a"), 1).unwrap();
-    counts.tell(&life("stranger"), 200).unwrap();
+    counts.mark_final(&life("a"), 1).unwrap();
+    counts.mark_final(&life("stranger"), 200).unwrap();
     assert_eq!(blocks.close(&experiment, &counts, &members, seconds(900)), 0);
     assert!(matches!(decide(&experiment, &blocks, seconds(206)), Verdict::Continue { .. }));
     assert!(matches!(decide(&experiment, &blocks, seconds(207)), Verdict::NoWinner { .. }));
-    counts.tell(&life("b"), 1).unwrap();
+    counts.mark_final(&life("b"), 1).unwrap();
     assert_eq!(blocks.close(&experiment, &counts, &members, Duration::from_millis(7999)), 0);
     assert_eq!(blocks.close(&experiment, &counts, &members, seconds(8)), 1);
-    counts.tell(&life("c"), 1).unwrap();
+    counts.mark_final(&life("c"), 1).unwrap();
     blocks.close(&experiment, &counts, &members, seconds(8));
     let served: Vec<_> = blocks.closed()[0].iter().map(|tally| tally.served).collect();
     assert_eq!(served, [11, 1100]);
@@ -248,7 +248,7 @@
         for (incarnation, block, arm, n, told) in adds {
             let life = ("m".to_string(), incarnation);
             let _ = counts.add(&life, Cell { block, arm, kind: Kind::Late }, n);
-            counts.tell(&life, told).unwrap();
+            counts.mark_final(&life, told).unwrap();
         }
         counts
     })
@@ -277,18 +277,18 @@
 fn counts_are_bounded_and_final_once_told() {
     let (mut counts, cell) = (Counts::default(), Cell { block: 0, arm: 0, kind: Kind::Failed });
     for incarnation in 0..MAX_INCARNATIONS as u64 {
-        counts.tell(&("m".into(), incarnation), 1).unwrap();
+        counts.mark_final(&("m".into(), incarnation), 1).unwrap();
     }
     let before = counts.clone();
     let errors = [
-        counts.tell(&("n".into(), 0), 1).unwrap_err(),
+        counts.mark_final(&("n".into(), 0), 1).unwrap_err(),
         counts.add(&("m".into(), 0), cell, 1).unwrap_err(),
         counts.add(&("m".into(), 0), Cell { arm: 8, ..cell }, 1).unwrap_err(),
         CountsError::Cells { count: MAX_CELLS + 1 },
     ];
     assert!(
         matches!(errors[0], CountsError::Incarnations { .. })
-            && matches!(errors[1], CountsError::Told { .. })
+            && matches!(errors[1], CountsError::Final { .. })
     );
     assert!(counts == before && errors.iter().all(|error| error.help().is_some()));
 }
