--- a/src/fleet/experiment/collect.rs
+++ b/src/fleet/experiment/collect.rs
@@ -38,7 +38,7 @@
             return Ok(());
         }
         self.counts.merge(&report.counts)?;
-        self.counts.forget(state.closed());
+        self.counts.discard_before(state.closed());
         Ok(())
     }
 
--- a/src/fleet/experiment/counter.rs
+++ b/src/fleet/experiment/counter.rs
@@ -129,7 +129,7 @@
     pub fn discard_closed(&mut self, closed: u64) {
         if closed > self.closed {
             self.closed = closed;
-            self.counts.forget(closed);
+            self.counts.discard_before(closed);
         }
     }
 
@@ -148,7 +148,7 @@
         self.told = self.told.max(over).max(self.closed);
         self.counts.mark_final(&self.life, self.told)?;
         let counts =
-            self.counts.part(&self.life, self.closed, self.closed.saturating_add(MAX_REPORTED_BLOCKS));
+            self.counts.blocks_of(&self.life, self.closed, self.closed.saturating_add(MAX_REPORTED_BLOCKS));
         Ok(Report { experiment: self.experiment.name.clone(), counts })
     }
 
--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -155,7 +155,7 @@
 
     /// Drops what blocks before `block` counted, which are closed for good; and the lives that nothing is left of, where a
     /// later life of the same member told.
-    pub fn forget(&mut self, block: u64) {
+    pub fn discard_before(&mut self, block: u64) {
         let first = Cell { block, arm: 0, kind: Kind::Assigned };
         for told in self.0.values_mut() {
             told.cells.dots = told.cells.dots.split_off(&first);
@@ -167,7 +167,7 @@
 
     /// What `life` counted in blocks from `from` to before `to`, and no more blocks told than those before `to`.
     #[must_use]
-    pub fn part(&self, life: &MemberIncarnation, from: u64, to: u64) -> Self {
+    pub fn blocks_of(&self, life: &MemberIncarnation, from: u64, to: u64) -> Self {
         let mut part = Told::default();
         if let Some(told) = self.0.get(life) {
             part.blocks = told.blocks.min(to);
