--- a/src/fleet/experiment/counts.rs
+++ b/src/fleet/experiment/counts.rs
@@ -69,7 +69,7 @@
     #[diagnostic(help(
         "arms go to {MAX_ARMS} and blocks to {MAX_BLOCKS}: look for another version in the fleet"
     ))]
-    Place {
+    InvalidCell {
         /// The block.
         block: u64,
         /// The arm.
@@ -102,7 +102,7 @@
     /// Counts `n` more.
     ///
     /// # Errors
-    /// [`CountsError::Place`] and [`CountsError::Final`] for a block that cannot be counted; [`CountsError::Incarnations`] and
+    /// [`CountsError::InvalidCell`] and [`CountsError::Final`] for a block that cannot be counted; [`CountsError::Incarnations`] and
     /// [`CountsError::Cells`] where there is no room.
     pub fn add(&mut self, life: &MemberIncarnation, cell: Cell, n: u64) -> Result<(), CountsError> {
         place(cell)?;
@@ -133,7 +133,7 @@
     /// Takes in what another matcher holds: commutative, associative and idempotent while there is room.
     ///
     /// # Errors
-    /// [`CountsError::Incarnations`], [`CountsError::Cells`] and [`CountsError::Place`].
+    /// [`CountsError::Incarnations`], [`CountsError::Cells`] and [`CountsError::InvalidCell`].
     pub fn merge(&mut self, other: &Self) -> Result<(), CountsError> {
         let (mut lives, mut cells) = (0, 0);
         for (life, told) in &other.0 {
@@ -211,7 +211,7 @@
 fn place(cell: Cell) -> Result<(), CountsError> {
     let Cell { block, arm, .. } = cell;
     if usize::from(arm) >= MAX_ARMS || block >= MAX_BLOCKS {
-        return Err(CountsError::Place { block, arm });
+        return Err(CountsError::InvalidCell { block, arm });
     }
     Ok(())
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -414,7 +414,7 @@
             samples!(CountsError {
                 Incarnations { count: 9 },
                 Cells { count: 9 },
-                Place { block: 9, arm: 9 },
+                InvalidCell { block: 9, arm: 9 },
                 Final { block: 9 },
             }),
         ),
