--- a/src/fleet/driver/lead.rs
+++ b/src/fleet/driver/lead.rs
@@ -123,7 +123,7 @@
     }
 
     /// Takes what a matcher counted; false if it was not taken.
-    pub fn add_report(&mut self, state: &State, report: &Report) -> bool {
+    pub fn heard(&mut self, state: &State, report: &Report) -> bool {
         self.term.is_some() && self.collector.add_report(&state.experiments, report).is_ok()
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// An entry of the experiments was taken, refused or given up.
-    pub fn proposal_finished(&mut self) {
+    pub fn answered(&mut self) {
         self.collector.proposal_finished();
     }
 }
