--- a/src/core/call_routes.rs
+++ b/src/core/call_routes.rs
@@ -72,7 +72,7 @@
         let kind = match verdict {
             Verdict::Served(_) if now <= self.target_time => Kind::Served,
             Verdict::Served(_) => Kind::Late,
-            Verdict::Refused { .. } => Kind::TurnedAway,
+            Verdict::Refused { .. } => Kind::Refused,
             _ => Kind::Failed,
         };
         Effect::CountAnswer { route: Box::new(self.call(class)), kind }
