--- a/src/fleet/experiment/blocks.rs
+++ b/src/fleet/experiment/blocks.rs
@@ -1,5 +1,5 @@
-//! Observations: what the fleet counted in one block of time, once enough of it told. A block that is closed stays as it
-//! is, so that what follows from it is the same whenever it is asked.
+//! Blocks: an observation is what the fleet counted in one block of time, a [`Tally`] per arm. A block is closed once
+//! enough members have reported it. A closed block never changes, so that every later evaluation has the same result.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,24 +9,24 @@
 use super::counts::{Cell, Counts, Kind};
 use super::Experiment;
 
-/// What one arm had in one block, over the members that told.
+/// The counts of one arm in one block, summed over the members that reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Subjects put in the arm.
+    /// Subjects assigned to the arm.
     pub assigned: u64,
-    /// Served within their aim.
+    /// Requests served within their target latency.
     pub served: u64,
-    /// Served after it.
+    /// Requests served later than that.
     pub late: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Turned away.
+    /// Requests refused.
     #[serde(rename = "turned_away")]
     pub refused: u64,
 }
 
 impl Tally {
-    /// The greatest of its counts.
+    /// The largest of the counts.
     pub fn max_count(&self) -> u64 {
         let all = [self.assigned, self.served, self.late, self.failed, self.refused];
         all.into_iter().max().unwrap_or(0)
@@ -36,33 +36,33 @@
         [self.served, self.late, self.failed, self.refused].into_iter().map(|n| n as f64).sum()
     }
 
-    /// The share served within its aim, of all requests; none without requests.
+    /// The share of requests served within their target latency; none without requests.
     pub fn on_time_share(&self) -> Option<f64> {
         (self.requests() > 0.0).then(|| self.served as f64 / self.requests())
     }
 
-    /// The share that failed or was late, of all requests; none without requests.
+    /// The share of requests that failed or were late; none without requests.
     pub fn bad_share(&self) -> Option<f64> {
         (self.requests() > 0.0).then(|| (self.failed as f64 + self.late as f64) / self.requests())
     }
 }
 
-/// Blocks that are closed, in order of time. Each holds one tally an arm.
+/// The closed blocks in order of time, each with one tally per arm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Blocks(Vec<Vec<Tally>>);
 
 impl Blocks {
-    /// Of tallies from elsewhere, such as a file or a play.
+    /// Blocks from given tallies, such as those of a file or a simulation.
     pub fn new(closed: Vec<Vec<Tally>>) -> Self {
         Self(closed)
     }
 
-    /// What is closed.
+    /// The closed blocks.
     pub fn closed(&self) -> &[Vec<Tally>] {
         &self.0
     }
 
-    /// Closes what can be at `now`, and returns how many blocks that were: see [`close`].
+    /// Closes all blocks that can be closed at `now` and returns their number: see [`close`].
     pub fn close(
         &mut self,
         experiment: &Experiment,
@@ -78,12 +78,12 @@
     }
 }
 
-/// The tallies of `block`, one an arm, if it can be closed at `now`: it is over, told by a majority of `members`, and told
-/// by all of them or over for the grace. Who did not tell is left out of the block for every arm; what comes later of it
-/// is not taken in.
+/// The tallies of `block`, one per arm, if the block can be closed at `now`: it has ended, a majority of `members` has
+/// reported it, and either all members have or the grace period has passed. A member that has not reported is left out
+/// of the block for every arm, and its later reports of the block are ignored.
 ///
-/// A life that ended before it told of a block gives nothing to it, for any arm. Its member counts as heard once a later
-/// life told: else a block in which most of the fleet restarted would never close.
+/// An incarnation that ended before it reported a block contributes nothing to any arm. Its member counts as having
+/// reported once a later incarnation has: otherwise a block in which most of the fleet restarted would never close.
 pub fn close(
     experiment: &Experiment,
     counts: &Counts,
@@ -95,27 +95,27 @@
     if block >= experiment.blocks() || now < end {
         return None;
     }
-    let told: Vec<_> = counts
+    let reported: Vec<_> = counts
         .incarnations()
-        .filter(|(life, told)| *told > block && members.contains(&life.0))
-        .map(|(life, _)| life)
+        .filter(|(member, final_blocks)| *final_blocks > block && members.contains(&member.0))
+        .map(|(member, _)| member)
         .collect();
-    let heard = told.iter().map(|life| &life.0).collect::<BTreeSet<_>>().len();
-    let waited = now >= end.saturating_add(Duration::from_millis(experiment.grace_ms));
-    if heard <= members.len() / 2 || (heard < members.len() && !waited) {
+    let reporting = reported.iter().map(|member| &member.0).collect::<BTreeSet<_>>().len();
+    let grace_passed = now >= end.saturating_add(Duration::from_millis(experiment.grace_ms));
+    if reporting <= members.len() / 2 || (reporting < members.len() && !grace_passed) {
         return None;
     }
     let tally = |arm: u8| {
-        let of = |kind| {
+        let total = |kind| {
             let cell = Cell { block, arm, kind };
-            told.iter().fold(0u64, |sum, life| sum.saturating_add(counts.get(life, cell)))
+            reported.iter().fold(0u64, |sum, member| sum.saturating_add(counts.get(member, cell)))
         };
         Tally {
-            assigned: of(Kind::Assigned),
-            served: of(Kind::Served),
-            late: of(Kind::Late),
-            failed: of(Kind::Failed),
-            refused: of(Kind::Refused),
+            assigned: total(Kind::Assigned),
+            served: total(Kind::Served),
+            late: total(Kind::Late),
+            failed: total(Kind::Failed),
+            refused: total(Kind::Refused),
         }
     };
     Some((0..experiment.arms.len() as u8).map(tally).collect())
--- a/src/fleet/experiment/mod.rs
+++ b/src/fleet/experiment/mod.rs
@@ -1,10 +1,14 @@
-//! Experiments that split subjects between the arms of a route table, and when to stop them. No I/O, no clock and no
-//! randomness: the time is an input, a [`Duration`] since an epoch that the fleet shares.
+//! Experiments that split subjects between the arms of a route table, and the rules that stop them. This module does no
+//! I/O and uses no clock and no randomness: the time is an input, a [`Duration`] since the Unix epoch.
 //!
-//! [`assign`] says which arm a subject is in, [`counter`] what of it is counted at a matcher, [`counts`] holds what each
-//! matcher counted, [`blocks`] makes observations of them once enough matchers told, [`collect`] has the leader put them
-//! into the log, [`sequential`] weighs them, [`decide`] says what follows, [`record`] is what the fleet decided, and
-//! [`summary`] tells operators why. Arm 0 is the control. docs/experiments.md has the ways that were weighed and what was measured.
+//! - [`Experiment`] is the document of an experiment; [`assign`] computes the arm of a subject.
+//! - [`counter`] counts subjects and outcomes at one matcher; [`counts`] merges the counts of all matchers.
+//! - [`blocks`] turns the counts of one block of time into an observation once enough matchers have reported.
+//! - [`collect`] is run by the leader and proposes closed blocks as log entries.
+//! - [`sequential`] has the statistical tests, and [`decide`] derives the [`Verdict`] from the blocks.
+//! - [`record`] is the replicated state of experiments, and [`summary`] describes it to operators.
+//!
+//! Arm 0 is the control. docs/experiments.md compares the alternatives to this design and has its measurements.
 
 pub mod assign;
 pub mod blocks;
@@ -22,69 +26,73 @@
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
 
-/// Arms at most, the control included; two at least.
+/// Maximum number of arms, including the control. The minimum is two.
 pub const MAX_ARMS: usize = 8;
-/// Blocks at most that the longest duration may hold.
+/// Maximum number of blocks of an experiment.
 pub const MAX_BLOCKS: u64 = 10_000;
-/// Blocks at least before a decision: fewer say too little of how they vary.
+/// Smallest permitted `least_blocks`: the variance cannot be estimated from fewer blocks.
 pub const MIN_BLOCKS: u64 = 10;
-/// Blocks at least that are weighed before a winner or harm, for each block that a wave of one arm may last.
+/// Minimum number of evaluated blocks before a winner or harm, per block of the assumed correlation time.
 pub const BLOCKS_PER_CORRELATION_TIME: u64 = 5;
-/// Blocks that a wave may last, by how many blocks there are to be before a decision: these at least, whatever is asked.
+/// Lower limit of the correlation time in blocks that the tests assume, however low `least_blocks` is.
 pub const MIN_CORRELATION_TIME: u64 = 5;
-/// And these at most: for longer waves blocks are to be longer.
+/// Upper limit of the same. Outcomes with a longer correlation time need longer blocks.
 pub const MAX_CORRELATION_TIME: u64 = 20;
-/// The highest level of error.
+/// Largest permitted significance level.
 pub const MAX_ALPHA: f64 = 0.2;
-/// How long after its order an experiment starts whose document names no start: every matcher is to know of it by then.
+/// Delay from the order to the start of an experiment whose document has no start, so that every matcher has received
+/// it.
 pub const START_DELAY: Duration = Duration::from_secs(2);
-/// Bytes of a name at most.
+/// Maximum length of a name in bytes.
 pub const MAX_NAME: usize = 64;
-/// What the shares' sum may be off 1 by rounding.
-const ROUNDING: f64 = 1e-6;
+/// Permitted deviation of the sum of all shares from 1, for rounding.
+const SHARE_TOLERANCE: f64 = 1e-6;
 
-/// One way of routing, and the share of subjects that it is given.
+/// One variant of the routing, and the share of subjects that are assigned to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arm {
-    /// Its name; part of the hash, so that a new name is a new draw.
+    /// Its name, which is part of the assignment hash: a new name changes the assignment.
     pub name: String,
-    /// The share of subjects, over 0 and below 1.
+    /// The share of subjects, above 0 and below 1.
     pub share: f64,
 }
 
-/// The document of an experiment, in time since the Unix epoch. Read [`Experiment::check`] before use: all else takes a document that passed it.
+/// The document of an experiment. Times are since the Unix epoch. [`Experiment::check`] validates it: all other
+/// functions expect a valid document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// The key of the split: the same at every matcher, another one for each experiment.
+    /// The hash key of the assignment: the same at every matcher, and a different one for each experiment.
     pub salt: [u64; 2],
-    /// The control first, then what is compared with it.
+    /// The control, followed by the arms that are compared with it.
     pub arms: Vec<Arm>,
-    /// The share of experiments without any difference that may name a winner, over all arms together.
+    /// Significance level of a winner: the probability, over all arms, of a winner where the arms do not differ.
     pub alpha: f64,
-    /// The same for a false stop for harm.
+    /// The same of a stop for harm that does not exist.
     pub harm_alpha: f64,
-    /// The same for a fair split that is called invalid.
+    /// The same of a fair split that is found invalid.
     pub split_alpha: f64,
-    /// Harm is a share of failed and late requests over the control's by more than this, 0 to below 1.
+    /// An arm does harm where its share of failed and late requests exceeds the control's by more than this margin;
+    /// from 0 to below 1.
     pub harm_margin: f64,
-    /// The start, in ms since the Unix epoch; 0 in an operator's document for [`Experiment::with_start`].
+    /// The start, in ms since the Unix epoch. 0 in an operator's document: [`Experiment::with_start`] sets it.
     pub start_ms: u64,
     /// The length of a block, 100 ms to 1 h.
     pub block_ms: u64,
-    /// The longest duration; a whole number of blocks counts, what is left over does not.
+    /// The maximum duration. Only whole blocks count; a remainder is ignored.
     pub longest_ms: u64,
-    /// How long a block waits for members after its end, once a quorum told; and the last one for a quorum.
+    /// How long after its end a block waits for the reports of all members once a majority has reported, and how long
+    /// the last block waits for a majority.
     pub grace_ms: u64,
-    /// Blocks at least before any decision. A [`BLOCKS_PER_CORRELATION_TIME`]th of it is how many blocks outcomes of one arm may hang
-    /// together: [`Experiment::correlation_time`].
+    /// Minimum number of blocks before any decision. Divided by [`BLOCKS_PER_CORRELATION_TIME`] it is the assumed
+    /// [`Experiment::correlation_time`].
     pub least_blocks: u64,
 }
 
-/// What is wrong with a document.
+/// Why a document is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, Diagnostic, Serialize, Deserialize)]
 pub enum DocumentError {
     /// A name is empty or too long.
@@ -98,79 +106,81 @@
     #[error("there are {count} arms")]
     #[diagnostic(help("give 2 to {MAX_ARMS} arms, the control first"))]
     Arms {
-        /// How many.
+        /// The number of arms.
         count: usize,
     },
-    /// Two arms have one name.
+    /// Two arms have the same name.
     #[error("two arms are named {name:?}")]
-    #[diagnostic(help("give each arm a name of its own: the split is drawn by it"))]
+    #[diagnostic(help("give each arm a unique name: subjects are assigned by it"))]
     SameName {
         /// The name.
         name: String,
     },
-    /// A share is no share.
+    /// A share is out of bounds.
     #[error("the share of {arm:?} is {share}")]
-    #[diagnostic(help("give each arm a share over 0 and below 1; leave out an arm that nobody is to have"))]
+    #[diagnostic(help(
+        "give each arm a share above 0 and below 1; remove an arm that is to have no subjects"
+    ))]
     Share {
         /// The arm.
         arm: String,
         /// Its share.
         share: f64,
     },
-    /// The shares are not all there is.
+    /// The shares do not sum to 1.
     #[error("the shares sum to {sum}")]
-    #[diagnostic(help("let the shares sum to 1: the control takes what is left"))]
+    #[diagnostic(help("make the shares sum to 1: give the control the remainder"))]
     Sum {
         /// Their sum.
         sum: f64,
     },
-    /// A level of error is out of bounds.
+    /// A significance level is out of bounds.
     #[error("{field} is {value}")]
-    #[diagnostic(help("give a level of error over 0 and up to {MAX_ALPHA}, such as 0.05"))]
+    #[diagnostic(help("give a significance level above 0 and up to {MAX_ALPHA}, such as 0.05"))]
     Alpha {
-        /// Which one.
+        /// The key of the level.
         field: String,
-        /// What was given.
+        /// The value given.
         value: f64,
     },
-    /// The margin is no difference of shares that can be.
+    /// The margin is not a possible difference of shares.
     #[error("harm_margin is {value}")]
     #[diagnostic(help("give a margin from 0 to below 1, such as 0.02 for two in a hundred requests"))]
     Margin {
-        /// What was given.
+        /// The value given.
         value: f64,
     },
     /// The length of a block is out of bounds.
     #[error("block_ms is {value}")]
-    #[diagnostic(help("give 100 to 3600000 ms: some times as long as load and outcomes hang together"))]
+    #[diagnostic(help("give 100 to 3600000 ms: several times the correlation time of load and outcomes"))]
     Block {
-        /// What was given.
+        /// The value given.
         value: u64,
     },
-    /// The longest duration holds too few or too many blocks.
+    /// The maximum duration has too few or too many blocks.
     #[error("longest_ms holds {blocks} blocks, and least_blocks is {least}")]
-    #[diagnostic(help("let it hold at least least_blocks and at most {MAX_BLOCKS} blocks of block_ms"))]
+    #[diagnostic(help("make it at least least_blocks and at most {MAX_BLOCKS} blocks of block_ms"))]
     Longest {
-        /// Blocks it holds.
+        /// Blocks in the maximum duration.
         blocks: u64,
-        /// Blocks asked for.
+        /// The value of `least_blocks`.
         least: u64,
     },
-    /// A decision would come too early.
+    /// `least_blocks` is too low.
     #[error("least_blocks is {value}")]
     #[diagnostic(help("ask for at least {MIN_BLOCKS} blocks before a decision"))]
     Least {
-        /// What was given.
+        /// The value given.
         value: u64,
     },
-    /// The end, grace included, is no time that can be written.
+    /// The end including the grace period does not fit into 64 bits.
     #[error("start_ms, longest_ms and grace_ms together are too large")]
-    #[diagnostic(help("give times in ms since the fleet's epoch"))]
+    #[diagnostic(help("give times in ms since the Unix epoch"))]
     Time,
 }
 
 impl Experiment {
-    /// Whether all is within its bounds; the first thing that is not.
+    /// Checks that all values are within their bounds, and returns the first error found.
     ///
     /// # Errors
     /// Each of [`DocumentError`].
@@ -193,7 +203,7 @@
             }
         }
         let sum: f64 = self.arms.iter().map(|arm| arm.share).sum();
-        if (sum - 1.0).abs() > ROUNDING {
+        if (sum - 1.0).abs() > SHARE_TOLERANCE {
             return Err(DocumentError::Sum { sum });
         }
         let levels =
@@ -220,8 +230,8 @@
         end.map(|_| ()).ok_or(DocumentError::Time)
     }
 
-    /// With a start: a document with a `start_ms` of 0 starts [`START_DELAY`] `now`, since the Unix epoch. For who takes the
-    /// order, before it is put into the log.
+    /// Sets the start of a document with a `start_ms` of 0 to [`START_DELAY`] after `now`, which is since the Unix
+    /// epoch. The member that accepts the order does this before it submits the entry to the log.
     #[must_use]
     pub fn with_start(mut self, now: Duration) -> Self {
         if self.start_ms == 0 {
@@ -230,93 +240,96 @@
         self
     }
 
-    /// Blocks that the longest duration holds.
+    /// The number of whole blocks in the maximum duration.
     pub fn blocks(&self) -> u64 {
         self.longest_ms.checked_div(self.block_ms).unwrap_or(0)
     }
 
-    /// When block `block` ends.
+    /// The time at which block `block` ends.
     pub fn end_of(&self, block: u64) -> Duration {
         let after = self.block_ms.saturating_mul(block.saturating_add(1));
         Duration::from_millis(self.start_ms.saturating_add(after))
     }
 
-    /// The longest duration and the grace are over: there is a verdict from here on, whoever was heard.
+    /// The end of the maximum duration and the grace period: from then on there is a verdict, whichever members
+    /// reported.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.start_ms.saturating_add(self.longest_ms).saturating_add(self.grace_ms))
     }
 
-    /// The block that `now` lies in; none before the start and after the last one.
+    /// The block that contains `now`; none before the start and after the last block.
     pub fn block_at(&self, now: Duration) -> Option<u64> {
         let since = now.checked_sub(Duration::from_millis(self.start_ms))?.as_millis();
         let block = since.checked_div(u128::from(self.block_ms))?;
         u64::try_from(block).ok().filter(|block| *block < self.blocks())
     }
 
-    /// So many blocks a wave of one arm may last (1 / (1 - correlation of neighbours)) with the levels of error kept:
-    /// [`MIN_CORRELATION_TIME`] to [`MAX_CORRELATION_TIME`].
+    /// The longest correlation time of an arm's outcomes in blocks, 1 / (1 - lag-1 autocorrelation), for which the
+    /// significance levels hold: [`MIN_CORRELATION_TIME`] to [`MAX_CORRELATION_TIME`].
     pub fn correlation_time(&self) -> f64 {
         (self.least_blocks as f64 / BLOCKS_PER_CORRELATION_TIME as f64)
             .clamp(MIN_CORRELATION_TIME as f64, MAX_CORRELATION_TIME as f64)
     }
 
-    /// Blocks at least that are weighed before a winner or harm: fewer would not show a wave that may be. Where
-    /// `least_blocks` is lower, it is turned up.
+    /// Minimum number of evaluated blocks before a winner or harm, which may exceed `least_blocks`: an autocorrelation
+    /// of the shortest assumed correlation time would not show in fewer blocks.
     pub fn min_evaluated_blocks(&self) -> u64 {
         self.least_blocks.max(BLOCKS_PER_CORRELATION_TIME * MIN_CORRELATION_TIME)
     }
 
-    /// Arms that are compared with the control; the levels of error are divided by it (Bonferroni).
+    /// The number of arms that are compared with the control. The significance levels are divided by it (Bonferroni).
     pub fn comparisons(&self) -> f64 {
         self.arms.len().saturating_sub(1).max(1) as f64
     }
 }
 
-/// The figures that a verdict stands on.
+/// The statistics that a verdict is based on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Blocks that were weighed: closed, and with requests in every arm.
+    /// Evaluated blocks: closed, with requests in every arm.
     pub blocks: u64,
-    /// The arm's share less the control's; of a split, the share seen less the share given where that is farthest off.
+    /// The arm's share minus the control's; of a split, the observed minus the configured share of the arm with the
+    /// largest deviation.
     pub estimate: f64,
-    /// Its confidence sequence at the level after correction; the whole range of a split, where none is made.
+    /// The confidence interval of the estimate at the corrected level, from a confidence sequence. A split has none: it
+    /// is the whole range.
     pub interval: (f64, f64),
-    /// Valid whenever it is looked at, and corrected for the number of arms; 1 says nothing.
+    /// The p-value, valid at any time and corrected for the number of arms.
     pub p_value: f64,
-    /// Evidence against no difference in this comparison, before correction.
+    /// The e-value against the null hypothesis of this comparison, before correction.
     pub e_value: f64,
 }
 
-/// What follows from the blocks so far.
+/// The result of the blocks closed so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Go on.
+    /// No decision yet.
     Continue {
-        /// Of the arm with the most evidence so far.
+        /// Of the arm with the strongest evidence so far.
         evidence: Evidence,
     },
-    /// An arm serves more in aim than the control; or the control, more than every other arm.
+    /// An arm serves a larger share of requests on time than the control, or the control than every other arm.
     Winner {
-        /// Which one; 0 is the control.
+        /// The winner's index; 0 is the control.
         arm: usize,
-        /// Against the control; for the control, against the arm that comes closest.
+        /// Of the comparison with the control; where the control won, of the arm closest to it.
         evidence: Evidence,
     },
-    /// An arm fails or delays more than the control by over the margin.
+    /// An arm's share of failed and late requests exceeds the control's by more than the margin.
     Harm {
-        /// Which one.
+        /// The arm's index.
         arm: usize,
-        /// Of failed and late requests.
+        /// Of the comparison of failed and late requests.
         evidence: Evidence,
     },
-    /// The split is not the one asked for: nothing can be said of the arms.
+    /// Subjects are not split by the configured shares, so the arms cannot be compared.
     Invalid {
         /// Of the split.
         evidence: Evidence,
     },
-    /// The longest duration passed.
+    /// The maximum duration passed without a decision.
     NoWinner {
-        /// Of the arm with the most evidence.
+        /// Of the arm with the strongest evidence.
         evidence: Evidence,
     },
 }
