--- a/src/fleet/random.rs
+++ b/src/fleet/random.rs
@@ -1,5 +1,5 @@
-//! Where the fleet's code takes random numbers from: the system, or in a simulation a seeded row, so that a play can be
-//! played again.
+//! The source of random numbers for the fleet's code: the operating system, or in a simulation a seeded generator for
+//! each thread, so that a run can be repeated.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -9,38 +9,38 @@
 use rand_core_of_openraft::{Error, RngCore};
 
 thread_local! {
-    static ROW: Cell<Option<u64>> = const { Cell::new(None) };
+    static STATE: Cell<Option<u64>> = const { Cell::new(None) };
 }
 
-/// What this thread draws from now on: a row that begins with a state, or the system's numbers. Returns the state of the
-/// row so far, so that several members take turns on one thread.
-pub fn replace_state(row: Option<u64>) -> Option<u64> {
-    ROW.replace(row)
+/// Replaces the state of this thread's generator and returns the previous state, so that several simulated members can
+/// take turns on one thread. Without a state the thread uses the system's random numbers.
+pub fn replace_state(state: Option<u64>) -> Option<u64> {
+    STATE.replace(state)
 }
 
-/// The next number of this thread's row (SplitMix64; Steele, Lea and Flood, 2014); none where it has no row.
+/// The next number of this thread's generator (SplitMix64; Steele, Lea and Flood, 2014); none if it has no state.
 fn next() -> Option<u64> {
-    let row = ROW.get()?.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    ROW.set(Some(row));
-    let mut z = row;
+    let state = STATE.get()?.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    STATE.set(Some(state));
+    let mut z = state;
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     Some(z ^ (z >> 31))
 }
 
-/// A number that nobody guesses; none if the system has none.
+/// An unpredictable number; none if the system's source fails. In a simulation it comes from the seeded generator.
 pub fn number() -> Option<u64> {
     next().or_else(|| {
-        let drawn = ring::rand::generate::<[u8; 8]>(&ring::rand::SystemRandom::new());
-        Some(u64::from_be_bytes(drawn.ok()?.expose()))
+        let bytes = ring::rand::generate::<[u8; 8]>(&ring::rand::SystemRandom::new());
+        Some(u64::from_be_bytes(bytes.ok()?.expose()))
     })
 }
 
-/// Draws for `openraft`: its election timeouts.
+/// The random numbers of `openraft`, which it uses for election timeouts.
 #[derive(Debug)]
-pub struct Draws(<TokioRuntime as AsyncRuntime>::ThreadLocalRng);
+pub struct OpenraftRandom(<TokioRuntime as AsyncRuntime>::ThreadLocalRng);
 
-impl RngCore for Draws {
+impl RngCore for OpenraftRandom {
     fn next_u32(&mut self) -> u32 {
         next().map_or_else(|| self.0.next_u32(), |n| (n >> 32) as u32)
     }
@@ -61,9 +61,9 @@
     }
 }
 
-type Tokio<T> = <TokioRuntime as AsyncRuntime>::OneshotSender<T>;
+type TokioSender<T> = <TokioRuntime as AsyncRuntime>::OneshotSender<T>;
 
-/// `openraft`'s runtime: tokio, with [`Draws`].
+/// `openraft`'s runtime: tokio, with [`OpenraftRandom`].
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Runtime;
 
@@ -74,8 +74,8 @@
     type Instant = <TokioRuntime as AsyncRuntime>::Instant;
     type TimeoutError = <TokioRuntime as AsyncRuntime>::TimeoutError;
     type Timeout<R, T: Future<Output = R> + OptionalSend> = <TokioRuntime as AsyncRuntime>::Timeout<R, T>;
-    type ThreadLocalRng = Draws;
-    type OneshotSender<T: OptionalSend> = Tokio<T>;
+    type ThreadLocalRng = OpenraftRandom;
+    type OneshotSender<T: OptionalSend> = TokioSender<T>;
     type OneshotReceiver<T: OptionalSend> = <TokioRuntime as AsyncRuntime>::OneshotReceiver<T>;
     type OneshotReceiverError = <TokioRuntime as AsyncRuntime>::OneshotReceiverError;
 
@@ -113,8 +113,8 @@
         TokioRuntime::is_panic(join_error)
     }
 
-    fn thread_rng() -> Draws {
-        Draws(TokioRuntime::thread_rng())
+    fn thread_rng() -> OpenraftRandom {
+        OpenraftRandom(TokioRuntime::thread_rng())
     }
 
     fn oneshot<T>() -> (Self::OneshotSender<T>, Self::OneshotReceiver<T>)
