--- a/src/fleet/driver/documents.rs
+++ b/src/fleet/driver/documents.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 
 use crate::fleet::experiment::record as experiments;
-use crate::fleet::experiment::record::{End, WINNER};
-use crate::fleet::experiment::words;
+use crate::fleet::experiment::record::{End, WINNER_OPERATOR};
+use crate::fleet::experiment::summary;
 use crate::fleet::posture::Reachability;
 use crate::fleet::record::Standing;
 use crate::fleet::routes::lease::GrantedLease;
@@ -61,7 +61,10 @@
     if routes.experiment_winner() == Some(made) {
         return document_of("waits", "it begins once the activation that is on its way has ended".into());
     }
-    let begun = routes.history().filter(|past| is_of_winner(past.fence)).skip_while(|past| past.by != WINNER);
+    let begun = routes
+        .history()
+        .filter(|past| is_of_winner(past.fence))
+        .skip_while(|past| past.by != WINNER_OPERATOR);
     let Some(last) = begun.last() else {
         let help =
             format!("another table was activated before it, or too long ago; if it is wanted: {next_step}");
@@ -135,20 +138,20 @@
             json!({ "activations": state.routes.history().map(past).collect::<Vec<_>>() })
         }
         DocumentKind::Experiments => {
-            let run = state.experiments.run().map(|run| {
+            let run = state.experiments.running_experiment().map(|run| {
                 json!({
                     "name": run.experiment.name,
                     "by": run.by,
                     "on": fence(run.on),
                     "activate": run.activate,
-                    "closed": run.weighing.closed(),
+                    "closed": run.evaluation.closed(),
                     "blocks": run.experiment.blocks(),
-                    "verdict": run.weighing.verdict(&run.experiment, Duration::ZERO),
-                    "evidence": words::running(&run.experiment, &run.weighing),
+                    "verdict": run.evaluation.verdict(&run.experiment, Duration::ZERO),
+                    "evidence": summary::running(&run.experiment, &run.evaluation),
                     "document": run.experiment,
                 })
             });
-            let ended = |past: &experiments::Past| {
+            let ended = |past: &experiments::EndedExperiment| {
                 let end = match &past.end {
                     End::Verdict { verdict, at_ms } => json!({ "verdict": verdict, "at_ms": at_ms }),
                     End::Stopped { by } => json!({ "stopped_by": by }),
@@ -160,7 +163,7 @@
                     "on": fence(past.on),
                     "closed": past.closed,
                     "end": end,
-                    "evidence": words::ended(past),
+                    "evidence": summary::ended(past),
                     "made": past.made,
                     "activation": past.made.map(|made| winner_activation(made, past.on, &state.routes)),
                     "document": past.experiment,
@@ -173,7 +176,12 @@
 }
 
 /// The document about what a member knows itself, also without a leader.
-pub fn member_document(member: &Member, now: Duration, reachability: &Reachability, leader: Option<&str>) -> Value {
+pub fn member_document(
+    member: &Member,
+    now: Duration,
+    reachability: &Reachability,
+    leader: Option<&str>,
+) -> Value {
     let (lease, switch) = member.lease_and_switch();
     let clock = match member.clock(now) {
         Ok(bound) => json!({ "bound_us": u64::try_from(bound.as_micros()).unwrap_or(u64::MAX) }),
@@ -251,7 +259,7 @@
         assert_eq!(document(&state)["stage"], "not begun");
         assert_eq!(state.keep_experiment_winner(Table::parse(&table(2)).unwrap()), 2);
         assert_eq!(document(&state)["stage"], "waits");
-        let turn = begin(&mut state, 2, WINNER);
+        let turn = begin(&mut state, 2, WINNER_OPERATOR);
         assert_eq!(
             (&document(&state)["stage"], &document(&state)["turn"]),
             (&json!("on its way"), &json!(turn))
--- a/src/fleet/driver/leader_role.rs
+++ b/src/fleet/driver/leader_role.rs
@@ -140,7 +140,7 @@
 
     /// Takes over the counts of a matcher; returns false if they were not accepted.
     pub fn take_report(&mut self, state: &State, report: &Report) -> bool {
-        self.term.is_some() && self.collector.heard(&state.experiments, report).is_ok()
+        self.term.is_some() && self.collector.add_report(&state.experiments, report).is_ok()
     }
 
     /// The entry that the experiments require in the log now: the end of a block, or the activation of a winner's
@@ -155,7 +155,8 @@
             return Some(Entry::Experiment(entry));
         }
         let version = context.state.experiments.to_activate(&context.state.routes)?;
-        let entry = Entry::Routes(routes::Entry::Prepare { version, by: experiments::WINNER.into() });
+        let entry =
+            Entry::Routes(routes::Entry::Prepare { version, by: experiments::WINNER_OPERATOR.into() });
         let is_waiting =
             self.winner_proposed_at.is_some_and(|last| context.now < last + WINNER_RETRY_INTERVAL);
         if is_waiting || !is_allowed(&entry, context.may) {
@@ -167,7 +168,7 @@
 
     /// An entry of the experiments was accepted or refused, or timed out.
     pub fn entry_answered(&mut self) {
-        self.collector.answered();
+        self.collector.proposal_finished();
     }
 }
 
@@ -219,7 +220,7 @@
             (past.fence.turn == *turn).then_some(Applied::Routes(routes::Applied::Moved(*turn)))
         }
         Entry::Experiment(E::Start { by, .. }) => {
-            let run = state.experiments.run().is_some_and(|run| run.by == *by);
+            let run = state.experiments.running_experiment().is_some_and(|run| run.by == *by);
             let past = || state.experiments.history().any(|past| past.by == *by);
             (run || past()).then_some(Applied::Experiment(experiments::Applied::Started))
         }
@@ -324,7 +325,9 @@
         }
         assert!(is_allowed(&abort(AbortReason::Operator(by())), minority));
         // A member cannot order what only a leader decides.
-        assert!(is_operator_order(&prepare("anna")) && is_operator_order(&abort(AbortReason::Operator(by()))));
+        assert!(
+            is_operator_order(&prepare("anna")) && is_operator_order(&abort(AbortReason::Operator(by())))
+        );
         assert!(!is_operator_order(&abort(AbortReason::Silent(ask(1).member))));
         assert!(!is_operator_order(&Entry::Routes(routes::Entry::Done { turn: 1 })));
         let accepted = LeaseRequest { answer: Some((1, Ok(Duration::ZERO))), ..ask(1) };
--- a/src/fleet/driver/orders.rs
+++ b/src/fleet/driver/orders.rs
@@ -69,7 +69,7 @@
         Order::Start { document } => {
             let start: StartDocument = serde_json::from_str(&document)
                 .map_err(|e| OrderError::InvalidDocument { line: e.line(), column: e.column() })?;
-            let (experiment, activate) = (start.experiment.starting(driver.clock.unix()), start.activate);
+            let (experiment, activate) = (start.experiment.with_start(driver.clock.unix()), start.activate);
             let name = experiment.name.clone();
             let entry = Experiments::Start { experiment, activate, by };
             submit(driver, Entry::Experiment(entry)).await?;
--- a/src/fleet/driver/tasks.rs
+++ b/src/fleet/driver/tasks.rs
@@ -211,7 +211,7 @@
         tokio::select! {
             () = sleep(until.saturating_sub(early)) => {
                 while early > Duration::ZERO && driver.clock.now() < next {
-                    driver.clock.look(POLL_INTERVAL).await;
+                    driver.clock.sleep_precisely(POLL_INTERVAL).await;
                 }
                 driver.step(Input::Tick);
             }
@@ -404,9 +404,9 @@
         if state.counter.as_ref().is_none_or(|counter| *counter.experiment() != experiment) {
             let life = state.member.identity();
             let life = (life.name.clone(), life.incarnation);
-            state.counter = Some(Counter::of(experiment, life, &members, self.clock.unix()));
+            state.counter = Some(Counter::new(experiment, life, &members, self.clock.unix()));
         }
-        state.counter.iter_mut().for_each(|counter| counter.closed(closed));
+        state.counter.iter_mut().for_each(|counter| counter.discard_closed(closed));
     }
 
     /// The voter to which a request to the leader is sent first: the leader according to the own record or the last
--- a/src/fleet/driver/voter.rs
+++ b/src/fleet/driver/voter.rs
@@ -222,7 +222,11 @@
 }
 
 /// Performs the effects of the leader's decisions. Returns the reply, if there is one.
-fn perform_effects(driver: &Arc<DriverState>, voter: &Arc<Voter>, effects: Vec<Effect>) -> Option<LeaseReply> {
+fn perform_effects(
+    driver: &Arc<DriverState>,
+    voter: &Arc<Voter>,
+    effects: Vec<Effect>,
+) -> Option<LeaseReply> {
     let mut sent_reply = None;
     for effect in effects {
         match effect {
@@ -322,9 +326,9 @@
 
     fn grant(self: &Arc<Self>, voter: &Arc<Voter>, ask: LeaseRequest) -> Response {
         let (effects, leads, running) = self.with_leader_role(voter, |context, role| {
-            let running = context.state.experiments.run().map(|run| {
+            let running = context.state.experiments.running_experiment().map(|run| {
                 let experiment = run.experiment.clone();
-                Box::new(Running { experiment, closed: run.weighing.closed(), members: role.members() })
+                Box::new(Running { experiment, closed: run.evaluation.closed(), members: role.members() })
             });
             (role.handle_ask(context, ask), role.is_confirmed_leader(context.now), running)
         });
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -4,7 +4,6 @@
 //! platform allows no communication between instances.
 
 pub mod admin_client;
-pub mod chance;
 pub mod clock;
 pub mod driver;
 pub mod experiment;
@@ -12,6 +11,7 @@
 pub mod membership_thread;
 pub mod metrics;
 pub mod posture;
+pub mod random;
 pub mod record;
 pub mod routes;
 pub mod routing;
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -31,7 +31,7 @@
 pub use error::{ConfirmError, RecordError, SubmitError};
 pub use seat::Seat;
 
-use super::chance;
+use super::random;
 use super::state_machine::{Applied, Entry, Rejection, State};
 use super::wire::message::{AdmitError, Hello, Request, Response};
 use super::wire::raft::{NodeId, RaftRefusal, RaftRequest, RaftResponse, Types, Voter};
@@ -195,7 +195,7 @@
     pub async fn open(options: Options, clients: BTreeMap<String, Client>) -> Result<Self, RecordError> {
         let config = options.raft_config()?;
         let (folder, fleet, name) = (options.folder.clone(), options.fleet.clone(), options.name.clone());
-        let new_node = chance::number().ok_or(RecordError::Stopped)?;
+        let new_node = random::number().ok_or(RecordError::Stopped)?;
         let disk = options.disk.clone();
         let opened =
             options.disk.run_blocking(move || Store::open_on(&disk, &folder, &fleet, &name, new_node)).await;
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -217,7 +217,7 @@
                 let name = &experiment.arms.get(arm(experiment, &call.subject))?.name;
                 let arm = route.arms.iter().find(|a| a.name == *name)?;
                 // If the counter has no room for the subject, it is not counted, whichever its arm.
-                let _ = counter.assigned(&call.subject, clock.unix());
+                let _ = counter.count_assigned(&call.subject, clock.unix());
                 Some(arm)
             });
             let pool = table.pools.get(arm.map_or(&route.pool, |a| &a.pool))?;
@@ -263,13 +263,15 @@
     pub fn route(&self, call: &Call) -> RouteDecision {
         let mut state = self.state();
         let now = self.0.clock.now();
-        let decision = match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None })
-        {
-            CallDecision::Go(fence) => state.route_under(fence, call, &self.0.clock),
-            CallDecision::Wait(at) => RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT)),
-            CallDecision::Ended(fence) => RouteDecision::Ended(fence),
-            CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
-        };
+        let decision =
+            match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None }) {
+                CallDecision::Go(fence) => state.route_under(fence, call, &self.0.clock),
+                CallDecision::Wait(at) => {
+                    RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
+                }
+                CallDecision::Ended(fence) => RouteDecision::Ended(fence),
+                CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
+            };
         if decision == RouteDecision::Barred {
             self.0.metrics.barred_calls.inc();
         }
@@ -311,7 +313,7 @@
         if let (Some(route), Some(counter)) = (route, counter) {
             if !route.arms.is_empty() {
                 // If the counter has no room for the result, it is not counted, whichever its arm.
-                let _ = counter.ended(&call.subject, kind, self.0.clock.unix());
+                let _ = counter.count_outcome(&call.subject, kind, self.0.clock.unix());
             }
         }
     }
@@ -465,7 +467,7 @@
         };
         let (life, members) = (("m1".to_string(), 1), ["m1".to_string()].into());
         routing.state().counter =
-            Some(Counter::of(experiment, life.clone(), &members, routing.0.clock.unix()));
+            Some(Counter::new(experiment, life.clone(), &members, routing.0.clock.unix()));
         let mut on_new_arm = 0;
         for n in 0..1000u32 {
             let call = call("seat", None, &n.to_le_bytes());
--- a/src/fleet/wire/raft.rs
+++ b/src/fleet/wire/raft.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::fleet::{chance, state_machine};
+use crate::fleet::{random, state_machine};
 
 /// The number of a store, drawn at random when the store is created. A replacement for a lost store gets a new number,
 /// so that no voter votes twice in a term.
@@ -41,7 +41,7 @@
         NodeId = NodeId,
         Node = Voter,
         SnapshotData = Cursor<Vec<u8>>,
-        AsyncRuntime = chance::Runtime,
+        AsyncRuntime = random::Runtime,
 );
 
 /// A request of one voter to another.
