--- a/src/acme/mod.rs
+++ b/src/acme/mod.rs
@@ -15,8 +15,8 @@
 
 use tracing::{info, warn};
 
+use crate::error_text;
 use crate::settings::Acme;
-use crate::told;
 pub use error::AcmeError;
 pub use store::{Certificate, Store};
 
@@ -87,7 +87,7 @@
     match store.certificate() {
         Ok(certificate) => shared.lock().certificate = certificate.map(Arc::new),
         // What cannot be read is ordered anew.
-        Err(e) => warn!("the stored certificate cannot be used: {}", told::in_a_line(&e)),
+        Err(e) => warn!("the stored certificate cannot be used: {}", error_text::single_line(&e)),
     }
     let client = client::Client::new(&settings)?;
     std::thread::Builder::new()
@@ -128,7 +128,7 @@
                 }
             }
             Err(error) => {
-                warn!("no new certificate: {}", told::in_a_line(&error));
+                warn!("no new certificate: {}", error_text::single_line(&error));
                 let mut state = shared.lock();
                 state.failures = state.failures.saturating_add(1);
                 state.last_error = Some(error.to_string());
@@ -161,7 +161,7 @@
         Ok(()) if state.failures == 0 => state.last_error = None,
         Ok(()) => {}
         Err(error) => {
-            warn!("the certificate in use is not stored: {}", told::in_a_line(error));
+            warn!("the certificate in use is not stored: {}", error_text::single_line(error));
             state.last_error = Some(error.to_string());
         }
     }
--- a/src/bin/hopwalk-adapter/main.rs
+++ b/src/bin/hopwalk-adapter/main.rs
@@ -14,7 +14,7 @@
 
 use error::{AdapterError, WireError};
 use hopwalk::interface::Action;
-use hopwalk::{told, DecisionEngine};
+use hopwalk::{error_text, DecisionEngine};
 use wire::Message;
 
 /// An instance and what it wants done in the batch at hand.
@@ -114,7 +114,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("hopwalk-adapter: {}", told::in_a_line(&e));
+            eprintln!("hopwalk-adapter: {}", error_text::single_line(&e));
             ExitCode::FAILURE
         }
     }
--- a/src/told.rs
+++ b/src/error_text.rs
@@ -3,16 +3,16 @@
 use miette::Diagnostic;
 
 /// In two lines, as commands print it: the message, and `help: ...` after two blanks.
-pub fn in_lines(error: &dyn Diagnostic) -> String {
-    told(error, "\n  help: ", "")
+pub fn multi_line(error: &dyn Diagnostic) -> String {
+    format_error(error, "\n  help: ", "")
 }
 
 /// In one line, as logs have it: the message, and `(help: ...)`.
-pub fn in_a_line(error: &dyn Diagnostic) -> String {
-    told(error, " (help: ", ")")
+pub fn single_line(error: &dyn Diagnostic) -> String {
+    format_error(error, " (help: ", ")")
 }
 
-fn told(error: &dyn Diagnostic, before: &str, after: &str) -> String {
+fn format_error(error: &dyn Diagnostic, before: &str, after: &str) -> String {
     let help = error.help().map(|help| format!("{before}{help}{after}"));
     format!("{error}{}", help.unwrap_or_default())
 }
--- a/src/lab/routes/mod.rs
+++ b/src/lab/routes/mod.rs
@@ -39,7 +39,7 @@
 use super::stand_in::{Agent, Control, Deadlines};
 use super::stand_in_faults::StandInFaults;
 use super::{check, check_routes, run, stall};
-use crate::told;
+use crate::error_text;
 
 pub use error::LabError;
 pub use setup::{fleet_link, table, Setup, WrongClock};
@@ -88,7 +88,7 @@
 
     /// For people.
     pub fn table(&self) -> String {
-        let errors = self.errors.iter().map(|e| told::in_a_line(e)).collect::<Vec<_>>().join("\n");
+        let errors = self.errors.iter().map(|e| error_text::single_line(e)).collect::<Vec<_>>().join("\n");
         format!("{}{}{errors}\n{}", self.verdict.table(), self.routes.table(), self.folder.display())
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! All decisions are in [`decisions`]; the types it speaks are in [`interface`]. [`core`] owns all state and
 //! turns inputs into effects; [`net`] carries the effects out; [`settings`] reads the configuration.
-//! [`console`] and [`acme`] make an appliance of it; [`told`] words errors for operators. [`lab`] starts processes
+//! [`console`] and [`acme`] make an appliance of it; [`error_text`] words errors for operators. [`lab`] starts processes
 //! of it and puts faults between them.
 
 #[cfg(doctest)]
@@ -24,13 +24,13 @@
 #[forbid(unsafe_code)]
 pub mod json;
 // The lab's shapes are told once, at the head of each of its modules (the history's schema above all).
+#[forbid(unsafe_code)]
+pub mod error_text;
 #[allow(missing_docs)]
 #[forbid(unsafe_code)]
 pub mod lab;
 pub mod net;
 #[forbid(unsafe_code)]
 pub mod settings;
-#[forbid(unsafe_code)]
-pub mod told;
 
 pub use decisions::DecisionEngine;
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,7 +16,7 @@
 use hopwalk::lab;
 use hopwalk::net::{start_runtime, Node};
 use hopwalk::settings::{Appliance, Config};
-use hopwalk::{acme, console, settings, told};
+use hopwalk::{acme, console, error_text, settings};
 use program_error::ProgramError;
 use tracing_subscriber::EnvFilter;
 
@@ -256,7 +256,7 @@
     match fleet_commands::run(command) {
         Ok(()) => Ok(true),
         Err(e) if e.is_refusal() => {
-            eprintln!("hopwalk: {}", told::in_lines(&e));
+            eprintln!("hopwalk: {}", error_text::multi_line(&e));
             Ok(false)
         }
         Err(e) => Err(e.into()),
@@ -288,7 +288,7 @@
                 bar.suspend(|| print!("seed {}: {}\n{}", swept.seed, swept.folder.display(), verdict.table()))
             }
             Err(e) => {
-                let told = told::in_lines(e);
+                let told = error_text::multi_line(e);
                 bar.suspend(|| println!("seed {}: {}: {told}", swept.seed, swept.folder.display()))
             }
             _ => {}
@@ -392,7 +392,7 @@
         &plot.with_extension("png"),
     ) {
         Ok(()) => println!("plots: {}.svg and .png", plot.display()),
-        Err(e) => eprintln!("hopwalk: the plot: {}", told::in_lines(&e)),
+        Err(e) => eprintln!("hopwalk: the plot: {}", error_text::multi_line(&e)),
     }
     Ok(outcome.verdict.clean())
 }
@@ -500,7 +500,7 @@
 fn lab_check(history: &std::path::Path, slack_ms: u64, window_ms: u64) -> Result<bool, ProgramError> {
     let (records, bad) = lab::history::read(history)?;
     for (line, e) in &bad {
-        eprintln!("hopwalk: {}: line {line}: {}", history.display(), told::in_lines(e));
+        eprintln!("hopwalk: {}: line {line}: {}", history.display(), error_text::multi_line(e));
     }
     let verdict = lab::check::check(&records, slack_ms, window_ms);
     print!("{}", verdict.table());
@@ -576,7 +576,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("hopwalk: {}", told::in_lines(&e));
+            eprintln!("hopwalk: {}", error_text::multi_line(&e));
             ExitCode::from(2)
         }
     }
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -7,10 +7,10 @@
 
 use super::wire::parse;
 use crate::core::{End, Input, LinkId, Notice};
+use crate::error_text;
 use crate::net::error::NoticeError;
 use crate::net::lines::{LineDecoder, LinkReader};
 use crate::net::Hub;
-use crate::told;
 
 /// Reads the notices of one link.
 pub(super) struct Reader {
@@ -56,7 +56,7 @@
         let is_repeated =
             self.unreadable_after().take() == last_read && !matches!(error, NoticeError::UnreadableLine);
         let action = if is_repeated { "skipping it" } else { "reconnecting" };
-        warn!("unreadable notice from the agent: {}: {action}", told::in_a_line(error));
+        warn!("unreadable notice from the agent: {}: {action}", error_text::single_line(error));
         if !is_repeated {
             *self.unreadable_after() = last_read;
         }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::sync::mpsc::{sync_channel, SyncSender};
 
+use hopwalk::error_text;
 use hopwalk::net::NodeHandle;
 use hopwalk::settings::Config;
-use hopwalk::told;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 use tracing::warn;
@@ -47,7 +47,7 @@
                     handle.reload(&new);
                     config = new;
                 }
-                Err(e) => warn!("the configuration stays as it was: {}", told::in_a_line(&e)),
+                Err(e) => warn!("the configuration stays as it was: {}", error_text::single_line(&e)),
             }
         }
     });
