--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -84,7 +84,7 @@
     }
     for line in String::from_utf8_lossy(bytes).lines() {
         if let Ok(value) = json::parse(line) {
-            assert!(depth(&value) <= json::MOST_DEPTH, "deeper than the stack of a link may hold");
+            assert!(depth(&value) <= json::MAX_DEPTH, "deeper than the stack of a link may hold");
         }
     }
     let numbered = |notices: &[Notice]| {
--- a/src/json.rs
+++ b/src/json.rs
@@ -8,13 +8,13 @@
 use tinyjson::JsonValue;
 
 /// Lists and objects that may be open at once. Nothing that is read here has more than six.
-pub const MOST_DEPTH: usize = 32;
+pub const MAX_DEPTH: usize = 32;
 
 /// Why a document is not read.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum JsonError {
     /// Over the bound, and not looked at any further.
-    #[error("it is more than {MOST_DEPTH} lists and objects deep")]
+    #[error("it is more than {MAX_DEPTH} lists and objects deep")]
     #[diagnostic(help(
         "look for brackets that are never closed: nothing that is read here has over six levels"
     ))]
@@ -31,9 +31,9 @@
 /// Reads a document.
 ///
 /// # Errors
-/// [`JsonError`] where it is none, or is deeper than [`MOST_DEPTH`].
+/// [`JsonError`] where it is none, or is deeper than [`MAX_DEPTH`].
 pub fn parse(text: &str) -> Result<JsonValue, JsonError> {
-    if depth(text) > MOST_DEPTH {
+    if depth(text) > MAX_DEPTH {
         return Err(JsonError::Deep);
     }
     // The reader shows what it has read so far, in no fixed order and at any length: the place will do.
@@ -80,9 +80,9 @@
         let quoted = format!(r#"{{"a":"\"{}"}}"#, "[".repeat(100));
         assert_eq!((depth(&quoted), parse(&quoted).is_ok()), (1, true));
         let nested = |n: usize| "[".repeat(n) + &"]".repeat(n);
-        assert!(parse(&nested(MOST_DEPTH)).is_ok());
+        assert!(parse(&nested(MAX_DEPTH)).is_ok());
         // Guards against a line of brackets that overruns the stack of the coroutine that reads it.
-        for text in [nested(MOST_DEPTH + 1), "[".repeat(60_000), "{\"a\":".repeat(10_000)] {
+        for text in [nested(MAX_DEPTH + 1), "[".repeat(60_000), "{\"a\":".repeat(10_000)] {
             assert_eq!(parse(&text), Err(JsonError::Deep));
         }
     }
