--- a/src/error_text.rs
+++ b/src/error_text.rs
@@ -1,18 +1,18 @@
-//! How an error is told to an operator: what is wrong, and what can be done about it.
+//! Formats errors for operators: the error message, and the help that says what can be done about it.
 
 use miette::Diagnostic;
 
-/// In two lines, as commands print it: the message, and `help: ...` after two blanks.
+/// Formats an error as commands print it: the message, and `help: ...` on a second line that is indented by two spaces.
 pub fn multi_line(error: &dyn Diagnostic) -> String {
     format_error(error, "\n  help: ", "")
 }
 
-/// In one line, as logs have it: the message, and `(help: ...)`.
+/// Formats an error on one line for logs: the message, and `(help: ...)`.
 pub fn single_line(error: &dyn Diagnostic) -> String {
     format_error(error, " (help: ", ")")
 }
 
-fn format_error(error: &dyn Diagnostic, before: &str, after: &str) -> String {
-    let help = error.help().map(|help| format!("{before}{help}{after}"));
+fn format_error(error: &dyn Diagnostic, prefix: &str, suffix: &str) -> String {
+    let help = error.help().map(|help| format!("{prefix}{help}{suffix}"));
     format!("{error}{}", help.unwrap_or_default())
 }
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,67 +1,67 @@
-//! JSON off files and links, within a depth.
+//! Parses JSON documents from files and connections, with a limit on how deep they nest.
 //!
-//! The reader underneath calls itself for each list or object that it enters. What reads a link has a stack of
-//! 64 KiB, and a line of brackets would overrun it; so a document is measured before it is read.
+//! The parser of `tinyjson` recurses into each array and object. The coroutines that read connections have a stack of
+//! 64 KiB, which a line of opening brackets would overflow. [`parse`] therefore checks the depth of a document before
+//! it parses it.
 
 use miette::Diagnostic;
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-/// Lists and objects that may be open at once. Nothing that is read here has more than six.
+/// Arrays and objects that may be open at once. The documents that the server reads nest six levels at most.
 pub const MAX_DEPTH: usize = 32;
 
-/// Why a document is not read.
+/// Why a document could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum JsonError {
-    /// Over the bound, and not looked at any further.
-    #[error("it is more than {MAX_DEPTH} lists and objects deep")]
-    #[diagnostic(help(
-        "look for brackets that are never closed: nothing that is read here has over six levels"
-    ))]
+    /// The document nests deeper than [`MAX_DEPTH`]. It is not parsed.
+    #[error("the document nests more than {MAX_DEPTH} arrays and objects")]
+    #[diagnostic(help("look for brackets that are never closed: valid input here has six levels at most"))]
     TooDeep,
-    /// It ends early, or holds what JSON does not know.
+    /// The document is incomplete or is not valid JSON.
     #[error("{place}")]
-    #[diagnostic(help("mend the document at this line and column"))]
+    #[diagnostic(help("correct the document at this line and column"))]
     Syntax {
-        /// Where it stops to be JSON.
+        /// Line and column of the first syntax error, in the words of the parser.
         place: String,
     },
 }
 
-/// Reads a document.
+/// Parses a document.
 ///
 /// # Errors
-/// [`JsonError`] where it is none, or is deeper than [`MAX_DEPTH`].
+/// [`JsonError`] if the document is not valid JSON or nests deeper than [`MAX_DEPTH`].
 pub fn parse(text: &str) -> Result<JsonValue, JsonError> {
     if depth(text) > MAX_DEPTH {
         return Err(JsonError::TooDeep);
     }
-    // The reader shows what it has read so far, in no fixed order and at any length: the place will do.
+    // The parser's message also contains what was parsed so far, in no fixed order and of any length. Only the position
+    // is kept.
     let place = |e: tinyjson::JsonParseError| JsonError::Syntax {
         place: e.to_string().split(": ").next().unwrap_or_default().to_string(),
     };
     text.parse().map_err(place)
 }
 
-/// The most lists and objects that are open at once, brackets within strings left out. What is no JSON is
-/// never deeper for the reader than it is here: it stops at the first mistake.
+/// Returns the greatest number of arrays and objects that are open at once, ignoring brackets within strings. For
+/// invalid JSON, the parser never recurses deeper than this, because it stops at the first syntax error.
 fn depth(text: &str) -> usize {
-    let (mut open, mut most) = (0usize, 0);
-    let (mut quoted, mut escaped) = (false, false);
+    let (mut open, mut max_open) = (0usize, 0);
+    let (mut in_string, mut escaped) = (false, false);
     for byte in text.bytes() {
         match byte {
             _ if escaped => escaped = false,
-            b'\\' if quoted => escaped = true,
-            b'"' => quoted = !quoted,
-            b'[' | b'{' if !quoted => {
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            b'[' | b'{' if !in_string => {
                 open += 1;
-                most = most.max(open);
+                max_open = max_open.max(open);
             }
-            b']' | b'}' if !quoted => open = open.saturating_sub(1),
+            b']' | b'}' if !in_string => open = open.saturating_sub(1),
             _ => {}
         }
     }
-    most
+    max_open
 }
 
 #[cfg(test)]
@@ -69,19 +69,19 @@
     use super::*;
 
     #[test]
-    fn an_error_tells_the_place_and_not_what_was_read() {
+    fn a_syntax_error_contains_the_position_and_not_the_parsed_values() {
         let text = format!(r#"{{"a":1,"b":"{}",{{"c":1,"d":2}}:1}}"#, "x".repeat(1000));
         let e = parse(&text).unwrap_err().to_string();
         assert!(e.starts_with("Parse error at line:1, col:10") && e.len() < 40, "{e}");
     }
 
     #[test]
-    fn brackets_within_strings_are_no_depth_and_others_are_bounded() {
+    fn depth_is_limited_and_ignores_brackets_within_strings() {
         let quoted = format!(r#"{{"a":"\"{}"}}"#, "[".repeat(100));
         assert_eq!((depth(&quoted), parse(&quoted).is_ok()), (1, true));
         let nested = |n: usize| "[".repeat(n) + &"]".repeat(n);
         assert!(parse(&nested(MAX_DEPTH)).is_ok());
-        // Guards against a line of brackets that overruns the stack of the coroutine that reads it.
+        // Guards against a line of brackets that overflows the stack of the coroutine that reads it.
         for text in [nested(MAX_DEPTH + 1), "[".repeat(60_000), "{\"a\":".repeat(10_000)] {
             assert_eq!(parse(&text), Err(JsonError::TooDeep));
         }
