--- a/src/bin/hopwalk-adapter/main.rs
+++ b/src/bin/hopwalk-adapter/main.rs
@@ -1,4 +1,6 @@
-//! Hosts instances of the decision module on the line protocol: parsing and a map, no decisions.
+//! `hopwalk-adapter` runs instances of the decision engine on a line protocol: it reads batches of events from standard
+//! input, passes them to the instances that they name, and writes the resulting actions to standard output. It makes no
+//! decisions itself.
 
 mod error;
 mod wire;
@@ -17,44 +19,45 @@
 use hopwalk::{error_text, DecisionEngine};
 use wire::Message;
 
-/// An instance and what it wants done in the batch at hand.
-struct Hosted {
-    brain: DecisionEngine,
+/// An instance of the decision engine, and its actions in the current batch.
+struct Instance {
+    engine: DecisionEngine,
     actions: Vec<Action>,
-    /// It had an event in this batch.
-    touched: bool,
+    /// Whether it received an event in the current batch.
+    active: bool,
 }
 
-/// The instances, and those with an event in the batch at hand in the order of their first.
+/// All instances, and the numbers of those that received an event in the current batch, in the order of the first event
+/// of each.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<u32, Hosted>,
-    touched: Vec<u32>,
-    noted_unknown: bool,
+    instances: BTreeMap<u32, Instance>,
+    active: Vec<u32>,
+    reported_unknown: bool,
 }
 
 impl Host {
-    fn take(&mut self, now: Duration, line: &str) -> Result<(), WireError> {
+    fn process_line(&mut self, now: Duration, line: &str) -> Result<(), WireError> {
         match wire::parse(line)? {
             Message::Configure { who, seed, settings } => {
-                let brain = DecisionEngine::new(*settings, seed, now).map_err(WireError::Settings)?;
-                self.instances.insert(who, Hosted { brain, actions: Vec::new(), touched: true });
-                self.touched.push(who);
+                let engine = DecisionEngine::new(*settings, seed, now).map_err(WireError::Settings)?;
+                self.instances.insert(who, Instance { engine, actions: Vec::new(), active: true });
+                self.active.push(who);
             }
             Message::Down { who } => {
                 self.instances.remove(&who);
             }
             Message::Event { who, event } => {
-                if let Some(hosted) = self.instances.get_mut(&who) {
-                    if !std::mem::replace(&mut hosted.touched, true) {
-                        self.touched.push(who);
+                if let Some(instance) = self.instances.get_mut(&who) {
+                    if !std::mem::replace(&mut instance.active, true) {
+                        self.active.push(who);
                     }
-                    hosted.brain.on_event(now, event, &mut hosted.actions);
+                    instance.engine.on_event(now, event, &mut instance.actions);
                 }
             }
             Message::Unknown(name) => {
-                if !self.noted_unknown {
-                    self.noted_unknown = true;
+                if !self.reported_unknown {
+                    self.reported_unknown = true;
                     eprintln!("hopwalk-adapter: skipping unknown event '{name}'");
                 }
             }
@@ -62,13 +65,13 @@
         Ok(())
     }
 
-    fn reply(&mut self, now: Duration, round: &str, out: &mut impl Write) -> io::Result<()> {
-        for who in self.touched.drain(..) {
-            // A process that ended and began again in one batch stands here twice.
-            let Some(hosted) = self.instances.get_mut(&who).filter(|h| h.touched) else { continue };
-            hosted.touched = false;
-            hosted.brain.decide(now, &mut hosted.actions);
-            for action in hosted.actions.drain(..) {
+    fn write_actions(&mut self, now: Duration, round: &str, out: &mut impl Write) -> io::Result<()> {
+        for who in self.active.drain(..) {
+            // An instance that went down and was configured again within the batch is listed twice.
+            let Some(instance) = self.instances.get_mut(&who).filter(|i| i.active) else { continue };
+            instance.active = false;
+            instance.engine.decide(now, &mut instance.actions);
+            for action in instance.actions.drain(..) {
                 wire::write(out, who, &action)?;
             }
         }
@@ -92,20 +95,20 @@
             continue;
         }
         if let Some(rest) = text.strip_prefix("mark ") {
-            let wrong = |source| AdapterError::Mark { text: text.into(), source };
-            let (now, round) = wire::parse_mark(rest).map_err(wrong)?;
+            let to_error = |source| AdapterError::InvalidMark { text: text.into(), source };
+            let (now, round) = wire::parse_mark(rest).map_err(to_error)?;
             batch = Some((now, round));
             continue;
         }
         let Some((now, round)) = &batch else {
-            return Err(AdapterError::Outside { text: text.into() });
+            return Err(AdapterError::OutsideBatch { text: text.into() });
         };
         if text == "flush" {
-            host.reply(*now, round, &mut out).map_err(AdapterError::Output)?;
+            host.write_actions(*now, round, &mut out).map_err(AdapterError::Output)?;
             batch = None;
         } else {
-            let wrong = |source| AdapterError::Line { round: round.clone(), source };
-            host.take(*now, text).map_err(wrong)?;
+            let to_error = |source| AdapterError::InvalidLine { round: round.clone(), source };
+            host.process_line(*now, text).map_err(to_error)?;
         }
     }
 }
@@ -133,7 +136,7 @@
     }
 
     #[test]
-    fn every_variant_of_an_error_has_a_help_of_its_own() {
+    fn every_variant_has_its_own_help() {
         let (key, text) = (|| "who".to_string(), || "x".to_string());
         let missing = || WireError::Missing { event: event(), key: key() };
         let no_pair = WireError::NoPair { event: event(), rest: text() };
@@ -152,9 +155,9 @@
         let samples = samples!(AdapterError {
             Input(io::ErrorKind::InvalidData.into()),
             Output(io::ErrorKind::BrokenPipe.into()),
-            Mark { text: text(), source: no_pair },
-            Outside { text: text() },
-            Line { round: text(), source: missing() },
+            InvalidMark { text: text(), source: no_pair },
+            OutsideBatch { text: text() },
+            InvalidLine { round: text(), source: missing() },
         });
         check("AdapterError", &samples);
     }
