--- a/tests/errors/main.rs
+++ b/tests/errors/main.rs
@@ -1,4 +1,4 @@
-//! Every error of the library says what an operator can do, each variant in its own words.
+//! Checks that every error type of the library has a help text for operators, and that each variant has its own.
 
 #[path = "../common/error_samples.rs"]
 mod error_samples;
@@ -12,45 +12,49 @@
 use hopwalk::interface::SettingsError;
 use hopwalk::json::JsonError;
 use hopwalk::settings::{ConfigError, Problem};
-use types::{all, x};
+use types::{all_samples, x};
 
 #[test]
-fn every_variant_of_every_error_has_a_help_of_its_own() {
-    for (file, name, samples) in all() {
+fn every_variant_of_every_error_has_its_own_help() {
+    for (file, name, samples) in all_samples() {
         check(&format!("{file}: {name}"), &samples);
     }
 }
 
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-enum Bad {
-    #[error("no door")]
-    Silent,
-    #[error("the door is shut")]
-    #[diagnostic(help("The door is shut!"))]
-    Repeats,
-    #[error("the door is gone")]
-    #[diagnostic(help("build another one"))]
-    Good,
+enum TestError {
+    #[error("the disk is full")]
+    WithoutHelp,
+    #[error("the port is closed")]
+    #[diagnostic(help("The port is closed!"))]
+    RepeatsMessage,
+    #[error("the file is missing")]
+    #[diagnostic(help("create another one"))]
+    WithHelp,
 }
 
 #[test]
-fn a_help_that_is_missing_repeated_or_shared_is_found() {
+fn a_missing_repeated_or_shared_help_is_found() {
     let found = |samples: Vec<Sample>| fault(&samples).unwrap_or_default();
-    let one = |e: Bad| found(vec![("One", Box::new(e))]);
-    assert!(one(Bad::Silent).ends_with("no help") && one(Bad::Repeats).contains("adds too little"));
-    assert_eq!(one(Bad::Good), "");
-    let shared = found(vec![("One", Box::new(Bad::Good)), ("Other", Box::new(Bad::Good))]);
+    let one = |e: TestError| found(vec![("One", Box::new(e))]);
+    assert!(
+        one(TestError::WithoutHelp).ends_with("no help")
+            && one(TestError::RepeatsMessage).contains("adds too little")
+    );
+    assert_eq!(one(TestError::WithHelp), "");
+    let shared =
+        found(vec![("One", Box::new(TestError::WithHelp)), ("Other", Box::new(TestError::WithHelp))]);
     assert_eq!(shared, "Other and One have the same help");
 }
 
-fn problem(problem: Problem) -> ConfigError {
+fn config_error(problem: Problem) -> ConfigError {
     ConfigError::new("a.key", problem)
 }
 
 #[test]
-fn every_problem_of_a_configuration_has_a_help_of_its_own() {
+fn every_configuration_problem_has_its_own_help() {
     use SettingsError::{BadFigure, NoClasses, NoCores};
-    // As in `samples!`: a problem that is left out here does not compile.
+    // As with `samples!`, the test does not compile while a variant is missing here.
     macro_rules! problems {
         ($($variant:ident $( { $($field:ident : $value:expr),* } )? $( ( $($arg:expr),* ) )?),* $(,)?) => {{
             #[allow(unreachable_patterns)]
@@ -58,7 +62,7 @@
                 match problem { $(Problem::$variant { .. } => stringify!($variant),)* }
             }
             let all = [$(Problem::$variant $( { $($field: $value),* } )? $( ( $($arg),* ) )?),*];
-            all.into_iter().map(|p| (variant(&p), Box::new(problem(p)) as Box<_>)).collect::<Vec<Sample>>()
+            all.into_iter().map(|p| (variant(&p), Box::new(config_error(p)) as Box<_>)).collect::<Vec<Sample>>()
         }};
     }
     let samples = problems![
@@ -113,35 +117,35 @@
     }
 }
 
-fn sources(folder: &Path, into: &mut Vec<PathBuf>) {
+fn collect_files(folder: &Path, files: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         match path.is_dir() {
-            true => sources(&path, into),
-            false => into.push(path),
+            true => collect_files(&path, files),
+            false => files.push(path),
         }
     }
 }
 
-/// Files below `src` as paths from the root of the project, with their text.
-fn texts() -> BTreeMap<String, String> {
+/// Reads all Rust files below `src`. The keys are paths relative to the root of the project.
+fn read_sources() -> BTreeMap<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    sources(&root.join("src"), &mut files);
+    collect_files(&root.join("src"), &mut files);
     let rust = files.into_iter().filter(|path| path.extension().is_some_and(|e| e == "rs"));
     let named = rust.map(|path| (path.strip_prefix(root).unwrap().display().to_string(), path));
     named.map(|(name, path)| (name, fs::read_to_string(path).unwrap())).collect()
 }
 
-/// Types in `text` whose derives name both an error and a diagnostic.
-fn declared(text: &str) -> Vec<String> {
+/// Names of the types in `text` that derive `Diagnostic`.
+fn diagnostic_types(text: &str) -> Vec<String> {
     let mut found = Vec::new();
-    let mut derives = false;
+    let mut derives_diagnostic = false;
     for line in text.lines().map(str::trim) {
         let name = ["pub enum ", "pub struct ", "enum ", "struct "].iter().find_map(|k| line.strip_prefix(k));
         match name {
-            _ if line.starts_with("#[derive(") => derives = line.contains("Diagnostic"),
-            Some(name) if std::mem::take(&mut derives) => {
+            _ if line.starts_with("#[derive(") => derives_diagnostic = line.contains("Diagnostic"),
+            Some(name) if std::mem::take(&mut derives_diagnostic) => {
                 found.push(name.split(|c: char| !c.is_alphanumeric()).next().unwrap_or_default().to_string());
             }
             _ => {}
@@ -151,44 +155,44 @@
 }
 
 #[test]
-fn no_error_type_is_left_out_of_the_walk() {
-    // Those of the programs are walked by their own unit tests, beside them.
+fn every_error_type_has_samples() {
+    // The error types of the programs are checked by unit tests. Each entry names the source file and that of the test.
     let programs = [
         ("src/program_error.rs", "src/program_error.rs"),
         ("src/fleet_commands.rs", "src/fleet_commands.rs"),
         ("src/bin/hopwalk-adapter/error.rs", "src/bin/hopwalk-adapter/main.rs"),
     ];
-    let walked: Vec<(&str, &str)> = all().iter().map(|(file, name, _)| (*file, *name)).collect();
-    let mut seen = 0;
-    let texts = texts();
-    for (file, text) in &texts {
-        for name in declared(text) {
-            seen += 1;
-            let here = walked.contains(&(file.as_str(), name.as_str()));
+    let sampled: Vec<(&str, &str)> = all_samples().iter().map(|(file, name, _)| (*file, *name)).collect();
+    let mut found = 0;
+    let sources = read_sources();
+    for (file, text) in &sources {
+        for name in diagnostic_types(text) {
+            found += 1;
+            let in_library = sampled.contains(&(file.as_str(), name.as_str()));
             let tests =
-                programs.iter().find(|(program, _)| *program == file).map(|(_, tests)| &texts[*tests]);
-            let beside = tests.is_some_and(|tests| tests.contains(&format!("samples!({name} {{")));
-            assert!(here != beside, "{file}: {name} has no samples, or two lists of them");
+                programs.iter().find(|(program, _)| *program == file).map(|(_, tests)| &sources[*tests]);
+            let in_unit_test = tests.is_some_and(|tests| tests.contains(&format!("samples!({name} {{")));
+            assert!(in_library != in_unit_test, "{file}: {name} has no samples, or two lists of samples");
         }
     }
-    assert_eq!(seen, walked.len() + 4, "a type that is walked is not found, or two are");
+    assert_eq!(found, sampled.len() + 4, "a type with samples is missing in the sources, or is found twice");
 }
 
-/// The second type of each `Result` of two in `line`.
-fn errors_in(line: &str) -> Vec<String> {
+/// Returns the error type of each `Result` with two type parameters in `line`.
+fn result_errors(line: &str) -> Vec<String> {
     let mut found = Vec::new();
     for (start, _) in line.match_indices("Result<") {
         let (mut depth, mut part, mut parts) = (0, String::new(), Vec::new());
-        let mut before = ' ';
+        let mut previous = ' ';
         for c in line[start + "Result<".len()..].chars() {
             match c {
                 '<' | '(' | '[' => depth += 1,
-                '>' if before == '-' => {}
+                '>' if previous == '-' => {}
                 '>' | ')' | ']' if depth == 0 => break,
                 '>' | ')' | ']' => depth -= 1,
                 _ => {}
             }
-            before = c;
+            previous = c;
             match c {
                 ',' if depth == 0 => parts.push(std::mem::take(&mut part)),
                 c => part.push(c),
@@ -202,21 +206,21 @@
 }
 
 #[test]
-fn no_result_has_a_text_for_an_error() {
-    assert_eq!(errors_in("fn a() -> Result<(u16, Vec<String>), String> {"), ["String"]);
-    assert_eq!(errors_in("fn a() -> io::Result<String>; fn b() -> Result<Vec<u8>, A>"), ["A"]);
-    // What a condition of the lab still misses is no error: it becomes a part of `LabError::Late`.
-    let complaint = "mut there: impl FnMut() -> Result<(), String>,";
-    let mut seen = 0;
-    for (file, text) in texts() {
-        for line in text.lines().filter(|line| line.trim() != complaint) {
-            for error in errors_in(line) {
-                seen += 1;
-                let text = ["String", "&str", "&'static str"].contains(&error.as_str());
-                // A boxed `dyn Diagnostic` carries its help along; a boxed `dyn Error` has none.
-                assert!(!text && !error.contains("Error>"), "{file}: {line}");
+fn no_result_has_a_string_as_its_error() {
+    assert_eq!(result_errors("fn a() -> Result<(u16, Vec<String>), String> {"), ["String"]);
+    assert_eq!(result_errors("fn a() -> io::Result<String>; fn b() -> Result<Vec<u8>, A>"), ["A"]);
+    // A condition of the lab returns what it still waits for as a text, which becomes a part of `LabError::Late`.
+    let exempt = "mut there: impl FnMut() -> Result<(), String>,";
+    let mut found = 0;
+    for (file, text) in read_sources() {
+        for line in text.lines().filter(|line| line.trim() != exempt) {
+            for error in result_errors(line) {
+                found += 1;
+                let is_string = ["String", "&str", "&'static str"].contains(&error.as_str());
+                // A boxed `dyn Diagnostic` keeps its help; a boxed `dyn Error` has none.
+                assert!(!is_string && !error.contains("Error>"), "{file}: {line}");
             }
         }
     }
-    assert!(seen > 100, "{seen}");
+    assert!(found > 100, "{found}");
 }
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -1,4 +1,4 @@
-//! Samples of every type.
+//! Samples of every error type of the library.
 
 use std::io::{Error as Io, ErrorKind};
 use std::time::Duration;
@@ -49,10 +49,10 @@
     serde_json::from_value(serde_json::json!(vec![7u8; 32])).unwrap()
 }
 
-/// Where a type stands, and samples of it.
-pub type Walked = Vec<(&'static str, &'static str, Vec<Sample>)>;
+/// The source file and the name of each error type, and its samples.
+pub type ErrorTypes = Vec<(&'static str, &'static str, Vec<Sample>)>;
 
-fn of_the_matcher() -> Walked {
+fn matcher_errors() -> ErrorTypes {
     vec![
         ("src/json.rs", "JsonError", samples!(JsonError { TooDeep, Syntax { place: x() } })),
         (
@@ -134,7 +134,7 @@
     ]
 }
 
-fn of_the_lab() -> Walked {
+fn lab_errors() -> ErrorTypes {
     vec![
         (
             "src/lab/scenario_error.rs",
@@ -221,7 +221,7 @@
     ]
 }
 
-fn of_the_fleet() -> Walked {
+fn fleet_errors() -> ErrorTypes {
     let at = at();
     vec![
         ("src/fleet/link.rs", "LinkError", samples!(LinkError { Thread { kind: KIND } })),
@@ -439,7 +439,7 @@
     ]
 }
 
-/// All of them, but [`hopwalk::settings::Problem`], which speaks through the key that it is at.
-pub fn all() -> Walked {
-    [of_the_matcher(), of_the_lab(), of_the_fleet()].into_iter().flatten().collect()
+/// Samples of all error types except [`hopwalk::settings::Problem`], which is reported as part of a `ConfigError`.
+pub fn all_samples() -> ErrorTypes {
+    [matcher_errors(), lab_errors(), fleet_errors()].into_iter().flatten().collect()
 }
