--- a/src/fleet_commands.rs
+++ b/src/fleet_commands.rs
@@ -130,7 +130,7 @@
 }
 
 impl CommandError {
-    /// Whether the matcher replied with a refusal, as opposed to a failure to send the command.
+    /// Whether the matcher received the command and refused it.
     pub fn is_refusal(&self) -> bool {
         matches!(self, Self::Request(AdminClientError::Refused { .. } | AdminClientError::Status { .. }))
     }
@@ -145,8 +145,8 @@
 }
 
 /// Sends a command to the admin endpoint and prints the reply.
-pub fn run(command: FleetCommand) -> Result<(), CommandError> {
-    let output = match command {
+pub fn run(fleet_command: FleetCommand) -> Result<(), CommandError> {
+    let output = match fleet_command {
         FleetCommand::Status { admin, json } => {
             let document = admin_client::request(admin, "GET", "/fleet", STATUS_TIMEOUT)?;
             if json {
--- a/src/main.rs
+++ b/src/main.rs
@@ -74,7 +74,7 @@
         /// Milliseconds by which an answer may miss its deadline.
         #[arg(long, default_value_t = lab::run::SLACK_MS)]
         slack_ms: u64,
-        /// Milliseconds after the first try of a key within which no other try may run.
+        /// Milliseconds after the first try of a key within which a repeat must not run again.
         #[arg(long, default_value_t = lab::run::KEY_WINDOW_MS)]
         window_ms: u64,
     },
@@ -105,7 +105,7 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Switches route versions repeatedly in a fleet under load, and reports how far apart the matchers switch.
+    /// Switches route versions repeatedly in a fleet under load without faults, and reports how far apart matchers switch.
     Switches {
         /// Number of matchers; the first 3 are voters, or the first 5 if there are 5 or more.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(3..=32))]
