--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The `hopwalk` program. It parses the command line and runs the server, the console client, the commands for a fleet's
-//! operators, or the lab, which tests matchers under faults.
+//! The `hopwalk` program. It parses the command line and runs the server, the console client, the commands for a
+//! fleet's operators, or the lab, which tests matchers under faults.
 
 mod fleet_commands;
 mod program_error;
@@ -252,8 +252,8 @@
     Ok(console::client(&socket, words)?)
 }
 
-/// Returns false (exit code 1) if the matcher refused the command, and an error (exit code 2) if the matcher could not be
-/// asked.
+/// Runs a command for a fleet's operators. Returns false (exit code 1) if the matcher refused the command, and an error
+/// (exit code 2) if the command failed for another reason.
 fn fleet_command(command: FleetCommand) -> Result<bool, ProgramError> {
     match fleet_commands::run(command) {
         Ok(()) => Ok(true),
@@ -419,9 +419,9 @@
         print!("{}", routes.table());
     }
     for (what, times) in [("an activation was taken", deaths.taken), ("all had switched", deaths.switched)] {
-        if let Some((p50, p99, most)) = lab::routes_report::quantiles(times) {
-            let [p50, p99, most] = [p50, p99, most].map(|us| us as f64 / 1000.0);
-            println!("routes: from the leader's death until {what}: median {p50:.0} ms, 99 % {p99:.0} ms, most {most:.0} ms");
+        if let Some((p50, p99, max)) = lab::routes_report::quantiles(times) {
+            let [p50, p99, max] = [p50, p99, max].map(|us| us as f64 / 1000.0);
+            println!("routes: from the leader's death until {what}: median {p50:.0} ms, 99 % {p99:.0} ms, most {max:.0} ms");
         }
     }
     println!("history: {}", outcome.folder.join("history.jsonl").display());
@@ -481,15 +481,15 @@
         let result = lab::routes::heals::play(&options, &program, &subfolder, || bar.inc(1));
         let (heals, outcome) = result?;
         for (what, times) in [("all views are one", heals.views), ("the posture is whole", heals.whole)] {
-            let Some((p50, _, most)) = lab::routes_report::quantiles(times) else { continue };
-            let (p50, most) = (p50 as f64 / 1000.0, most as f64 / 1000.0);
+            let Some((p50, _, max)) = lab::routes_report::quantiles(times) else { continue };
+            let (p50, max) = (p50 as f64 / 1000.0, max as f64 / 1000.0);
             println!(
                 "heals: {cut} of {matchers} cut off for {} s, {count} times ({} with deaths): from the heal \
-                 until {what}: median {p50:.0} ms ({:.1} periods), most {most:.0} ms ({:.1})",
+                 until {what}: median {p50:.0} ms ({:.1} periods), most {max:.0} ms ({:.1})",
                 hold.as_secs(),
                 heals.deaths,
                 p50 / period,
-                most / period
+                max / period
             );
         }
         clean &= print_broken_rules(&outcome);
--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -33,6 +33,7 @@
 const KIND: ErrorKind = ErrorKind::AddrInUse;
 const SECOND: Duration = Duration::from_secs(1);
 
+/// A text for the fields of samples.
 pub fn x<T: From<&'static str>>() -> T {
     "x".into()
 }
