--- a/tests/errors/types.rs
+++ b/tests/errors/types.rs
@@ -1,4 +1,4 @@
-//! Samples of every type.
+//! Samples of every error type of the library.
 
 use std::io::{Error as Io, ErrorKind};
 use std::time::Duration;
@@ -33,6 +33,7 @@
 const KIND: ErrorKind = ErrorKind::AddrInUse;
 const SECOND: Duration = Duration::from_secs(1);
 
+/// A text for the fields of samples.
 pub fn x<T: From<&'static str>>() -> T {
     "x".into()
 }
@@ -49,12 +50,12 @@
     serde_json::from_value(serde_json::json!(vec![7u8; 32])).unwrap()
 }
 
-/// Where a type stands, and samples of it.
-pub type Walked = Vec<(&'static str, &'static str, Vec<Sample>)>;
+/// The source file and the name of each error type, and its samples.
+pub type ErrorTypes = Vec<(&'static str, &'static str, Vec<Sample>)>;
 
-fn of_the_matcher() -> Walked {
+fn matcher_errors() -> ErrorTypes {
     vec![
-        ("src/json.rs", "JsonError", samples!(JsonError { Deep, Syntax { place: x() } })),
+        ("src/json.rs", "JsonError", samples!(JsonError { TooDeep, Syntax { place: x() } })),
         (
             "src/core/error.rs",
             "CoreError",
@@ -78,7 +79,7 @@
             "NoticeError",
             samples!(NoticeError {
                 UnreadableLine,
-                Json(JsonError::Deep),
+                Json(JsonError::TooDeep),
                 NotAnObject,
                 MissingMember { member: "handle" },
                 InvalidBase64 { member: "arg", reason: base64::DecodeError::InvalidPadding },
@@ -113,7 +114,7 @@
                 Refused { url: x(), status: 403, problem: x() },
                 Nonce { url: x() },
                 NoNonce,
-                NoJson(JsonError::Deep),
+                NoJson(JsonError::TooDeep),
                 NoObject,
                 Lacks { key: x() },
                 NoAddress { key: x() },
@@ -134,13 +135,13 @@
     ]
 }
 
-fn of_the_lab() -> Walked {
+fn lab_errors() -> ErrorTypes {
     vec![
         (
             "src/lab/scenario_error.rs",
             "ScenarioError",
             samples!(ScenarioError {
-                Json(JsonError::Deep),
+                Json(JsonError::TooDeep),
                 NoScenario,
                 NoObject { key: x() },
                 NoNumber { key: x() },
@@ -177,7 +178,7 @@
             "src/lab/error.rs",
             "LineError",
             samples!(LineError {
-                Json(JsonError::Deep),
+                Json(JsonError::TooDeep),
                 NoObject,
                 NoText { key: "id" },
                 NoNumber { key: "t_ms" },
@@ -221,7 +222,7 @@
     ]
 }
 
-fn of_the_fleet() -> Walked {
+fn fleet_errors() -> ErrorTypes {
     let at = at();
     vec![
         (
@@ -233,7 +234,7 @@
         (
             "src/fleet/status.rs",
             "StatusError",
-            samples!(StatusError { Json { error: JsonError::Deep }, Shape { place: x(), kind: "list" } }),
+            samples!(StatusError { Json { error: JsonError::TooDeep }, Shape { place: x(), kind: "list" } }),
         ),
         (
             "src/fleet/admin_client.rs",
@@ -443,7 +444,7 @@
     ]
 }
 
-/// All of them, but [`hopwalk::settings::Problem`], which speaks through the key that it is at.
-pub fn all() -> Walked {
-    [of_the_matcher(), of_the_lab(), of_the_fleet()].into_iter().flatten().collect()
+/// Samples of all error types except [`hopwalk::settings::Problem`], which is reported as part of a `ConfigError`.
+pub fn all_samples() -> ErrorTypes {
+    [matcher_errors(), lab_errors(), fleet_errors()].into_iter().flatten().collect()
 }
