--- a/src/lab/matcher.rs
+++ b/src/lab/matcher.rs
@@ -126,10 +126,10 @@
             let mut linked = false;
             let mut http = None;
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                if let Some((_, at)) = line.split_once("listening for HTTP on ") {
+                if let Some((_, at)) = line.split_once("takes HTTP on ") {
                     http = at.trim().parse::<SocketAddr>().ok();
                 }
-                if let Some((_, at)) = line.split_once("admin endpoint listening on ") {
+                if let Some((_, at)) = line.split_once("takes operators' calls on ") {
                     *door.lock().unwrap() = at.trim().parse().ok();
                 }
                 heard.iter().for_each(|heard| heard(&line));
--- a/src/lab/routes/handover.rs
+++ b/src/lab/routes/handover.rs
@@ -112,7 +112,7 @@
         self.wait_for("the last lines of the process that was killed", LAST_LINES, || {
             (Arc::strong_count(&self.newcomers[n].log) == 1).then_some(()).ok_or("still read".to_string())
         })?;
-        if self.newcomer_logged(name, "listening for HTTP on") {
+        if self.newcomer_logged(name, "takes HTTP on") {
             self.life(name, "kill");
             self.life(name, "start");
         }
--- a/src/lab/routes/series.rs
+++ b/src/lab/routes/series.rs
@@ -9,7 +9,7 @@
 /// How long one switch may take.
 const MOST: Duration = Duration::from_secs(10);
 /// What the log says once pushed settings are taken up.
-const READ: &str = "configuration reloaded";
+const READ: &str = "the configuration was read again";
 
 /// What is done again and again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -217,7 +217,7 @@
     drop(socket_retry::open(|| std::net::TcpListener::bind(address))?);
     let listener = socket_retry::open(|| TcpListener::bind(address))?;
     let at = listener.local_addr()?;
-    info!("admin endpoint listening on {at}");
+    info!("takes operators' calls on {at}");
     let hub = hub.clone();
     spawn(move || {
         let (clients, mut id) = (Clients::default(), 0);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -217,7 +217,7 @@
         let mut frontends = Vec::new();
         let mut add = |key, wire: &str, address: SocketAddr, bound: io::Result<Frontend>| {
             let frontend = bound.map_err(|source| NodeError::Frontend { key, address, source })?;
-            info!("{} listening for {wire} on {}", config.name, frontend.address);
+            info!("{} takes {wire} on {}", config.name, frontend.address);
             frontends.push(frontend);
             Ok::<(), NodeError>(())
         };
@@ -400,7 +400,7 @@
             Effect::ReportReadiness(ready) => self.control.store(ready, Ordering::Relaxed),
             Effect::Relink => {
                 let links = self.hub.links();
-                info!("configuration reloaded: {links:?}");
+                info!("the configuration was read again: {links:?}");
                 if let Runner::Agent(agent) = &self.runner {
                     agent.relink();
                 }
--- a/tests/handover_fleet.rs
+++ b/tests/handover_fleet.rs
@@ -282,7 +282,7 @@
         all_see(&case, 0);
         let before = case.seen("m1")[moved].0;
         ok(case.replace(moved, false));
-        case.wait_logged(moved, true, "listening for HTTP on", SOON);
+        case.wait_logged(moved, true, "takes HTTP on", SOON);
         all_see(&case, before);
         case.finish();
     });
--- a/tests/program/harness.rs
+++ b/tests/program/harness.rs
@@ -185,9 +185,9 @@
             appliance,
             dir,
         };
-        program.http = program.logged_address("listening for HTTP on ");
-        program.scgi = program.logged_address("listening for SCGI on ");
-        program.admin = program.logged_address("admin endpoint listening on ");
+        program.http = program.logged_address("takes HTTP on ");
+        program.scgi = program.logged_address("takes SCGI on ");
+        program.admin = program.logged_address("takes operators' calls on ");
         program
     }
 
--- a/tests/program/links.rs
+++ b/tests/program/links.rs
@@ -267,7 +267,7 @@
     let program = Program::start(Setup { agent: Some(agent.address), ..Setup::default() });
     let unresponsive = FullBacklog::start();
     program.reload(&[address_change(agent.address, unresponsive.address)]);
-    program.wait_for_log("configuration reloaded");
+    program.wait_for_log("the configuration was read again");
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(1500) {
         let request = Request { timeout_ms: 400, ..Request::new("queue-status", b"a") };
@@ -477,9 +477,9 @@
     // Nothing can be sent to port 0; then comes an address where nobody listens, then one with a listener.
     let port_zero: SocketAddr = ([127, 0, 0, 1], 0).into();
     for to in [port_zero, gone()] {
-        let before = program.log().matches("configuration reloaded").count();
+        let before = program.log().matches("the configuration was read again").count();
         program.reload(&[address_change(old_control, to)]);
-        wait_for("the reload", || program.log().matches("configuration reloaded").count() > before);
+        wait_for("the reload", || program.log().matches("the configuration was read again").count() > before);
         assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
     }
     let control = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/tests/program/main.rs
+++ b/tests/program/main.rs
@@ -255,7 +255,7 @@
     let program = Program::start(with_agent(&agent));
     let new = gone();
     program.reload(&[address_change(agent.address, new)]);
-    program.wait_for_log("configuration reloaded");
+    program.wait_for_log("the configuration was read again");
     assert_eq!(exchange(program.http, &Request::new("queue-status", b"a").http()).body, b"made:a");
     let _agent = agent.moved_to(new);
     program.wait_for_log(&format!("linked to the agent at {new}"));
@@ -353,7 +353,7 @@
     let prefs = r#"{"name": "queue-prefs","#;
     let next = r#"{"name": "lobby-confirm-next", "give_up_us": 4500000, "promise_us": 1800000, "memory_span_us": 13356000, "repeat": "deduplicated", "worth": 10.0}, "#;
     program.reload(&[(prefs.to_string(), next.to_string() + prefs)]);
-    program.wait_for_log("configuration reloaded");
+    program.wait_for_log("the configuration was read again");
     assert_eq!(read_answer(&mut open).body, b"made:o");
     let request = Request { class: "lobby-confirm-next", ..Request::keyed("n", b"n") };
     assert_eq!(exchange(program.http, &request.http()).body, b"made:n");
--- a/tests/program/payloads.rs
+++ b/tests/program/payloads.rs
@@ -79,7 +79,7 @@
     let launch = link.expect_command("launch");
     for (round, name) in ["first", "second", "third"].into_iter().enumerate() {
         program.reload(&[("lobby-confirm".to_string(), name.to_string())]);
-        wait_for("the reload", || program.log().matches("configuration reloaded").count() == round + 1);
+        wait_for("the reload", || program.log().matches("the configuration was read again").count() == round + 1);
         let mut stream = connect(program.http);
         let class = Request { class: name, ..Request::keyed(&format!("k-{name}"), name.as_bytes()) };
         stream.write_all(&class.http()).unwrap();
@@ -143,7 +143,7 @@
         command = link.next_command();
     }
     program.reload(&[(agent.address.to_string(), third.address.to_string())]);
-    wait_for("the second reload", || program.log().matches("configuration reloaded").count() == 2);
+    wait_for("the second reload", || program.log().matches("the configuration was read again").count() == 2);
     link.answer_sample(&command.ticket);
     let mut second_link = second.accept_link();
     while let Some(line) = second_link.read_line() {
--- a/tests/program/scgi.rs
+++ b/tests/program/scgi.rs
@@ -70,7 +70,7 @@
     {
         let (mut child, _dir) = start(&vault, appliance);
         let (mut log, mut line) = (BufReader::new(child.stderr.take().unwrap()), String::new());
-        while !line.contains("listening for HTTP on ") {
+        while !line.contains("takes HTTP on ") {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "the program exited");
         }
--- a/tests/program/signals.rs
+++ b/tests/program/signals.rs
@@ -174,7 +174,7 @@
     program.signal("TERM");
     program.wait_for_log("leaving");
     program.reload(&[("lobby-confirm".to_string(), "lobby-confirm-next".to_string())]);
-    program.wait_for_log("configuration reloaded");
+    program.wait_for_log("the configuration was read again");
     assert_eq!(
         exchange(program.http, &Request::new("lobby-confirm-next", b"").http()).status,
         400,
