--- a/tests/program/appliance.rs
+++ b/tests/program/appliance.rs
@@ -116,8 +116,18 @@
     wait_for("a certificate", || first.console_value("certificate", "certificate") == "valid");
     assert_eq!(first.console_value("certificate", "names"), "lobby.example");
     let mode = |path: &Path| std::fs::metadata(path).unwrap().permissions().mode() & 0o777;
-    let mut files: Vec<_> = std::fs::read_dir(&store).unwrap().map(|f| f.unwrap().path()).collect();
-    files.sort();
+    let stored_files = || {
+        let mut files: Vec<_> = std::fs::read_dir(&store).unwrap().map(|f| f.unwrap().path()).collect();
+        files.sort();
+        files
+    };
+    // The console reports a certificate as soon as it is in use, shortly before it is stored.
+    wait_for("the stored certificate", || {
+        let files = stored_files();
+        files.contains(&store.join("certificate.pem"))
+            && !files.iter().any(|file| file.extension().is_some_and(|extension| extension == "new"))
+    });
+    let files = stored_files();
     assert_eq!(files, [store.join("account.key"), store.join("certificate.pem")]);
     assert!(mode(&store) == 0o700 && files.iter().all(|f| mode(f) == 0o600));
     drop(first);
