--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hopwalk::console::{self, Word as ConsoleWord};
+use hopwalk::console::{self, ConsoleCommand};
 use hopwalk::core::{Command, End, LinkId, Notice, Succession};
 use hopwalk::json;
 use hopwalk::net::agent::{self, next_notice};
@@ -213,13 +213,13 @@
 /// Words at the console: one word a line, and an answer ends where its empty line is.
 pub fn console(bytes: &[u8]) {
     let words = in_pieces(bytes, |pieces| {
-        read(256, pieces, |lines| lines.next_line().map(|line| line.map(|line| ConsoleWord::parse(&line))))
+        read(256, pieces, |lines| lines.next_line().map(|line| line.map(|line| ConsoleCommand::parse(&line))))
     });
     assert!(words.len() <= bytes.iter().filter(|b| **b == b'\n').count());
     // The words a strict reader finds: whole lines of at most 256 bytes, up to the first that is longer.
     let lines = bytes.split_inclusive(|b| *b == b'\n').take_while(|l| l.len() <= 257 && l.ends_with(b"\n"));
     let drains = lines.filter(|l| l.trim_ascii() == b"drain").count();
-    assert!(words.iter().filter(|w| **w == ConsoleWord::Drain).count() <= drains);
+    assert!(words.iter().filter(|w| **w == ConsoleCommand::Drain).count() <= drains);
     let text = String::from_utf8_lossy(bytes);
     let (name, value) = text.split_once('=').unwrap_or(("name", &text));
     let name = name.split('\n').next().filter(|n| !n.trim().is_empty()).unwrap_or("name");
--- a/src/console.rs
+++ b/src/console.rs
@@ -130,7 +130,7 @@
         let certificate = certificate.clone();
         std::thread::spawn(move || {
             let _client = client;
-            let answer = |word: &Word| answer(word, &settings, &handle, &certificate);
+            let answer = |word: &ConsoleCommand| answer(word, &settings, &handle, &certificate);
             if let Err(e) = serve(stream, answer) {
                 warn!("a console client was let go: {e}");
             }
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-fn serve(stream: UnixStream, answer: impl Fn(&Word) -> Vec<(String, String)>) -> io::Result<()> {
+fn serve(stream: UnixStream, answer: impl Fn(&ConsoleCommand) -> Vec<(String, String)>) -> io::Result<()> {
     stream.set_read_timeout(Some(CLIENT_PATIENCE))?;
     stream.set_write_timeout(Some(CLIENT_PATIENCE))?;
     let mut lines = LineDecoder::new(MOST_LINE);
@@ -151,8 +151,8 @@
             Ok(None) => return Ok(()),
             Err(_) => return (&stream).write_all(b"error: the line is too long, or no text\n\n"),
         };
-        let word = Word::parse(&line);
-        if word == Word::Quit {
+        let word = ConsoleCommand::parse(&line);
+        if word == ConsoleCommand::Quit {
             return Ok(());
         }
         (&stream).write_all(encode(&answer(&word)).as_bytes())?;
@@ -161,7 +161,7 @@
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ConsoleCommand {
     /// How things are.
     Status,
     /// What was counted.
@@ -177,10 +177,10 @@
     /// The end of the talk.
     Quit,
     /// None of these.
-    Other(String),
+    Unknown(String),
 }
 
-impl Word {
+impl ConsoleCommand {
     /// Reads a line.
     pub fn parse(line: &str) -> Self {
         match line.trim_ascii() {
@@ -191,7 +191,7 @@
             "drain" => Self::Drain,
             "" | "help" => Self::Help,
             "quit" => Self::Quit,
-            other => Self::Other(other.to_string()),
+            other => Self::Unknown(other.to_string()),
         }
     }
 }
@@ -207,7 +207,7 @@
 }
 
 fn answer(
-    word: &Word,
+    word: &ConsoleCommand,
     settings: &[(String, String)],
     handle: &NodeHandle,
     certificate: &CertificateState,
@@ -218,16 +218,16 @@
     };
     let line = |name: &str, value: &str| vec![(name.to_string(), value.to_string())];
     match word {
-        Word::Status => asked(Query::Status),
-        Word::Counters => asked(Query::Counters),
-        Word::Settings => settings.to_vec(),
-        Word::Certificate => certificate(),
-        Word::Drain => {
+        ConsoleCommand::Status => asked(Query::Status),
+        ConsoleCommand::Counters => asked(Query::Counters),
+        ConsoleCommand::Settings => settings.to_vec(),
+        ConsoleCommand::Certificate => certificate(),
+        ConsoleCommand::Drain => {
             handle.drain();
             line("drain", "begun")
         }
-        Word::Help | Word::Quit => line("commands", COMMANDS),
-        Word::Other(other) => line("error", &format!("'{other}' is none of {COMMANDS}")),
+        ConsoleCommand::Help | ConsoleCommand::Quit => line("commands", COMMANDS),
+        ConsoleCommand::Unknown(other) => line("error", &format!("'{other}' is none of {COMMANDS}")),
     }
 }
 
