--- a/src/console.rs
+++ b/src/console.rs
@@ -48,14 +48,14 @@
     /// Somebody answers at the socket, and hands nothing over.
     #[error("console.socket: {}: another program listens there", path.display())]
     #[diagnostic(help("give each server a console.socket of its own, or end the other one first"))]
-    Taken {
+    SocketInUse {
         /// The socket.
         path: PathBuf,
     },
     /// The client finds nobody.
     #[error("{}: {source}", path.display())]
     #[diagnostic(help("check that the server runs with this console.socket, and that you are its user"))]
-    Unreached {
+    ConnectFailed {
         /// The socket.
         path: PathBuf,
         /// What the system says.
@@ -66,20 +66,20 @@
     #[diagnostic(help(
         "the server ended, let an idle client go, or serves four others: look at its log, and connect again"
     ))]
-    Lost {
+    ConnectionLost {
         /// The socket.
         path: PathBuf,
         /// What the system says.
         source: io::Error,
     },
     /// The server answered with an error, which stands above.
-    #[error("'{word}' was not carried out")]
+    #[error("'{command}' was not carried out")]
     #[diagnostic(help(
         "`hopwalk console help` prints the words; one that is known failed for what stands above"
     ))]
-    NotDone {
+    CommandFailed {
         /// What was asked.
-        word: String,
+        command: String,
     },
     /// What is typed cannot be read.
     #[error("standard input: {0}")]
@@ -105,7 +105,7 @@
     let at = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
     if std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket()) {
         if !has_predecessor && UnixStream::connect(path).is_ok() {
-            return Err(ConsoleError::Taken { path: path.to_path_buf() });
+            return Err(ConsoleError::SocketInUse { path: path.to_path_buf() });
         }
         std::fs::remove_file(path).map_err(at)?;
     }
@@ -252,8 +252,8 @@
 /// # Errors
 /// [`ConsoleError`] where no server answers, or a word is not carried out.
 pub fn client(path: &Path, words: &[String]) -> Result<(), ConsoleError> {
-    let at = |source| ConsoleError::Lost { path: path.to_path_buf(), source };
-    let unreached = |source| ConsoleError::Unreached { path: path.to_path_buf(), source };
+    let at = |source| ConsoleError::ConnectionLost { path: path.to_path_buf(), source };
+    let unreached = |source| ConsoleError::ConnectFailed { path: path.to_path_buf(), source };
     let mut writes = UnixStream::connect(path).map_err(unreached)?;
     writes.set_read_timeout(Some(ANSWER_PATIENCE * 2)).map_err(at)?;
     let mut reads = BufReader::new(writes.try_clone().map_err(at)?);
@@ -266,7 +266,7 @@
     if !words.is_empty() {
         for word in words {
             if !carry_out(word)? {
-                return Err(ConsoleError::NotDone { word: word.clone() });
+                return Err(ConsoleError::CommandFailed { command: word.clone() });
             }
         }
         return Ok(());
