--- a/src/console.rs
+++ b/src/console.rs
@@ -88,7 +88,7 @@
 }
 
 /// Tells what state the certificate is in.
-pub type CertificateState = Arc<dyn Fn() -> Vec<(String, String)> + Send + Sync>;
+pub type DescribeCertificate = Arc<dyn Fn() -> Vec<(String, String)> + Send + Sync>;
 
 /// Listens on `path` in a thread of its own. A socket left behind by a former life is taken over, and that of
 /// the process that this one takes over from.
@@ -99,7 +99,7 @@
     path: &Path,
     config: &Config,
     handle: NodeHandle,
-    certificate: CertificateState,
+    certificate: DescribeCertificate,
     has_predecessor: bool,
 ) -> Result<(), ConsoleError> {
     let at = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
@@ -210,7 +210,7 @@
     word: &ConsoleCommand,
     settings: &[(String, String)],
     handle: &NodeHandle,
-    certificate: &CertificateState,
+    certificate: &DescribeCertificate,
 ) -> Vec<(String, String)> {
     let asked = |query| match handle.query(query, ANSWER_PATIENCE) {
         Some(lines) => lines,
