--- a/src/acme/mod.rs
+++ b/src/acme/mod.rs
@@ -29,7 +29,7 @@
 
 /// What is known about the certificate.
 #[derive(Clone, Debug, Default)]
-pub struct State {
+pub struct CertificateStatus {
     /// The one in use.
     pub certificate: Option<Arc<Certificate>>,
     /// Orders that went well since the start.
@@ -42,15 +42,15 @@
 
 /// The state, shared with what uses it.
 #[derive(Clone, Default)]
-pub struct Shared(Arc<Mutex<State>>);
+pub struct SharedCertificate(Arc<Mutex<CertificateStatus>>);
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, State> {
+impl SharedCertificate {
+    fn lock(&self) -> MutexGuard<'_, CertificateStatus> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The state as it is.
-    pub fn get(&self) -> State {
+    pub fn get(&self) -> CertificateStatus {
         self.lock().clone()
     }
 
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// [`AcmeError`] where the storage, the roots or a thread cannot be had. A failed order is tried again.
-pub fn start(settings: Acme, shared: Shared) -> Result<(), AcmeError> {
+pub fn start(settings: Acme, shared: SharedCertificate) -> Result<(), AcmeError> {
     let open = |source| AcmeError::Open { path: settings.store.clone(), source };
     let store = Store::open(&settings.store).map_err(open)?;
     match store.certificate() {
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-fn keep_fresh(settings: &Acme, store: &Store, client: &client::Client, shared: &Shared) {
+fn keep_fresh(settings: &Acme, store: &Store, client: &client::Client, shared: &SharedCertificate) {
     // The one in use, until it is stored.
     let mut unstored: Option<Arc<Certificate>> = None;
     let mut due = shared.get().certificate.map(|certificate| Due::of(&certificate, &settings.domains));
@@ -154,7 +154,7 @@
 }
 
 /// Stores the certificate in use. One that cannot be stored was issued all the same, and is not to be ordered again.
-fn is_kept(store: &Store, certificate: &Certificate, shared: &Shared) -> bool {
+fn is_kept(store: &Store, certificate: &Certificate, shared: &SharedCertificate) -> bool {
     let kept = store.keep_certificate(&certificate.pem).map_err(AcmeError::Storage);
     let mut state = shared.lock();
     match &kept {
--- a/src/main.rs
+++ b/src/main.rs
@@ -229,7 +229,7 @@
     start_log()?;
     let config = Config::from_env()?;
     start_runtime();
-    let certificate = acme::Shared::default();
+    let certificate = acme::SharedCertificate::default();
     let node = Node::start(&config, certificate.clone())?;
     signals::watch(signals, node.handle(), config.clone());
     if let Some(acme) = config.appliance.acme.clone() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -40,7 +40,7 @@
 
 use tracing::{info, warn};
 
-use crate::acme::Shared;
+use crate::acme::SharedCertificate;
 use crate::core::{Core, Effect, Input, KeyState, Query};
 use crate::fleet;
 use crate::settings::{Config, Links};
@@ -124,7 +124,7 @@
     /// The frontends; empty until this process accepts clients.
     frontends: Vec<Frontend>,
     config: Config,
-    certificate: Shared,
+    certificate: SharedCertificate,
     /// The predecessor, until it has handed over and exited.
     predecessor: Option<handover::PeerProcess>,
     /// The process that takes over from this one.
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// [`NodeError`] where an address cannot be bound, a thread cannot be started, or the settings are unusable.
-    pub fn start(config: &Config, certificate: Shared) -> Result<Self, NodeError> {
+    pub fn start(config: &Config, certificate: SharedCertificate) -> Result<Self, NodeError> {
         let (sender, inbox) = std::sync::mpsc::channel();
         let fleet = config.fleet().map(fleet::Link::start).transpose()?;
         let answers = fleet.as_ref().map(fleet::Link::answers).unwrap_or_default();
--- a/src/net/tls.rs
+++ b/src/net/tls.rs
@@ -15,7 +15,7 @@
 use super::error::NodeError;
 use super::frontend::ClientStream;
 use super::stream::Conn;
-use crate::acme::{Certificate, Shared};
+use crate::acme::{Certificate, SharedCertificate};
 
 /// A TLS handshake must be complete within this time.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -36,7 +36,7 @@
 
 /// Provides the current certificate to TLS handshakes, and parses it only when it has changed.
 struct CurrentCertificate {
-    shared: Shared,
+    shared: SharedCertificate,
     cached: Mutex<Option<(Arc<Certificate>, Arc<CertifiedKey>)>>,
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// The TLS configuration for accepted connections.
-pub(super) fn server_config(shared: Shared) -> Result<Arc<ServerConfig>, NodeError> {
+pub(super) fn server_config(shared: SharedCertificate) -> Result<Arc<ServerConfig>, NodeError> {
     let builder = ServerConfig::builder_with_provider(Arc::new(default_provider()));
     let builder = builder.with_safe_default_protocol_versions().map_err(NodeError::Tls)?;
     let resolver = Arc::new(CurrentCertificate { shared, cached: Mutex::default() });
