--- a/src/acme/mod.rs
+++ b/src/acme/mod.rs
@@ -155,7 +155,7 @@
 
 /// Stores the certificate in use. One that cannot be stored was issued all the same, and is not to be ordered again.
 fn is_kept(store: &Store, certificate: &Certificate, shared: &SharedCertificate) -> bool {
-    let kept = store.keep_certificate(&certificate.pem).map_err(AcmeError::Storage);
+    let kept = store.store_certificate(&certificate.pem).map_err(AcmeError::Storage);
     let mut state = shared.lock();
     match &kept {
         Ok(()) if state.failures == 0 => state.last_error = None,
--- a/src/acme/store.rs
+++ b/src/acme/store.rs
@@ -135,7 +135,7 @@
     }
 
     /// Stores a certificate in place of the former one.
-    pub fn keep_certificate(&self, pem: &str) -> io::Result<()> {
+    pub fn store_certificate(&self, pem: &str) -> io::Result<()> {
         self.write(CERTIFICATE, pem.as_bytes())
     }
 }
--- a/tests/program/appliance.rs
+++ b/tests/program/appliance.rs
@@ -202,12 +202,12 @@
     let (dir, writers) = (ScratchDir::new(), AtomicUsize::new(2));
     let folder = dir.path("acme");
     let pems = ["a".repeat(300_000), "b".repeat(200_000)];
-    Store::open(&folder).unwrap().keep_certificate(&pems[0]).unwrap();
+    Store::open(&folder).unwrap().store_certificate(&pems[0]).unwrap();
     std::thread::scope(|scope| {
         for pem in &pems {
             scope.spawn(|| {
                 let store = Store::open(&folder).unwrap();
-                let stored: Result<Vec<()>, _> = (0..100).map(|_| store.keep_certificate(pem)).collect();
+                let stored: Result<Vec<()>, _> = (0..100).map(|_| store.store_certificate(pem)).collect();
                 writers.fetch_sub(1, Ordering::Relaxed);
                 stored.unwrap();
             });
