--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -124,14 +124,14 @@
 pub fn authority(bytes: &[u8]) {
     let Ok(text) = std::str::from_utf8(bytes) else { return };
     let (field, body) = text.split_once('\n').unwrap_or(("", text));
-    if let Some(wait) = acme::retry_after(field) {
+    if let Some(wait) = acme::parse_retry_after(field) {
         assert!(wait <= Duration::from_secs(86_400));
     }
     let (object, held) = most_held(|| acme::Object::parse(body));
     assert!(held <= 256 * body.len() + 4096);
     let Ok(object) = object else { return };
     let _ = (object.problem(), object.failure("invalid"), object.text("status"));
-    let _ = (object.urls("authorizations"), acme::Directory::of(&object));
+    let _ = (object.urls("authorizations"), acme::Directory::from_object(&object));
     if let Ok(challenge) = object.http_challenge() {
         // The token becomes a part of a path and of a key authorization.
         assert!(challenge.token.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b)));
--- a/src/acme/client.rs
+++ b/src/acme/client.rs
@@ -10,7 +10,7 @@
 use super::error::AcmeError;
 use super::jws::{encode, quote, AccountKey};
 use super::store::Store;
-use super::wire::{retry_after, Directory, Object};
+use super::wire::{parse_retry_after, Directory, Object};
 use crate::settings::Acme;
 
 /// One exchange with the authority takes no longer.
@@ -82,7 +82,7 @@
     /// Orders a certificate; returns its key and chain in PEM.
     pub(super) fn order(&self, settings: &Acme, store: &Store) -> Result<String, AcmeError> {
         let key = AccountKey::from_pkcs8(&store.account(AccountKey::generate)?)?;
-        let directory = Directory::of(&self.get(&settings.directory)?.json()?)?;
+        let directory = Directory::from_object(&self.get(&settings.directory)?.json()?)?;
         let until = Instant::now() + ORDER_PATIENCE;
         let new_nonce = directory.new_nonce;
         let mut session = Session { client: self, key, kid: None, new_nonce, nonce: None, until };
@@ -140,7 +140,7 @@
         value.map(str::to_string)
     };
     let (location, nonce) = (field("location"), field("replay-nonce"));
-    let retry_after = field("retry-after").and_then(|s| retry_after(&s));
+    let retry_after = field("retry-after").and_then(|s| parse_retry_after(&s));
     let body = response.body_mut().with_config().limit(MOST_BODY).read_to_string();
     let body = body.map_err(unreachable)?;
     Ok(Answer { status: response.status().as_u16(), location, nonce, retry_after, body })
--- a/src/acme/wire.rs
+++ b/src/acme/wire.rs
@@ -28,7 +28,7 @@
 
 impl Directory {
     /// Reads it from its object.
-    pub fn of(object: &Object) -> Result<Self, AcmeError> {
+    pub fn from_object(object: &Object) -> Result<Self, AcmeError> {
         let text = |key| object.text(key).map(str::to_string);
         Ok(Self {
             new_nonce: text("newNonce")?,
@@ -116,6 +116,6 @@
 }
 
 /// Reads `Retry-After` in seconds; a date is none, and the client's own wait does.
-pub fn retry_after(field: &str) -> Option<Duration> {
+pub fn parse_retry_after(field: &str) -> Option<Duration> {
     field.trim().parse().ok().map(|s| Duration::from_secs(s).min(MOST_WAIT))
 }
