--- a/src/acme/client.rs
+++ b/src/acme/client.rs
@@ -62,7 +62,7 @@
                 std::fs::read(path).map_err(|source| AcmeError::Roots { path: path.clone(), source })?;
             let mut roots = Vec::new();
             for item in parse_pem(&pem) {
-                let item = item.map_err(|e| AcmeError::BadRoots { said: e.to_string() })?;
+                let item = item.map_err(|e| AcmeError::InvalidRoots { reason: e.to_string() })?;
                 if let PemItem::Certificate(root) = item {
                     roots.push(root);
                 }
@@ -91,13 +91,13 @@
             settings.contact.as_ref().map_or(String::new(), |c| format!(r#""contact":[{}],"#, quote(c)));
         let account = format!(r#"{{{contact}"termsOfServiceAgreed":true}}"#);
         let account = session.post(&directory.new_account, &account)?;
-        session.kid = Some(account.location.ok_or(AcmeError::NoLocation { what: "account" })?);
+        session.kid = Some(account.location.ok_or(AcmeError::MissingLocation { what: "account" })?);
 
         let names: Vec<_> =
             settings.domains.iter().map(|d| format!(r#"{{"type":"dns","value":{}}}"#, quote(d))).collect();
         let order = format!(r#"{{"identifiers":[{}]}}"#, names.join(","));
         let order = session.post(&directory.new_order, &order)?;
-        let at = order.location.clone().ok_or(AcmeError::NoLocation { what: "order" })?;
+        let at = order.location.clone().ok_or(AcmeError::MissingLocation { what: "order" })?;
         let order = order.json()?;
 
         let address = settings.challenge_listen;
@@ -108,7 +108,7 @@
         }
         drop(responder);
 
-        let wrong = |what| move |e: rcgen::Error| AcmeError::Request { what, said: e.to_string() };
+        let wrong = |what| move |e: rcgen::Error| AcmeError::SigningRequest { what, reason: e.to_string() };
         let pair = rcgen::KeyPair::generate().map_err(wrong("a key"))?;
         let params = rcgen::CertificateParams::new(settings.domains.clone()).map_err(wrong("names"))?;
         let csr = params.serialize_request(&pair).map_err(wrong("a signing request"))?;
@@ -133,7 +133,7 @@
     response: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     url: &str,
 ) -> Result<Answer, AcmeError> {
-    let unreachable = |e: ureq::Error| AcmeError::Unreachable { url: url.into(), said: e.to_string() };
+    let unreachable = |e: ureq::Error| AcmeError::Unreachable { url: url.into(), reason: e.to_string() };
     let mut response = response.map_err(unreachable)?;
     let field = |name: &str| {
         let value = response.headers().get(name).and_then(|v| v.to_str().ok());
@@ -152,7 +152,7 @@
             return Ok(nonce);
         }
         let answer = read(self.client.agent.head(&self.new_nonce).call(), &self.new_nonce)?;
-        answer.nonce.ok_or(AcmeError::NoNonce)
+        answer.nonce.ok_or(AcmeError::MissingNonce)
     }
 
     /// A signed request. A nonce that is not accepted costs another try with the one that came back.
@@ -177,13 +177,13 @@
             }
             debug!("the authority wants another nonce");
         }
-        Err(AcmeError::Nonce { url: url.into() })
+        Err(AcmeError::NonceRejected { url: url.into() })
     }
 
     fn in_time(&self) -> Result<(), AcmeError> {
         match Instant::now() < self.until {
             true => Ok(()),
-            false => Err(AcmeError::Late),
+            false => Err(AcmeError::OrderTimedOut),
         }
     }
 
--- a/src/acme/jws.rs
+++ b/src/acme/jws.rs
@@ -23,13 +23,13 @@
     /// A new key in PKCS #8.
     pub(super) fn generate() -> Result<Vec<u8>, AcmeError> {
         let pkcs8 = EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, &SystemRandom::new());
-        pkcs8.map(|doc| doc.as_ref().to_vec()).map_err(|_| AcmeError::NoKey)
+        pkcs8.map(|doc| doc.as_ref().to_vec()).map_err(|_| AcmeError::KeyGeneration)
     }
 
     pub(super) fn from_pkcs8(pkcs8: &[u8]) -> Result<Self, AcmeError> {
         let random = SystemRandom::new();
         let pair = EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, pkcs8, &random);
-        let unusable = |e: ring::error::KeyRejected| AcmeError::AccountKey { said: e.to_string() };
+        let unusable = |e: ring::error::KeyRejected| AcmeError::InvalidAccountKey { reason: e.to_string() };
         Ok(Self { pair: pair.map_err(unusable)?, random })
     }
 
--- a/src/acme/mod.rs
+++ b/src/acme/mod.rs
@@ -82,7 +82,7 @@
 /// # Errors
 /// [`AcmeError`] where the storage, the roots or a thread cannot be had. A failed order is tried again.
 pub fn start(settings: Acme, shared: SharedCertificate) -> Result<(), AcmeError> {
-    let open = |source| AcmeError::Open { path: settings.store.clone(), source };
+    let open = |source| AcmeError::OpenStore { path: settings.store.clone(), source };
     let store = Store::open(&settings.store).map_err(open)?;
     match store.certificate() {
         Ok(certificate) => shared.lock().certificate = certificate.map(Arc::new),
@@ -147,8 +147,8 @@
         return Err(AcmeError::Expired);
     }
     if let Some(domain) = lacking(&certificate, &settings.domains) {
-        let said = format!("{domain} is not one of them: {}", certificate.names.join(" "));
-        return Err(AcmeError::Certificate { what: "the names of the certificate", said });
+        let reason = format!("{domain} is not one of them: {}", certificate.names.join(" "));
+        return Err(AcmeError::InvalidCertificate { what: "the names of the certificate", reason });
     }
     Ok(certificate)
 }
--- a/src/acme/store.rs
+++ b/src/acme/store.rs
@@ -35,7 +35,7 @@
 impl Certificate {
     /// Reads a key and a chain; the first certificate of the chain is the one that counts, and is to be of that key.
     pub fn parse(pem: &str) -> Result<Self, AcmeError> {
-        let wrong = |what, said: String| AcmeError::Certificate { what, said };
+        let wrong = |what, said: String| AcmeError::InvalidCertificate { what, reason: said };
         let der = CertificateDer::from_pem_slice(pem.as_bytes());
         let der = der.map_err(|e| wrong("no certificate", e.to_string()))?;
         let x509 = x509_parser::parse_x509_certificate(&der);
@@ -127,7 +127,7 @@
     pub fn certificate(&self) -> Result<Option<Certificate>, AcmeError> {
         match self.read(CERTIFICATE).map_err(AcmeError::Storage)? {
             Some(bytes) => {
-                let pem = String::from_utf8(bytes).map_err(|_| AcmeError::NoText)?;
+                let pem = String::from_utf8(bytes).map_err(|_| AcmeError::NotUtf8)?;
                 Certificate::parse(&pem).map(Some)
             }
             None => Ok(None),
--- a/src/acme/wire.rs
+++ b/src/acme/wire.rs
@@ -52,14 +52,14 @@
     pub fn parse(body: &str) -> Result<Self, AcmeError> {
         match json::parse(body)? {
             JsonValue::Object(members) => Ok(Self(members)),
-            _ => Err(AcmeError::NoObject),
+            _ => Err(AcmeError::NotAnObject),
         }
     }
 
     /// The text under a key.
     pub fn text(&self, key: &str) -> Result<&str, AcmeError> {
         let text = self.0.get(key).and_then(|v| v.get::<String>());
-        text.map(String::as_str).ok_or_else(|| AcmeError::Lacks { key: key.into() })
+        text.map(String::as_str).ok_or_else(|| AcmeError::MissingMember { member: key.into() })
     }
 
     fn list(&self, key: &str) -> &[JsonValue] {
@@ -70,7 +70,7 @@
     pub fn urls(&self, key: &str) -> Result<Vec<String>, AcmeError> {
         let url = |v: &JsonValue| v.get::<String>().cloned();
         let urls: Option<Vec<String>> = self.list(key).iter().map(url).collect();
-        urls.ok_or_else(|| AcmeError::NoAddress { key: key.into() })
+        urls.ok_or_else(|| AcmeError::InvalidUrl { member: key.into() })
     }
 
     /// What went wrong, as the authority words it.
@@ -91,7 +91,7 @@
         };
         let why = self.0.get("error").and_then(of);
         let why = why.or_else(|| self.list("challenges").iter().find_map(of_challenge));
-        AcmeError::Failed { status: status.into(), why: why.unwrap_or_default() }
+        AcmeError::Failed { status: status.into(), reason: why.unwrap_or_default() }
     }
 
     /// The http-01 challenge of an authorization.
@@ -103,13 +103,13 @@
             _ => false,
         };
         let Some(JsonValue::Object(challenge)) = self.list("challenges").iter().find(is_http) else {
-            return Err(AcmeError::NoChallenge);
+            return Err(AcmeError::NoHttpChallenge);
         };
         let challenge = Self(challenge.clone());
         let token = challenge.text("token")?;
         // It becomes a part of a path and of what is signed (RFC 8555, section 8.3: base64url only).
         if token.is_empty() || !token.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b)) {
-            return Err(AcmeError::BadToken);
+            return Err(AcmeError::InvalidToken);
         }
         Ok(Challenge { token: token.to_string(), url: challenge.text("url")?.to_string() })
     }
