--- a/src/console.rs
+++ b/src/console.rs
@@ -1,6 +1,7 @@
-//! The terminal console: a Unix socket in the program, and the client that speaks to it.
+//! The terminal console: a Unix socket on which the server answers operators' commands, and its client.
 //!
-//! A request is one line with one word; an answer is lines, ended by an empty one.
+//! [`start`] opens the socket, [`client`] is the command-line client. A request is one line with one
+//! [`ConsoleCommand`]; an answer consists of lines and ends with an empty one.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
@@ -20,119 +21,121 @@
 use crate::net::NodeHandle;
 use crate::settings::Config;
 
-/// A client that says nothing for this long is let go, so that the next one is heard.
-const CLIENT_PATIENCE: Duration = Duration::from_secs(30);
-/// The program answers within this time, or is taken to hang.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
-/// Wait after an accept that failed, such as for want of descriptors.
+/// A connection on which nothing can be read or written for this long is closed, so that another client can be served.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The server's event loop is considered hung if it does not answer a query within this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The wait after a failed accept, for example while no file descriptors are free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The longest line that a client may send.
-const MOST_LINE: usize = 256;
-/// Clients served at once.
-const MOST_CLIENTS: usize = 4;
-/// What can be asked.
+/// The longest line that a client may send, in bytes.
+const MAX_LINE_LEN: usize = 256;
+/// The maximum number of clients served at once.
+const MAX_CLIENTS: usize = 4;
+/// The commands, as the console lists them.
 pub const COMMANDS: &str = "status, counters, settings, certificate, drain, help, quit";
 
-/// Why the console is not there, or a client of it does not get its way.
+/// An error of the console or of its client.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ConsoleError {
-    /// The socket cannot be made.
+    /// The socket cannot be opened.
     #[error("console.socket: {}: {source}", path.display())]
-    #[diagnostic(help("name a path in a folder that is there and that this user may write to"))]
+    #[diagnostic(help("name a path in an existing folder that this user may write to"))]
     Socket {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// Somebody answers at the socket, and hands nothing over.
-    #[error("console.socket: {}: another program listens there", path.display())]
-    #[diagnostic(help("give each server a console.socket of its own, or end the other one first"))]
+    /// Another process, which is not this one's predecessor, listens on the socket.
+    #[error("console.socket: {}: another process listens on it", path.display())]
+    #[diagnostic(help("give each server its own console.socket, or stop the other one first"))]
     SocketInUse {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
     },
-    /// The client finds nobody.
+    /// The client cannot connect to the server.
     #[error("{}: {source}", path.display())]
-    #[diagnostic(help("check that the server runs with this console.socket, and that you are its user"))]
+    #[diagnostic(help(
+        "check that the server runs with this console.socket, and that you run as the same user"
+    ))]
     ConnectFailed {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The talk broke off.
+    /// The client's connection failed before the end of an answer.
     #[error("{}: {source}", path.display())]
     #[diagnostic(help(
-        "the server ended, let an idle client go, or serves four others: look at its log, and connect again"
+        "the server stopped, closed an idle connection, or serves four other clients: check its log and connect again"
     ))]
     ConnectionLost {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The server answered with an error, which stands above.
-    #[error("'{command}' was not carried out")]
-    #[diagnostic(help(
-        "`hopwalk console help` prints the words; one that is known failed for what stands above"
-    ))]
+    /// The server answered with an error, which the client has printed.
+    #[error("the console command '{command}' failed")]
+    #[diagnostic(help("see the error above; `hopwalk console help` lists the commands"))]
     CommandFailed {
-        /// What was asked.
+        /// The command.
         command: String,
     },
-    /// What is typed cannot be read.
+    /// Standard input cannot be read.
     #[error("standard input: {0}")]
-    #[diagnostic(help("type words in UTF-8, or give them as arguments"))]
+    #[diagnostic(help("type commands in UTF-8, or pass them as arguments"))]
     Input(io::Error),
 }
 
-/// Tells what state the certificate is in.
+/// Returns names and values that describe the certificate in use.
 pub type DescribeCertificate = Arc<dyn Fn() -> Vec<(String, String)> + Send + Sync>;
 
-/// Listens on `path` in a thread of its own. A socket left behind by a former life is taken over, and that of
-/// the process that this one takes over from.
+/// Opens the console's socket at `path` and serves its clients in threads. A socket that an earlier process left
+/// behind is replaced, and so is the socket of this process's predecessor.
 ///
 /// # Errors
-/// [`ConsoleError`] where the socket cannot be had.
+/// [`ConsoleError`] if the socket cannot be opened or another process listens on it.
 pub fn start(
     path: &Path,
     config: &Config,
     handle: NodeHandle,
-    certificate: DescribeCertificate,
+    describe_certificate: DescribeCertificate,
     has_predecessor: bool,
 ) -> Result<(), ConsoleError> {
-    let at = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
+    let socket_error = |source| ConsoleError::Socket { path: path.to_path_buf(), source };
     if std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket()) {
         if !has_predecessor && UnixStream::connect(path).is_ok() {
             return Err(ConsoleError::SocketInUse { path: path.to_path_buf() });
         }
-        std::fs::remove_file(path).map_err(at)?;
+        std::fs::remove_file(path).map_err(socket_error)?;
     }
-    let listener = socket_retry::open(|| UnixListener::bind(path)).map_err(at)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(at)?;
+    let listener = socket_retry::open(|| UnixListener::bind(path)).map_err(socket_error)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(socket_error)?;
     info!("the console listens on {}", path.display());
     let settings = Arc::new(config.describe());
+    // Each client holds one clone while it is served.
     let clients = Arc::new(());
     std::thread::spawn(move || loop {
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(e) => {
-                debug!("no connection for the console: {e}");
+                debug!("failed to accept a console connection: {e}");
                 std::thread::sleep(ACCEPT_PAUSE);
                 continue;
             }
         };
-        if Arc::strong_count(&clients) > MOST_CLIENTS {
+        if Arc::strong_count(&clients) > MAX_CLIENTS {
             continue;
         }
-        let (client, settings, handle) = (clients.clone(), settings.clone(), handle.clone());
-        let certificate = certificate.clone();
+        let (client_permit, settings, handle) = (clients.clone(), settings.clone(), handle.clone());
+        let describe_certificate = describe_certificate.clone();
         std::thread::spawn(move || {
-            let _client = client;
-            let answer = |word: &ConsoleCommand| answer(word, &settings, &handle, &certificate);
+            let _client_permit = client_permit;
+            let answer =
+                |command: &ConsoleCommand| answer(command, &settings, &handle, &describe_certificate);
             if let Err(e) = serve(stream, answer) {
-                warn!("a console client was let go: {e}");
+                warn!("closed the connection of a console client: {e}");
             }
         });
     });
@@ -140,48 +143,48 @@
 }
 
 fn serve(stream: UnixStream, answer: impl Fn(&ConsoleCommand) -> Vec<(String, String)>) -> io::Result<()> {
-    stream.set_read_timeout(Some(CLIENT_PATIENCE))?;
-    stream.set_write_timeout(Some(CLIENT_PATIENCE))?;
-    let mut lines = LineDecoder::new(MOST_LINE);
+    stream.set_read_timeout(Some(CLIENT_TIMEOUT))?;
+    stream.set_write_timeout(Some(CLIENT_TIMEOUT))?;
+    let mut lines = LineDecoder::new(MAX_LINE_LEN);
     loop {
-        // A line that is too long is no word: neither its start nor its end is carried out.
+        // A line that is too long is rejected whole: neither its start nor its end is executed as a command.
         let line = match lines.next_line() {
             Ok(Some(line)) => line,
             Ok(None) if read_some(&mut (&stream), lines.buffer_mut())? > 0 => continue,
             Ok(None) => return Ok(()),
             Err(_) => return (&stream).write_all(b"error: the line is too long, or no text\n\n"),
         };
-        let word = ConsoleCommand::parse(&line);
-        if word == ConsoleCommand::Quit {
+        let command = ConsoleCommand::parse(&line);
+        if command == ConsoleCommand::Quit {
             return Ok(());
         }
-        (&stream).write_all(encode(&answer(&word)).as_bytes())?;
+        (&stream).write_all(encode(&answer(&command)).as_bytes())?;
     }
 }
 
-/// What a client asks for.
+/// A command that a client sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConsoleCommand {
-    /// How things are.
+    /// Show the state of the server.
     Status,
-    /// What was counted.
+    /// Show the counters.
     Counters,
-    /// The configuration.
+    /// Show the configuration.
     Settings,
-    /// The state of the certificate.
+    /// Show the state of the certificate.
     Certificate,
-    /// Begin to leave.
+    /// Begin a drain.
     Drain,
-    /// What can be asked.
+    /// List the commands.
     Help,
-    /// The end of the talk.
+    /// Close the connection.
     Quit,
-    /// None of these.
+    /// An unknown command.
     Unknown(String),
 }
 
 impl ConsoleCommand {
-    /// Reads a line.
+    /// Parses a line.
     pub fn parse(line: &str) -> Self {
         match line.trim_ascii() {
             "status" => Self::Status,
@@ -196,7 +199,8 @@
     }
 }
 
-/// An answer in lines, ended by an empty one. What stands in a value cannot end it early.
+/// Encodes an answer as lines that end with an empty one. Line breaks in values become spaces, so no value can end the
+/// answer early.
 pub fn encode(answer: &[(String, String)]) -> String {
     let mut out = String::new();
     for (name, value) in answer {
@@ -207,21 +211,21 @@
 }
 
 fn answer(
-    word: &ConsoleCommand,
+    command: &ConsoleCommand,
     settings: &[(String, String)],
     handle: &NodeHandle,
-    certificate: &DescribeCertificate,
+    describe_certificate: &DescribeCertificate,
 ) -> Vec<(String, String)> {
-    let asked = |query| match handle.query(query, ANSWER_PATIENCE) {
+    let query_server = |query| match handle.query(query, ANSWER_TIMEOUT) {
         Some(lines) => lines,
         None => vec![("error".to_string(), "the program did not answer".to_string())],
     };
     let line = |name: &str, value: &str| vec![(name.to_string(), value.to_string())];
-    match word {
-        ConsoleCommand::Status => asked(Query::Status),
-        ConsoleCommand::Counters => asked(Query::Counters),
+    match command {
+        ConsoleCommand::Status => query_server(Query::Status),
+        ConsoleCommand::Counters => query_server(Query::Counters),
         ConsoleCommand::Settings => settings.to_vec(),
-        ConsoleCommand::Certificate => certificate(),
+        ConsoleCommand::Certificate => describe_certificate(),
         ConsoleCommand::Drain => {
             handle.drain();
             line("drain", "begun")
@@ -231,42 +235,43 @@
     }
 }
 
-/// Asks one word on a connection and returns the answer.
-fn ask(reads: &mut impl BufRead, writes: &mut impl Write, word: &str) -> io::Result<String> {
-    writes.write_all(format!("{word}\n").as_bytes())?;
+/// Sends one command on a connection and returns the answer.
+fn request(reader: &mut impl BufRead, writer: &mut impl Write, command: &str) -> io::Result<String> {
+    writer.write_all(format!("{command}\n").as_bytes())?;
     let mut answer = String::new();
     loop {
-        let had = answer.len();
-        if reads.read_line(&mut answer)? == 0 {
+        let line_start = answer.len();
+        if reader.read_line(&mut answer)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if &answer[had..] == "\n" {
-            answer.truncate(had);
+        if &answer[line_start..] == "\n" {
+            answer.truncate(line_start);
             return Ok(answer);
         }
     }
 }
 
-/// The client: carries out `words`, or what is typed if there are none.
+/// The command-line client: sends `commands` and prints the answers. Without commands, sends the lines of standard
+/// input.
 ///
 /// # Errors
-/// [`ConsoleError`] where no server answers, or a word is not carried out.
-pub fn client(path: &Path, words: &[String]) -> Result<(), ConsoleError> {
-    let at = |source| ConsoleError::ConnectionLost { path: path.to_path_buf(), source };
-    let unreached = |source| ConsoleError::ConnectFailed { path: path.to_path_buf(), source };
-    let mut writes = UnixStream::connect(path).map_err(unreached)?;
-    writes.set_read_timeout(Some(ANSWER_PATIENCE * 2)).map_err(at)?;
-    let mut reads = BufReader::new(writes.try_clone().map_err(at)?);
+/// [`ConsoleError`] if no server answers, standard input cannot be read, or one of `commands` fails.
+pub fn client(path: &Path, commands: &[String]) -> Result<(), ConsoleError> {
+    let connection_lost = |source| ConsoleError::ConnectionLost { path: path.to_path_buf(), source };
+    let connect_failed = |source| ConsoleError::ConnectFailed { path: path.to_path_buf(), source };
+    let mut writer = UnixStream::connect(path).map_err(connect_failed)?;
+    writer.set_read_timeout(Some(ANSWER_TIMEOUT * 2)).map_err(connection_lost)?;
+    let mut reader = BufReader::new(writer.try_clone().map_err(connection_lost)?);
     let mut out = io::stdout();
-    let mut carry_out = |word: &str| -> Result<bool, ConsoleError> {
-        let answer = ask(&mut reads, &mut writes, word).map_err(at)?;
+    let mut execute = |command: &str| -> Result<bool, ConsoleError> {
+        let answer = request(&mut reader, &mut writer, command).map_err(connection_lost)?;
         let _ = out.write_all(answer.as_bytes());
         Ok(!answer.starts_with("error: "))
     };
-    if !words.is_empty() {
-        for word in words {
-            if !carry_out(word)? {
-                return Err(ConsoleError::CommandFailed { command: word.clone() });
+    if !commands.is_empty() {
+        for command in commands {
+            if !execute(command)? {
+                return Err(ConsoleError::CommandFailed { command: command.clone() });
             }
         }
         return Ok(());
@@ -283,7 +288,7 @@
         match line.trim() {
             "" => {}
             "quit" | "exit" => return Ok(()),
-            word => drop(carry_out(word)?),
+            command => drop(execute(command)?),
         }
     }
 }
