--- a/src/acme/wire.rs
+++ b/src/acme/wire.rs
@@ -1,4 +1,6 @@
-//! What an ACME authority answers (RFC 8555), as functions over text.
+//! Parses the answers of an ACME authority (RFC 8555).
+//!
+//! An [`Object`] is the JSON body of an answer; [`Directory`] and [`Challenge`] are read from one.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,26 +10,26 @@
 use super::error::AcmeError;
 use crate::json;
 
-/// The longest wait that an authority is believed.
-const MOST_WAIT: Duration = Duration::from_secs(86_400);
+/// A longer `Retry-After` is reduced to this time.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(86_400);
 
-/// A JSON object of the authority.
+/// A JSON object that the authority sent.
 #[derive(Clone, Debug)]
 pub struct Object(HashMap<String, JsonValue>);
 
-/// Where the authority takes what (RFC 8555, section 7.1.1).
+/// The URLs of the authority's resources (RFC 8555, section 7.1.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directory {
-    /// Gives nonces.
+    /// Returns nonces.
     pub new_nonce: String,
-    /// Takes accounts.
+    /// Creates accounts.
     pub new_account: String,
-    /// Takes orders.
+    /// Creates orders.
     pub new_order: String,
 }
 
 impl Directory {
-    /// Reads it from its object.
+    /// Reads the directory's members.
     pub fn from_object(object: &Object) -> Result<Self, AcmeError> {
         let text = |key| object.text(key).map(str::to_string);
         Ok(Self {
@@ -38,17 +40,17 @@
     }
 }
 
-/// A challenge of the kind http-01 (RFC 8555, section 8.3).
+/// An http-01 challenge (RFC 8555, section 8.3).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Challenge {
-    /// Names the answer that the authority will look for.
+    /// The last part of the path that the authority requests.
     pub token: String,
-    /// Where it is told that the answer is there.
+    /// Where the authority is notified that the path can be requested.
     pub url: String,
 }
 
 impl Object {
-    /// Reads the body of an answer.
+    /// Parses the body of an answer.
     pub fn parse(body: &str) -> Result<Self, AcmeError> {
         match json::parse(body)? {
             JsonValue::Object(members) => Ok(Self(members)),
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The text under a key.
+    /// The string member with this key.
     pub fn text(&self, key: &str) -> Result<&str, AcmeError> {
         let text = self.0.get(key).and_then(|v| v.get::<String>());
         text.map(String::as_str).ok_or_else(|| AcmeError::MissingMember { member: key.into() })
@@ -66,32 +68,32 @@
         self.0.get(key).and_then(|v| v.get::<Vec<JsonValue>>()).map_or(&[], Vec::as_slice)
     }
 
-    /// The addresses in a list.
+    /// The URLs in a list member.
     pub fn urls(&self, key: &str) -> Result<Vec<String>, AcmeError> {
         let url = |v: &JsonValue| v.get::<String>().cloned();
         let urls: Option<Vec<String>> = self.list(key).iter().map(url).collect();
         urls.ok_or_else(|| AcmeError::InvalidUrl { member: key.into() })
     }
 
-    /// What went wrong, as the authority words it.
+    /// The type and detail of the authority's problem document (RFC 7807).
     pub fn problem(&self) -> String {
         let text = |key| self.text(key).unwrap_or_default();
         format!("{} {}", text("type"), text("detail")).trim().to_string()
     }
 
-    /// Why an authorization or an order failed; an authorization words it in its challenges.
+    /// The error of a failed order or authorization; an authorization has its problem document in a challenge.
     pub fn failure(&self, status: &str) -> AcmeError {
-        let of = |value: &JsonValue| match value {
+        let problem_of = |value: &JsonValue| match value {
             JsonValue::Object(members) => Some(Self(members.clone()).problem()),
             _ => None,
         };
-        let of_challenge = |value: &JsonValue| match value {
-            JsonValue::Object(members) => members.get("error").and_then(of),
+        let challenge_problem = |value: &JsonValue| match value {
+            JsonValue::Object(members) => members.get("error").and_then(problem_of),
             _ => None,
         };
-        let why = self.0.get("error").and_then(of);
-        let why = why.or_else(|| self.list("challenges").iter().find_map(of_challenge));
-        AcmeError::Failed { status: status.into(), reason: why.unwrap_or_default() }
+        let reason = self.0.get("error").and_then(problem_of);
+        let reason = reason.or_else(|| self.list("challenges").iter().find_map(challenge_problem));
+        AcmeError::Failed { status: status.into(), reason: reason.unwrap_or_default() }
     }
 
     /// The http-01 challenge of an authorization.
@@ -107,7 +109,7 @@
         };
         let challenge = Self(challenge.clone());
         let token = challenge.text("token")?;
-        // It becomes a part of a path and of what is signed (RFC 8555, section 8.3: base64url only).
+        // The token becomes a part of a path and of the key authorization (RFC 8555, section 8.3: base64url only).
         if token.is_empty() || !token.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b)) {
             return Err(AcmeError::InvalidToken);
         }
@@ -115,7 +117,7 @@
     }
 }
 
-/// Reads `Retry-After` in seconds; a date is none, and the client's own wait does.
+/// Parses a `Retry-After` field in seconds. A date gives `None`, and the client uses its own wait.
 pub fn parse_retry_after(field: &str) -> Option<Duration> {
-    field.trim().parse().ok().map(|s| Duration::from_secs(s).min(MOST_WAIT))
+    field.trim().parse().ok().map(|s| Duration::from_secs(s).min(MAX_RETRY_AFTER))
 }
