--- a/fuzz/src/targets/codecs.rs
+++ b/fuzz/src/targets/codecs.rs
@@ -134,7 +134,7 @@
     let day = Duration::from_secs(86_400);
     match notice {
         Notice::Greeting { uptime, .. } => assert!(*uptime <= 400 * day, "{notice:?}"),
-        Notice::Outcome { lasted: Some(lasted), .. } => assert!(*lasted <= day, "{notice:?}"),
+        Notice::Outcome { duration: Some(duration), .. } => assert!(*duration <= day, "{notice:?}"),
         Notice::CallNeeded { cursor, .. } => assert!(*cursor > 0 && *cursor < 1 << 53, "{notice:?}"),
         Notice::Sampled { figures, .. } => assert!(figures.iter().all(|f| f.is_finite()), "{notice:?}"),
         _ => {}
--- a/fuzz/src/targets/world.rs
+++ b/fuzz/src/targets/world.rs
@@ -358,7 +358,7 @@
             Notice::Outcome {
                 handle,
                 end,
-                lasted: Some(ms(20)),
+                duration: Some(ms(20)),
                 result: result.filter(|_| end == End::Complete),
             },
         );
@@ -765,16 +765,16 @@
         let any: u64 = u.arbitrary()?;
         let end = End::ALL[usize::from(what >> 4) % End::ALL.len()];
         let body: Option<Bytes> = (!any.is_multiple_of(3)).then(|| [any as u8].into());
-        let lasted = ms(any % 86_400_000);
+        let duration = ms(any % 86_400_000);
         let notice = match what % 10 {
-            0 => Notice::Greeting { cold: any.is_multiple_of(2), uptime: lasted },
+            0 => Notice::Greeting { cold: any.is_multiple_of(2), uptime: duration },
             1 => Notice::Closed(LinkEnd::Broken { end, written: any % 64 }),
             2 => Notice::Synced { requested_on: LinkId(any % 8) },
             3 => Notice::Sampled {
                 ticket: any % 64,
                 figures: vec![f64::from(pick) / 16.0; (what >> 4) as usize],
             },
-            4 | 5 => Notice::Outcome { handle, end, lasted: Some(lasted), result: body },
+            4 | 5 => Notice::Outcome { handle, end, duration: Some(duration), result: body },
             6 => Notice::CallNeeded { handle, cursor: any, body: [1].into() },
             7 => Notice::Refusal {
                 command: ["launch", "deliver", ""][usize::from(pick) % 3].to_string(),
@@ -793,7 +793,7 @@
                     1 => Succession::Key(KeyState {
                         key,
                         digest: any,
-                        until: self.now + lasted,
+                        until: self.now + duration,
                         open: pick > 128,
                         result: body,
                     }),
--- a/src/core/runs.rs
+++ b/src/core/runs.rs
@@ -55,9 +55,9 @@
                     self.deliver_timers();
                 }
             }
-            Notice::Outcome { handle, end, lasted, result } => {
+            Notice::Outcome { handle, end, duration, result } => {
                 let Some(&id) = self.handles.get(&handle) else { return };
-                self.run_ended(now, id, end, lasted, result);
+                self.run_ended(now, id, end, duration, result);
             }
             Notice::CallNeeded { handle, cursor, body } => {
                 let Some(&id) = self.handles.get(&handle) else { return };
@@ -163,7 +163,7 @@
         now: Duration,
         id: RequestId,
         end: End,
-        lasted: Option<Duration>,
+        duration: Option<Duration>,
         result: Option<Bytes>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -172,7 +172,7 @@
         }
         let is_orphan = request.is_orphan;
         let outcome = end.outcome();
-        let took = lasted.unwrap_or(now.saturating_sub(request.began));
+        let took = duration.unwrap_or(now.saturating_sub(request.began));
         let served = result.filter(|_| outcome == Outcome::Done);
         self.counters.ended(end);
         if let Some(key) = request.key.clone() {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -287,7 +287,7 @@
         /// How the run ended.
         end: End,
         /// How long the run took.
-        lasted: Option<Duration>,
+        duration: Option<Duration>,
         /// The result of the run.
         result: Option<Bytes>,
     },
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -98,9 +98,9 @@
         None => Ok(None),
     };
     let event = text("event").ok_or(missing("event"))?;
-    let lasted = number("lasted").and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
+    let duration = number("lasted").and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
     let max_duration = if event == "greeting" { MAX_AGENT_UPTIME } else { MAX_RUN_DURATION };
-    if lasted.is_some_and(|lasted| lasted > max_duration) {
+    if duration.is_some_and(|duration| duration > max_duration) {
         return Err(NoticeError::DurationTooLong { days: max_duration.as_secs() / 86_400 });
     }
     // A single cursor that is too high would make all later notices look like repetitions.
@@ -110,7 +110,7 @@
     let notice = match event {
         "greeting" => {
             let cold = text("fate") == Some("chilly");
-            Some(Notice::Greeting { cold, uptime: lasted.unwrap_or_default() })
+            Some(Notice::Greeting { cold, uptime: duration.unwrap_or_default() })
         }
         "outcome" => {
             let end = match text("fate") {
@@ -121,7 +121,7 @@
                 _ => return Err(NoticeError::UnknownFate),
             };
             let result = bytes("arg")?.or_else(|| (end == End::Complete).then(|| Vec::new().into()));
-            Some(Notice::Outcome { handle: handle()?, end, lasted, result })
+            Some(Notice::Outcome { handle: handle()?, end, duration, result })
         }
         "request" => {
             let body = bytes("arg")?.unwrap_or_else(|| Vec::new().into());
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -281,8 +281,8 @@
         spawn(move || {
             let started = Instant::now();
             let (end, result) = exchange(address, &encode_call(&path, handle, timeout, &arg), timeout);
-            let lasted = Some(started.elapsed());
-            let notice = Notice::Outcome { handle, end, lasted, result };
+            let duration = Some(started.elapsed());
+            let notice = Notice::Outcome { handle, end, duration, result };
             hub.push(Input::Agent { link: LinkId::NONE, notice });
         });
     }
--- a/tests/core/bench.rs
+++ b/tests/core/bench.rs
@@ -136,9 +136,9 @@
     }
 
     pub fn complete(&mut self, at: u64, handle: Handle, result: &[u8]) {
-        let lasted = Some(Duration::from_millis(20));
+        let duration = Some(Duration::from_millis(20));
         let result = Some(Arc::from(result));
-        self.notice(at, Notice::Outcome { handle, end: End::Complete, lasted, result });
+        self.notice(at, Notice::Outcome { handle, end: End::Complete, duration, result });
     }
 
     pub fn answers(&self, conn: u64) -> Vec<&Verdict> {
--- a/tests/core/calls.rs
+++ b/tests/core/calls.rs
@@ -82,7 +82,7 @@
     end_call(&mut bench, 430, run, End::NotNow, None);
     assert_eq!(bench.answers(1), [&Verdict::Failed], "the second status line may be a copy of the first");
     assert_eq!(calls(&bench), 3);
-    bench.notice(440, Notice::Outcome { handle: run, end: End::Cancelled, lasted: None, result: None });
+    bench.notice(440, Notice::Outcome { handle: run, end: End::Cancelled, duration: None, result: None });
     let next = bench.send(450, "queue-status", None);
     assert_eq!(launches_of(&bench.effects, next), 1);
 }
--- a/tests/core/lost_link.rs
+++ b/tests/core/lost_link.rs
@@ -89,8 +89,8 @@
 }
 
 #[rstest]
-#[case::ended_well(Notice::Outcome { handle: handle(1), end: End::Complete, lasted: None, result: Some(Arc::from(*b"once")) }, served(b"once"))]
-#[case::failed(Notice::Outcome { handle: handle(1), end: End::Failed, lasted: None, result: None }, Verdict::Failed)]
+#[case::ended_well(Notice::Outcome { handle: handle(1), end: End::Complete, duration: None, result: Some(Arc::from(*b"once")) }, served(b"once"))]
+#[case::failed(Notice::Outcome { handle: handle(1), end: End::Failed, duration: None, result: None }, Verdict::Failed)]
 #[case::calls(Notice::CallNeeded { handle: handle(1), cursor: 9, body: Arc::from(*b"c") }, Verdict::Failed)]
 fn a_run_with_a_notice_after_a_lost_link_is_not_launched_again(
     #[case] notice: Notice,
@@ -265,7 +265,7 @@
         0,
         "the failed run keeps its core until the agent reports its end"
     );
-    bench.notice(610, Notice::Outcome { handle: run, end: End::Cancelled, lasted: None, result: None });
+    bench.notice(610, Notice::Outcome { handle: run, end: End::Cancelled, duration: None, result: None });
     assert_eq!(launches_of(&bench.effects, waiting), 1, "{:?}", bench.effects);
 }
 
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -116,7 +116,7 @@
 fn a_run_that_is_proven_not_to_have_begun_frees_its_key() {
     let mut bench = Bench::new();
     let handle = bench.send(10, "lobby-confirm", Some("k"));
-    bench.notice(15, Notice::Outcome { handle, end: End::Refused, lasted: None, result: None });
+    bench.notice(15, Notice::Outcome { handle, end: End::Refused, duration: None, result: None });
     assert!(matches!(bench.answers(1)[..], [Verdict::Refused { .. }]));
     bench.send(20, "lobby-confirm", Some("k"));
     assert_eq!(bench.launches(), 2);
@@ -297,7 +297,7 @@
                     let handle = open.swap_remove(rng.roll(open.len() as u64) as usize);
                     let end = ENDS[rng.roll(6) as usize];
                     let result = (end == End::Complete).then(|| Arc::from(*b"r"));
-                    bench.notice(at, Notice::Outcome { handle, end, lasted: None, result });
+                    bench.notice(at, Notice::Outcome { handle, end, duration: None, result });
                 }
                 9 if !open.is_empty() => {
                     cursor += 1;
--- a/tests/core/stop.rs
+++ b/tests/core/stop.rs
@@ -58,7 +58,7 @@
         self.runs.retain(|run| *run != handle);
         let end = if self.rng.roll(4) == 0 { End::Failed } else { End::Complete };
         let result = (end == End::Complete).then(|| Arc::from(*b"made"));
-        self.bench.notice(self.now, Notice::Outcome { handle, end, lasted: None, result });
+        self.bench.notice(self.now, Notice::Outcome { handle, end, duration: None, result });
     }
 
     fn request_call(&mut self, handle: Handle) {
--- a/tests/routed.rs
+++ b/tests/routed.rs
@@ -277,8 +277,8 @@
 fn each_answer_is_counted_once_by_its_kind() {
     let mut bench = Bench::new(true);
     let complete = |bench: &mut Bench, at, handle| {
-        let (lasted, result) = (Some(Duration::from_millis(20)), Some(Arc::from(*b"x")));
-        bench.notice(at, Notice::Outcome { handle, end: End::Complete, lasted, result });
+        let (duration, result) = (Some(Duration::from_millis(20)), Some(Arc::from(*b"x")));
+        bench.notice(at, Notice::Outcome { handle, end: End::Complete, duration, result });
     };
     let in_time = bench.send(10, "queue-status", |_| ());
     complete(&mut bench, 50, in_time);
