--- a/fuzz/src/targets/documents.rs
+++ b/fuzz/src/targets/documents.rs
@@ -160,15 +160,15 @@
                 if settings.cores > 4096 || instances.len() > 3 {
                     continue;
                 }
-                if let Ok(brain) = DecisionEngine::new(settings, seed, now) {
-                    instances.insert(who, brain);
+                if let Ok(engine) = DecisionEngine::new(settings, seed, now) {
+                    instances.insert(who, engine);
                 }
             }
             Ok(adapter::Message::Down { who }) => drop(instances.remove(&who)),
             Ok(adapter::Message::Event { who, event }) => {
-                if let Some(brain) = instances.get_mut(&who) {
-                    brain.on_event(now, event, &mut actions);
-                    brain.decide(now, &mut actions);
+                if let Some(engine) = instances.get_mut(&who) {
+                    engine.on_event(now, event, &mut actions);
+                    engine.decide(now, &mut actions);
                 }
             }
             Ok(adapter::Message::Unknown(name)) => assert!(!name.contains(' ')),
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -93,7 +93,7 @@
         request.call.attempt = self.last_attempt;
         request.call.began = Some(now);
         let (handle, attempt, body) = (request.handle, request.call.attempt, request.call.body.clone());
-        let earlier = request.call.history.replies().into();
+        let earlier_replies = request.call.history.replies().into();
         let at_most_once = self.site.settings.classes[request.class].repeat != Repeat::Idempotent;
         // On a connection that was used before, a late copy of this request's last reply may arrive, or the
         // dependency may have dropped the connection.
@@ -105,7 +105,7 @@
             attempt,
             at_most_once,
             fresh,
-            earlier,
+            earlier_replies,
             timeout,
             body,
             route,
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -458,7 +458,7 @@
         /// The call needs a connection on which nothing was sent before.
         fresh: bool,
         /// Digests of the replies to earlier calls of the request: a copy of one of them is not the reply to this call.
-        earlier: Arc<[ReplyDigest]>,
+        earlier_replies: Arc<[ReplyDigest]>,
         /// How long the reply is awaited.
         timeout: Duration,
         /// The body of the call.
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -365,8 +365,8 @@
 
     const TIMEOUT: Duration = Duration::from_secs(10);
 
-    fn start_admin(double: Option<Arc<FakeRouter>>) -> (SocketAddr, Arc<Hub>) {
-        let hub = test_hub(double, None).0;
+    fn start_admin(router: Option<Arc<FakeRouter>>) -> (SocketAddr, Arc<Hub>) {
+        let hub = test_hub(router, None).0;
         hub.ready.store(true, Ordering::Release);
         (start("127.0.0.1:0".parse().unwrap(), &hub).unwrap(), hub)
     }
@@ -380,8 +380,8 @@
 
     #[test]
     fn each_request_becomes_its_order_and_returns_the_document() {
-        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
-        let (at, _hub) = start_admin(Some(double.clone()));
+        let router = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
+        let (at, _hub) = start_admin(Some(router.clone()));
         let table = format!("{{\"pools\": {}}}\n", " ".repeat(60_000));
         let calls = [
             ("GET", "/fleet/routes", "", Order::Show),
@@ -397,7 +397,7 @@
         ];
         for (method, path, body, order) in calls {
             assert_eq!(request_with_body(at, method, path, body, TIMEOUT).unwrap(), "{}\n", "{path}");
-            let (received, operator) = double.orders().pop().unwrap();
+            let (received, operator) = router.orders().pop().unwrap();
             assert_eq!(received, order);
             assert!(operator.starts_with("127.0.0.1:"), "{operator}");
         }
@@ -405,14 +405,14 @@
 
     #[test]
     fn a_refusal_gives_the_reason_and_what_to_do() {
-        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
-        let (at, _hub) = start_admin(Some(double.clone()));
+        let router = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
+        let (at, _hub) = start_admin(Some(router.clone()));
         let error = RecordError::UnknownVersion { version: 9 };
-        double.set_answer(Err(OrderError::Refused(error.clone().into())));
+        router.set_answer(Err(OrderError::Refused(error.clone().into())));
         let (status, reason, help) =
             refused(request_with_body(at, "POST", "/fleet/routes/activate", "9", TIMEOUT));
         assert_eq!((status, reason, help), (409, error.to_string(), error.help().unwrap().to_string()));
-        double.set_answer(Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT }));
+        router.set_answer(Err(OrderError::NoLeader { timeout: ORDER_TIMEOUT }));
         let (status, reason, help) = refused(request(at, "GET", "/fleet/routes", TIMEOUT));
         assert!(status == 503 && reason.contains("leader") && !help.is_empty(), "{reason}");
         for (path, body) in [("/fleet/routes/activate", "seven"), ("/fleet/record/admit", " ")] {
@@ -429,29 +429,29 @@
     fn an_unanswered_order_does_not_block_other_requests() {
         // Guards against orders that block a worker thread: as many orders as there are worker threads would stop the
         // whole endpoint.
-        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
-        double.leave_unanswered();
-        let (at, _hub) = start_admin(Some(double.clone()));
+        let router = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
+        router.leave_unanswered();
+        let (at, _hub) = start_admin(Some(router.clone()));
         let since = Instant::now();
         let pending: Vec<_> = (0..10)
             .map(|_| std::thread::spawn(move || refused(request(at, "GET", "/fleet/routes", TIMEOUT)).0))
             .collect();
-        while double.orders().len() < 10 {
-            assert!(since.elapsed() < TIMEOUT, "{} orders", double.orders().len());
+        while router.orders().len() < 10 {
+            assert!(since.elapsed() < TIMEOUT, "{} orders", router.orders().len());
             std::thread::sleep(Duration::from_millis(1));
         }
         assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
         assert!(since.elapsed() < ORDER_TIMEOUT, "{:?}", since.elapsed());
-        double.drop_unanswered();
+        router.drop_unanswered();
         assert!(pending.into_iter().all(|order| order.join().unwrap() == 503));
     }
 
     #[test]
     fn a_matcher_without_its_lease_is_not_ready() {
-        let double = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
-        let (at, _hub) = start_admin(Some(double.clone()));
+        let router = Arc::new(FakeRouter::with_answers([RouteDecision::Barred]));
+        let (at, _hub) = start_admin(Some(router.clone()));
         assert!(request(at, "GET", "/ready", TIMEOUT).is_ok());
-        double.set_ready(false);
+        router.set_ready(false);
         let result = request(at, "GET", "/ready", TIMEOUT);
         assert!(matches!(result, Err(AdminClientError::Status { status: 503, .. })), "{result:?}");
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -359,22 +359,20 @@
                 Runner::Application(application) => application.send(command),
                 Runner::None => {}
             },
-            Effect::Call { handle, attempt, fresh, earlier, timeout: patience, body, route, .. } => {
-                match &self.dependency {
-                    Dependency::Vault(vault) => vault.send(vault::Order::Ask {
-                        handle,
-                        attempt,
-                        fresh,
-                        earlier,
-                        timeout: patience,
-                        body,
-                        route,
-                    }),
-                    Dependency::Scgi(service) => {
-                        scgi::call(*service, &self.hub, handle, attempt, patience, body)
-                    }
-                }
-            }
+            Effect::Call { handle, attempt, fresh, earlier_replies, timeout, body, route, .. } => match &self
+                .dependency
+            {
+                Dependency::Vault(vault) => vault.send(vault::Order::Ask {
+                    handle,
+                    attempt,
+                    fresh,
+                    earlier_replies,
+                    timeout,
+                    body,
+                    route,
+                }),
+                Dependency::Scgi(service) => scgi::call(*service, &self.hub, handle, attempt, timeout, body),
+            },
             Effect::CancelCall { handle, attempt } => {
                 // SCGI has no message to cancel a call: the call ends with its own timeout.
                 if let Dependency::Vault(vault) = &self.dependency {
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -1,12 +1,12 @@
 //! Calls to the dependency through the vault, a local proxy, as text lines over TCP.
 //!
-//! The vault's protocol allows many calls on one connection. But a malformed reply, a reply that never arrives or a reset
-//! makes the connection useless for all calls on it. So each call has a connection to itself, which the next call may
-//! reuse once the reply has been read.
+//! The vault's protocol allows many calls on one connection. But a malformed reply, a reply that never arrives or a
+//! reset makes the connection useless for all calls on it. So each call has a connection to itself, which the next call
+//! may reuse once the reply has been read.
 //!
 //! If the fleet routes calls, a call is routed immediately before it is written, and the fence (turn and version of the
-//! routes) that it is sent under is recorded first. Whatever becomes of the call, a later call of the same request is not
-//! sent under another version.
+//! routes) that it is sent under is recorded first. Whatever becomes of the call, a later call of the same request is
+//! not sent under another version.
 
 mod wire;
 
@@ -57,7 +57,7 @@
         /// The call needs a connection that was not used before.
         fresh: bool,
         /// The replies to earlier calls of the request: a copy of one of them is ignored.
-        earlier: Arc<[ReplyDigest]>,
+        earlier_replies: Arc<[ReplyDigest]>,
         /// How long the reply is awaited.
         timeout: Duration,
         /// The body of the call.
@@ -81,7 +81,8 @@
 struct Pool {
     /// The call in progress of each request, and its connection once it has one.
     in_progress: HashMap<Handle, (u32, Option<Conn>)>,
-    /// Idle connections, with their address and the time since which they are idle. The last one was used most recently.
+    /// Idle connections, with their address and the time since which they are idle. The last one was used most
+    /// recently.
     idle: Vec<(Conn, SocketAddr, Instant)>,
     /// The fences of calls that may have been executed.
     sent_fences: HashMap<Handle, SentFence>,
@@ -148,7 +149,7 @@
     /// Carries out an order without waiting.
     pub fn send(&self, order: Order) {
         match order {
-            Order::Ask { handle, attempt, fresh, earlier, timeout, body, route } => {
+            Order::Ask { handle, attempt, fresh, earlier_replies, timeout, body, route } => {
                 let mut pool = lock(&self.pool);
                 let has_room = pool.in_progress.len() < self.hub.max_calls();
                 if has_room {
@@ -158,7 +159,7 @@
                 }
                 drop(pool);
                 let started = Instant::now();
-                let ask = Ask { handle, attempt, fresh, earlier, timeout, body, route, started };
+                let ask = Ask { handle, attempt, fresh, earlier_replies, timeout, body, route, started };
                 let (hub, pool) = (self.hub.clone(), self.pool.clone());
                 spawn(move || {
                     let (end, reply, fence) = match has_room {
@@ -193,7 +194,7 @@
     handle: Handle,
     attempt: u32,
     fresh: bool,
-    earlier: Arc<[ReplyDigest]>,
+    earlier_replies: Arc<[ReplyDigest]>,
     /// How long the call may take, counted from `started`.
     timeout: Duration,
     started: Instant,
@@ -212,7 +213,7 @@
 
     /// Whether an earlier call of the request got this reply.
     fn is_earlier_reply(&self, reply: Option<&[u8]>) -> bool {
-        reply.is_some_and(|reply| self.earlier.contains(&ReplyDigest::of(reply)))
+        reply.is_some_and(|reply| self.earlier_replies.contains(&ReplyDigest::of(reply)))
     }
 }
 
@@ -252,9 +253,9 @@
 }
 
 impl CallTask<'_> {
-    /// Makes the call. Returns how it ended, its reply, and the fence that it was sent under. There is no fence if the call
-    /// is known not to have run, because the connection broke before it was written or because
-    /// it was returned unexecuted.
+    /// Makes the call. Returns how it ended, its reply, and the fence that it was sent under. There is no fence if the
+    /// call is known not to have run, because the connection broke before it was written or because it was returned
+    /// unexecuted.
     fn call(&self, mut ask: Ask) -> (End, Option<Bytes>, Option<Fence>) {
         let Ready { mut conn, address, epoch, fence, previous } = match self.connect(&mut ask) {
             Ok(ready) => ready,
@@ -301,8 +302,8 @@
         (end, reply, fence.filter(|_| may_have_run))
     }
 
-    /// Routes the call and connects to its target. The call is routed again once the connection exists, immediately before
-    /// it is written: connecting takes time, during which the routes may switch or a lease may end.
+    /// Routes the call and connects to its target. The call is routed again once the connection exists, immediately
+    /// before it is written: connecting takes time, during which the routes may switch or a lease may end.
     fn connect(&self, ask: &mut Ask) -> Result<Ready, End> {
         let mut wait_budget = MAX_SWITCH_WAIT;
         let mut target = self.route_call(ask, &mut wait_budget)?;
@@ -357,7 +358,8 @@
         Err(if target.fence.is_some() { End::Barred } else { End::Refused })
     }
 
-    /// Closes a connection that has ended, or on which bytes arrived before the call was written: these cannot be its reply.
+    /// Closes a connection that has ended, or on which bytes arrived before the call was written: these cannot be its
+    /// reply.
     fn discard(&self, conn: &Conn) {
         if conn.has_unread() {
             self.hub.push(Input::StrayReply);
@@ -365,8 +367,8 @@
         conn.shutdown(Shutdown::Both);
     }
 
-    /// Reads until the reply to the call arrives. Replies to other requests and copies of earlier replies are skipped and
-    /// counted as stray.
+    /// Reads until the reply to the call arrives. Replies to other requests and copies of earlier replies are skipped
+    /// and counted as stray.
     fn read_reply(&self, link: &mut LinkReader, ask: &Ask) -> Result<Reply, End> {
         link.set_deadline(ask.deadline());
         let mut parser = ReplyParser::default();
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -78,7 +78,7 @@
             handle,
             attempt,
             fresh,
-            earlier: Arc::from([]),
+            earlier_replies: Arc::from([]),
             timeout,
             body: [b'x'].into(),
             route,
@@ -244,8 +244,8 @@
 const REQUEST: &str = "00000000000000aa";
 const OTHER_REQUEST: &str = "00000000000000bb";
 
-/// Makes two calls of a request and returns the reply to the second one. The first call is answered on a connection of its
-/// own; `later_scripts` are those of the later connections.
+/// Makes two calls of a request and returns the reply to the second one. The first call is answered on a connection of
+/// its own; `later_scripts` are those of the later connections.
 fn reply_to_second_call(later_scripts: &[fn(&mut Scripted)], results: Vec<RouteDecision>) -> Option<Bytes> {
     fn first(side: &mut Scripted) {
         side.read_ask().unwrap();
@@ -258,9 +258,9 @@
     let mut last = None;
     for attempt in [1, 2] {
         let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
-        let earlier = last.iter().map(|reply: &Bytes| ReplyDigest::of(reply)).collect();
+        let earlier_replies = last.iter().map(|reply: &Bytes| ReplyDigest::of(reply)).collect();
         let (timeout, body) = (TIMEOUT, [b'x'].into());
-        link.send(Order::Ask { handle, attempt, fresh: true, earlier, timeout, body, route });
+        link.send(Order::Ask { handle, attempt, fresh: true, earlier_replies, timeout, body, route });
         last = loop {
             match inbox.recv_timeout(TIMEOUT) {
                 Ok(Input::CallEnded { reply, .. }) => break reply,
@@ -328,8 +328,8 @@
     );
     let link = Link::start(&hub);
     let (handle, route) = (REQUEST.parse().unwrap(), Some(Box::default()));
-    let (earlier, body) = (Arc::from([]), [b'x'].into());
-    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier, timeout: TIMEOUT, body, route });
+    let (earlier_replies, body) = (Arc::from([]), [b'x'].into());
+    link.send(Order::Ask { handle, attempt: 1, fresh: true, earlier_replies, timeout: TIMEOUT, body, route });
     let mut strays = 0;
     loop {
         match inbox.recv_timeout(TIMEOUT) {
@@ -350,9 +350,9 @@
     }
     let (hub, inbox) = test_hub(None, Some(scripted(vec![then])));
     let link = Link::start(&hub);
-    let (handle, earlier) = (REQUEST.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
+    let (handle, earlier_replies) = (REQUEST.parse().unwrap(), Arc::from([ReplyDigest::of(b"one")]));
     let (timeout, body) = (Duration::from_millis(300), [b'x'].into());
-    link.send(Order::Ask { handle, attempt: 2, fresh: true, earlier, timeout, body, route: None });
+    link.send(Order::Ask { handle, attempt: 2, fresh: true, earlier_replies, timeout, body, route: None });
     assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::StrayReply)));
     assert!(matches!(inbox.recv_timeout(TIMEOUT), Ok(Input::CallEnded { end: End::Overdue, .. })));
 }
--- a/src/net/vault/wire.rs
+++ b/src/net/vault/wire.rs
@@ -19,8 +19,8 @@
 }
 
 impl ReplyParser {
-    /// Returns the next reply: the request, how the call ended, and the body if it succeeded. Returns `None` if no complete
-    /// reply has arrived yet.
+    /// Returns the next reply: the request, how the call ended, and the body if it succeeded. Returns `None` if no
+    /// complete reply has arrived yet.
     pub fn next_reply(
         &mut self,
         lines: &mut LineDecoder,
@@ -50,9 +50,9 @@
     }
 }
 
-/// Encodes a call. If the fleet's routes have been activated, the call carries a fourth field, `TURN.VERSION`: a service
-/// that supports it refuses calls of a lower turn than it has seen, with `ID stale`. Without routes, and before the first
-/// activation, this field is left out.
+/// Encodes a call. If the fleet's routes have been activated, the call carries a fourth field, `TURN.VERSION`: a
+/// service that supports it refuses calls of a lower turn than it has seen, with `ID stale`. Without routes, and before
+/// the first activation, this field is left out.
 pub fn encode_ask(handle: Handle, timeout: Duration, body: &[u8], fence: Option<Fence>) -> Vec<u8> {
     let ms = timeout.as_millis().max(1);
     let fence = fence.filter(|f| f.turn > 0).map_or(String::new(), |f| format!(" {}.{}", f.turn, f.version));
--- a/tests/core/calls.rs
+++ b/tests/core/calls.rs
@@ -17,7 +17,7 @@
 /// The last attempt, and the digests of the earlier replies whose copies it ignores.
 fn last_call(bench: &Bench) -> (u32, Vec<ReplyDigest>) {
     let call = |effect: &Effect| match effect {
-        Effect::Call { attempt, earlier, .. } => Some((*attempt, earlier.to_vec())),
+        Effect::Call { attempt, earlier_replies, .. } => Some((*attempt, earlier_replies.to_vec())),
         _ => None,
     };
     bench.effects.iter().rev().find_map(call).expect("a call")
