--- a/src/core/delivery/mod.rs
+++ b/src/core/delivery/mod.rs
@@ -45,9 +45,8 @@
         self.agent_link.connection = Connection::Direct;
     }
 
-    /// Sends a command on the current link. All commands are sent here. Returns the link and the number of the
-    /// command, or `None`
-    /// if there is no link.
+    /// Sends a command on the current link. All commands are sent here. Returns the link and the number of the command,
+    /// or `None` if there is no link.
     pub(super) fn send_command(&mut self, command: Command) -> Option<(LinkId, u64)> {
         let (link, number) = match &mut self.agent_link.connection {
             Connection::Down => {
--- a/src/fleet/membership/mod.rs
+++ b/src/fleet/membership/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! This module adds to foca: an envelope by which foreign datagrams are recognized, the local health score that
 //! lengthens probes and suspicions of a slow member (timers are lengthened when foca sets them), Lifeguard's buddy
-//! system, timers postponed after a stop of the process, metadata (who drains or left), and rejoining after a partition.
+//! system, timers postponed after a stop of the process, metadata (who drains or left), and rejoins after partitions.
 
 pub mod disagreement;
 mod metadata;
--- a/src/fleet/record/election.rs
+++ b/src/fleet/record/election.rs
@@ -2,9 +2,9 @@
 //!
 //! openraft draws a voter's election timeout once per process and compares it with the time on a tick of one and a half
 //! heartbeats. Two voters whose timeouts end in the same tick become candidates together in every term: each votes for
-//! itself, and nobody is elected. Raft requires a new random timeout for each election (Ongaro and Ousterhout, "In Search
-//! of an Understandable Consensus Algorithm", 2014, section 5.2), so [`retry_elections`] draws and times a candidate's
-//! next attempt. The first election after a leader became silent is still started by openraft.
+//! itself, and nobody is elected. Raft requires a new random timeout for each election (Ongaro and Ousterhout, "In
+//! Search of an Understandable Consensus Algorithm", 2014, section 5.2), so [`retry_elections`] draws and times a
+//! candidate's next attempt. The first election after a leader became silent is still started by openraft.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -65,8 +65,8 @@
     metrics.wait_for(ended).await.ok().map(|_| ())
 }
 
-/// Starts a new election after a newly drawn time whenever an election ended without a leader. Returns when the record is
-/// closed. Only for a record with several voters.
+/// Starts a new election after a newly drawn time whenever an election ended without a leader. Returns when the record
+/// is closed. Only for a record with several voters.
 pub(super) async fn retry_elections(
     raft: Raft<Types>,
     election: (Duration, Duration),
--- a/src/fleet/record/log.rs
+++ b/src/fleet/record/log.rs
@@ -93,8 +93,8 @@
 
     async fn read_vote(&mut self) -> Result<Option<Vote<NodeId>>> {
         let vote = run_blocking(&self.0, (ErrorSubject::Vote, ErrorVerb::Read), Store::vote).await?;
-        // openraft reads the vote once, at the start. It would let a former leader continue to lead in its term. But the
-        // times of a term are on the clock of the process that was elected in it, so this process has to be elected
+        // openraft reads the vote once, at the start. It would let a former leader continue to lead in its term. But
+        // the times of a term are on the clock of the process that was elected in it, so this process has to be elected
         // again in a later term.
         let own_node = self.0.node();
         Ok(vote.map(|vote| match vote.committed && vote.leader_id.voted_for() == Some(own_node) {
@@ -137,8 +137,8 @@
 /// The number of applied entries, and the resulting state.
 pub type AppliedState = (u64, Arc<State>);
 
-/// The state machine of the log. The store does not hold its state, only snapshots: a restart restores the last snapshot
-/// and applies the log up to the last entry that was known to be committed.
+/// The state machine of the log. The store does not hold its state, only snapshots: a restart restores the last
+/// snapshot and applies the log up to the last entry that was known to be committed.
 pub struct StateMachine {
     store: Arc<Store>,
     published: watch::Sender<AppliedState>,
--- a/src/fleet/record/mark.rs
+++ b/src/fleet/record/mark.rs
@@ -1,11 +1,11 @@
 //! The high-water mark: a file beside the store with the number of the last write that may have been acknowledged to
 //! other voters. `redb` falls back to the previous write if the last one is damaged, as it must after a crash. Without
-//! the mark, acknowledged writes could be lost silently and a voter could vote twice in a term. A store whose last write
-//! has a lower number than its mark is rejected.
+//! the mark, acknowledged writes could be lost silently and a voter could vote twice in a term. A store whose last
+//! write has a lower number than its mark is rejected.
 //!
-//! The file has two slots that are written alternately, each with a number and its checksum, so that a torn write leaves
-//! the other slot intact. The store always holds the marked write, because the mark is written after the store and
-//! before anything is acknowledged.
+//! The file has two slots that are written alternately, each with a number and its checksum, so that a torn write
+//! leaves the other slot intact. The store always holds the marked write, because the mark is written after the store
+//! and before anything is acknowledged.
 
 use std::io::ErrorKind;
 use std::path::Path;
--- a/src/fleet/record/mod.rs
+++ b/src/fleet/record/mod.rs
@@ -1,8 +1,8 @@
 //! The record: the fleet's replicated log, which the voters keep. It runs `openraft` over [`wire`](super::wire) on a
 //! store in the operator's folder that is synced before anything is acknowledged. `docs/record.md` compares the
-//! alternatives and has the page for operators. [`Record`] is a voter's handle, [`Standing`] its view of leader and term,
-//! [`Seat`] its role and [`RecordError`] what can go wrong at its start. All of this must be called within one tokio
-//! runtime, which it never blocks.
+//! alternatives and has the page for operators. [`Record`] is a voter's handle, [`Standing`] its view of leader and
+//! term, [`Seat`] its role and [`RecordError`] what can go wrong at its start. All of this must be called within one
+//! tokio runtime, which it never blocks.
 //!
 //! A store gets a random number when it is created. A voter that lost its folder comes back with another number and
 //! does not vote until [`Record::admit`] replaces the earlier number: so no voter votes twice in a term.
@@ -190,8 +190,8 @@
     /// voters have answered with a new store.
     ///
     /// # Errors
-    /// Returns a [`RecordError`]. After [`RecordError::InUse`] a later attempt may succeed: a predecessor keeps the store
-    /// open until its [`Record::close`].
+    /// Returns a [`RecordError`]. After [`RecordError::InUse`] a later attempt may succeed: a predecessor keeps the
+    /// store open until its [`Record::close`].
     pub async fn open(options: Options, clients: BTreeMap<String, Client>) -> Result<Self, RecordError> {
         let config = options.raft_config()?;
         let (folder, fleet, name) = (options.folder.clone(), options.fleet.clone(), options.name.clone());
@@ -306,13 +306,14 @@
     /// Returns the term in which this voter is the leader, once a majority of the voters, including this one, has
     /// answered a message that was sent after the call began. So no other leader had been elected when the call began.
     ///
-    /// This relies on `handle_check_is_leader_request` of openraft 0.9 (core/raft_core.rs), behind `get_read_log_id`. The
-    /// core takes the request from its queue and sends each other voter an empty AppendEntries under its own vote, on a
-    /// client of its own and not from a cache or lease. It replies once the voters that answered, other than with a
-    /// higher vote, are a quorum of the effective membership (of both in a joint one). A voter that answers has not seen
-    /// a higher vote by then, and a later leader needs the vote of one of them. Each message names the store that it is
-    /// for, so that a new store does not answer for a lost one. The vote is read before and after through the same queue:
-    /// votes only grow, so an equal vote means that the check was made under it. A single voter has no other to ask.
+    /// This relies on `handle_check_is_leader_request` of openraft 0.9 (core/raft_core.rs), behind `get_read_log_id`.
+    /// The core takes the request from its queue and sends each other voter an empty AppendEntries under its own vote,
+    /// on a client of its own and not from a cache or lease. It replies once the voters that answered, other than with
+    /// a higher vote, are a quorum of the effective membership (of both in a joint one). A voter that answers has not
+    /// seen a higher vote by then, and a later leader needs the vote of one of them. Each message names the store that
+    /// it is for, so that a new store does not answer for a lost one. The vote is read before and after through the
+    /// same queue: votes only grow, so an equal vote means that the check was made under it. A single voter has no
+    /// other to ask.
     ///
     /// # Errors
     /// Returns a [`ConfirmError`].
@@ -388,8 +389,8 @@
         Hello { node: Some(self.node()), initialized, voters, named, term, leader: self.leader() }
     }
 
-    /// Replaces the earlier store of the voter `name` by the one that it has now. Only the leader can do this. Admitting
-    /// the same store again is harmless and completes an interrupted admission.
+    /// Replaces the earlier store of the voter `name` by the one that it has now. Only the leader can do this.
+    /// Admitting the same store again is harmless and completes an interrupted admission.
     ///
     /// # Errors
     /// Returns an [`AdmitError`].
--- a/src/fleet/record/store.rs
+++ b/src/fleet/record/store.rs
@@ -1,5 +1,6 @@
-//! The voter's [`Store`]: a `redb` file with its identity, vote, log and snapshot. Each write is synced and then recorded
-//! in the [high-water mark](super::mark) before it returns. All calls block: make them from a thread that may block.
+//! The voter's [`Store`]: a `redb` file with its identity, vote, log and snapshot. Each write is synced and then
+//! recorded in the [high-water mark](super::mark) before it returns. All calls block: make them from a thread that may
+//! block.
 
 use std::io::ErrorKind;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -152,8 +153,8 @@
     /// Opens the store of a voter in its folder, or creates one with the number `new_node` in an empty folder.
     ///
     /// # Errors
-    /// Returns a [`RecordError`] for a folder or store that cannot be used. No new store is created in place of a damaged
-    /// one.
+    /// Returns a [`RecordError`] for a folder or store that cannot be used. No new store is created in place of a
+    /// damaged one.
     pub fn open(folder: &Path, fleet: &str, name: &str, new_node: NodeId) -> Result<Self, RecordError> {
         Self::open_on(&Disk::Files, folder, fleet, name, new_node)
     }
@@ -213,8 +214,8 @@
                 });
             }
             // After a kill between the write and the mark, the store may be ahead of its mark. The mark advances now,
-            // because other voters rely on what the store holds without a further write: an entry in it acknowledges the
-            // leader's next message.
+            // because other voters rely on what the store holds without a further write: an entry in it acknowledges
+            // the leader's next message.
             OpenedMark::Valid(mut opened_mark) => {
                 opened_mark.advance_to(last_write).map_err(|error| io_error(&mark_file, error))?;
                 opened_mark
@@ -354,8 +355,8 @@
         self.with_database(|database| read_snapshot(&database.begin_read()?.open_table(META)?))
     }
 
-    /// Replaces the stored snapshot, unless that one includes later entries: while a snapshot is built here, a later one
-    /// may arrive from the leader, and the log is purged up to that one.
+    /// Replaces the stored snapshot, unless that one includes later entries: while a snapshot is built here, a later
+    /// one may arrive from the leader, and the log is purged up to that one.
     pub fn save_snapshot(&self, meta: &SnapshotMeta<NodeId, Voter>, data: &[u8]) -> Result<()> {
         self.write(|transaction| {
             let mut table = transaction.open_table(META)?;
--- a/src/net/agent/link_manager.rs
+++ b/src/net/agent/link_manager.rs
@@ -1,5 +1,5 @@
-//! The link manager: opens the link to the agent, writes commands on it, moves it to another address when the configuration
-//! changes, and reports its end to the reducer.
+//! The link manager: opens the link to the agent, writes commands on it, moves it to another address when the
+//! configuration changes, and reports its end to the reducer.
 //!
 //! It runs in one coroutine and handles [`LinkEvent`]s. Each link has a second coroutine that reads notices.
 
@@ -218,14 +218,14 @@
         self.report_end(link, LinkEnd::Broken { end: ended.end, written: link.last_written });
     }
 
-    /// Reports to the reducer how a link ended. It does not wait for room in the inbox, so that no notice of the next link
-    /// can arrive before the report.
+    /// Reports to the reducer how a link ended. It does not wait for room in the inbox, so that no notice of the next
+    /// link can arrive before the report.
     fn report_end(&self, link: &OpenLink, end: LinkEnd) {
         self.hub.push_nonblocking(Input::Agent { link: link.id, notice: Notice::Closed(end) });
     }
 
-    /// If the configuration now names another address, starts a coroutine that connects to it while the link stays in use:
-    /// commands must not wait for an address that does not answer.
+    /// If the configuration now names another address, starts a coroutine that connects to it while the link stays in
+    /// use: commands must not wait for an address that does not answer.
     fn connect_replacement(&self, link: &mut OpenLink) {
         let (hub, current, id) = (self.hub.clone(), link.address, link.id);
         let new_address = move || hub.links().agent.filter(|address| *address != current);
@@ -247,9 +247,9 @@
         });
     }
 
-    /// Closes a link before it moves. The agent acknowledges that it has read every command on the link, so that none is in
-    /// doubt, and all its notices are read. Commands for this link that are queued in the meantime are dropped. If the
-    /// agent does not acknowledge in time, the link counts as broken.
+    /// Closes a link before it moves. The agent acknowledges that it has read every command on the link, so that none
+    /// is in doubt, and all its notices are read. Commands for this link that are queued in the meantime are dropped.
+    /// If the agent does not acknowledge in time, the link counts as broken.
     fn close_cleanly(&mut self, mut link: OpenLink, mut out: String) {
         encode_move(link.id, &mut out);
         link.conn.set_write_timeout(MOVE_TIMEOUT);
--- a/src/net/agent/mod.rs
+++ b/src/net/agent/mod.rs
@@ -1,9 +1,9 @@
 //! The link to the render farm agent: JSON lines over TCP, in both directions.
 //!
-//! When a link breaks, the link manager opens a new one. Links are numbered. Each command names the link that it is meant
-//! for and is never written on another one; each notice is passed to the reducer with the number of the link that it was
-//! read from. Notices carry numbers (cursors) that continue over all links, so that a new link can resume after the last
-//! notice read and each notice is passed on once.
+//! When a link breaks, the link manager opens a new one. Links are numbered. Each command names the link that it is
+//! meant for and is never written on another one; each notice is passed to the reducer with the number of the link that
+//! it was read from. Notices carry numbers (cursors) that continue over all links, so that a new link can resume after
+//! the last notice read and each notice is passed on once.
 
 mod link_manager;
 mod reader;
--- a/src/net/agent/reader.rs
+++ b/src/net/agent/reader.rs
@@ -26,8 +26,8 @@
     /// Reads notices until the link ends, and passes them to the reducer. `move_acknowledged` is called when the agent
     /// acknowledges that it has read everything on this link.
     ///
-    /// An unreadable notice ends the link, because it may arrive intact on the next one. If it is unreadable there too, the
-    /// agent itself produced it, and it is skipped: otherwise no later notice would ever be read.
+    /// An unreadable notice ends the link, because it may arrive intact on the next one. If it is unreadable there too,
+    /// the agent itself produced it, and it is skipped: otherwise no later notice would ever be read.
     pub(super) fn read_notices(&self, reads: &mut LinkReader, move_acknowledged: impl Fn()) -> End {
         loop {
             match next_notice(&mut reads.lines, &self.cursor) {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether an unreadable notice is to be skipped, because the previous link ended on the same one. A line that is too
-    /// long or not UTF-8 is never skipped.
+    /// Whether an unreadable notice is to be skipped, because the previous link ended on the same one. A line that is
+    /// too long or not UTF-8 is never skipped.
     fn should_skip(&self, error: &NoticeError) -> bool {
         let last_read = Some(self.cursor.load(Ordering::Acquire));
         let is_repeated =
@@ -69,8 +69,8 @@
 }
 
 /// Returns the next notice that is relevant here and was not read before, or `None` if no complete one has arrived yet.
-/// `cursor` is the number of the last notice read over all links: a notice with a number up to `cursor` is a repetition,
-/// whether it came on this link or on an earlier one, and is skipped.
+/// `cursor` is the number of the last notice read over all links: a notice with a number up to `cursor` is a
+/// repetition, whether it came on this link or on an earlier one, and is skipped.
 pub fn next_notice(lines: &mut LineDecoder, cursor: &AtomicU64) -> Result<Option<Notice>, NoticeError> {
     while let Some(line) = lines.next_line().map_err(|_| NoticeError::UnreadableLine)? {
         let (number, notice) = parse(&line)?;
--- a/src/net/agent/tests.rs
+++ b/src/net/agent/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent link together with the reducer, against a scripted agent. Each test decides when the reducer processes
-//! the inputs in its inbox.
+//! Tests of the agent link together with the reducer, against a scripted agent. Each test decides when the reducer
+//! processes the inputs in its inbox.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -223,8 +223,8 @@
     #[case] key: Option<&str>,
     #[values(1, 2, 3)] brief_links: usize,
 ) {
-    // Guards against a reply that reaches the next call: after the report of one lost link, commands passed although another
-    // link had been lost since.
+    // Guards against a reply that reaches the next call: after the report of one lost link, commands passed although
+    // another link had been lost since.
     let mut bench = Bench::start();
     bench.start_run_at_call(class, key).close();
     let mut unread = vec![bench.link_end()];
@@ -259,8 +259,8 @@
 
 #[test]
 fn a_request_that_must_run_once_is_launched_once_if_links_end_before_the_reducer_learns_of_it() {
-    // Guards against a second run: after the report of one lost link, commands passed although another link had been lost
-    // since.
+    // Guards against a second run: after the report of one lost link, commands passed although another link had been
+    // lost since.
     let mut bench = Bench::start();
     bench.open_first_link().close();
     let first = bench.link_end();
@@ -277,8 +277,8 @@
 
 #[test]
 fn the_last_marker_of_one_link_differs_from_that_of_the_next() {
-    // Guards against a link that moves while commands on it are unread, because the late answer to an earlier link's marker
-    // is taken for an answer to its own.
+    // Guards against a link that moves while commands on it are unread, because the late answer to an earlier link's
+    // marker is taken for an answer to its own.
     let mut bench = Bench::start();
     let mut agent = bench.open_first_link();
     let mut markers = Vec::new();
--- a/src/net/agent/wire.rs
+++ b/src/net/agent/wire.rs
@@ -14,8 +14,8 @@
 /// Ticket prefix of a sample that serves as a marker between notices: all notices before its answer have been read. The
 /// number of the link follows.
 const SYNC_TICKET: &str = "sync-";
-/// Ticket prefix of a sample that serves as a marker between commands: its answer acknowledges all commands before it. The
-/// number of the link and the number of the marker follow.
+/// Ticket prefix of a sample that serves as a marker between commands: its answer acknowledges all commands before it.
+/// The number of the link and the number of the marker follow.
 const ACKNOWLEDGE_TICKET: &str = "ack-";
 /// Ticket prefix of the last sample on a link that is about to move. The number of the link follows.
 const MOVE_TICKET: &str = "move-";
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -1,5 +1,5 @@
-//! Connects the fleet's routes to the serving path: [`Router`] is the interface to them, which the vault link asks for the
-//! route of each call, and `start` keeps the reducer informed of the route state and the call limits of each class.
+//! Connects the fleet's routes to the serving path: [`Router`] is the interface to them, which the vault link asks for
+//! the route of each call, and `start` keeps the reducer informed of the route state and the call limits of each class.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::Receiver;
@@ -25,7 +25,8 @@
     fn route(&self, call: &Call) -> RouteDecision;
     /// The route state of each named class, in the given order.
     fn route_states(&self, classes: &[String]) -> Vec<routing::RouteState>;
-    /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no table.
+    /// The call limits of the routes in force, and their fence. `None` if that fence is `known`, or if there is no
+    /// table.
     fn call_limits(&self, known: Option<Fence>) -> Option<(Fence, Vec<RouteLimits>)>;
     /// Whether the active version is known, its table is present, and the lease holds.
     fn ready(&self) -> bool;
@@ -84,14 +85,15 @@
     classes.iter().cloned().zip(states).collect()
 }
 
-/// Reports the route states and the call limits to the reducer: once immediately, so that it has them before any request is
-/// read, and then on every change.
+/// Reports the route states and the call limits to the reducer: once immediately, so that it has them before any
+/// request is read, and then on every change.
 pub(super) fn start(hub: &Arc<Hub>) {
     let Some(router) = hub.routing.clone() else { return };
     let hub = hub.clone();
     let report_states = move |hub: &Hub, states: &Vec<(String, RouteState)>| {
         hub.push(Input::RouteStates(states.clone()));
-        // The order matters: a request that is read after a readiness check succeeded is behind these states in the inbox.
+        // The order matters: a request that is read after a readiness check succeeded is behind these states in the
+        // inbox.
         hub.calls_blocked
             .store(states.iter().any(|(_, state)| *state != RouteState::Open), Ordering::Release);
     };
@@ -121,8 +123,8 @@
     hub.routing.as_ref().is_none_or(|router| router.ready() && !hub.calls_blocked.load(Ordering::Acquire))
 }
 
-/// Calls `action` as soon as calls may be made here, or after [`READY_TIMEOUT`]; immediately if the fleet does not route
-/// calls.
+/// Calls `action` as soon as calls may be made here, or after [`READY_TIMEOUT`]; immediately if the fleet does not
+/// route calls.
 pub(super) fn when_ready(hub: &Arc<Hub>, action: impl FnOnce() + Send + 'static) {
     if hub.routing.is_none() {
         return action();
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,10 +1,10 @@
 //! The program's clock: a monotonic time since the Unix epoch, and its relation to the wall clock.
 //!
-//! Deadlines, windows and graces are measured on the system's monotonic clock. Clients and other processes state times of
-//! the wall clock (stamps), which may be stepped at any moment. So [`WallClock`] records each step and when it happened, and
-//! a stamp is converted with the offset that the wall clock had when the stamp was made: a stamp made after a step cannot
-//! come from the clock before it. A client's stamp that does so nevertheless shows that the clients' clock was not stepped.
-//! [`Clock`] reads the two clocks and applies this.
+//! Deadlines, windows and graces are measured on the system's monotonic clock. Clients and other processes state times
+//! of the wall clock (stamps), which may be stepped at any moment. So [`WallClock`] records each step and when it
+//! happened, and a stamp is converted with the offset that the wall clock had when the stamp was made: a stamp made
+//! after a step cannot come from the clock before it. A client's stamp that does so nevertheless shows that the
+//! clients' clock was not stepped. [`Clock`] reads the two clocks and applies this.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,8 @@
 
 /// A smaller difference is not a step: the two clocks are read one after the other, and the wall clock is slewed.
 const MIN_STEP_US: i64 = 10_000;
-/// The allowed uncertainty of a reading of the wall clock. If the thread was delayed for longer, the reading is repeated.
+/// The allowed uncertainty of a reading of the wall clock. If the thread was delayed for longer, the reading is
+/// repeated.
 const MAX_READING_ERROR: Duration = Duration::from_millis(1);
 /// How often a reading is attempted.
 const MAX_READINGS: usize = 8;
@@ -100,8 +101,8 @@
         from_micros(micros(stamp).saturating_sub(newest.offset_us)).min(now)
     }
 
-    /// Converts a stamp that was made after the last step by a clock which did not take part in it. Such a stamp shows that
-    /// the clients' clock was not stepped, so the step is removed from the clients' epochs.
+    /// Converts a stamp that was made after the last step by a clock which did not take part in it. Such a stamp shows
+    /// that the clients' clock was not stepped, so the step is removed from the clients' epochs.
     fn resolve_past_unstepped(&mut self, stamp: Duration, newest: Epoch, now: Duration) -> Option<Duration> {
         let earlier = self.client_epochs.len().checked_sub(1)?;
         for index in (0..earlier).rev() {
@@ -114,8 +115,8 @@
         None
     }
 
-    /// Converts a stamp of a future moment, which another process has just sent, to the time of this clock. The wall clock
-    /// may have been stepped in between; of the possible times, the latest is returned.
+    /// Converts a stamp of a future moment, which another process has just sent, to the time of this clock. The wall
+    /// clock may have been stepped in between; of the possible times, the latest is returned.
     pub fn resolve_future(&self, stamp: Duration, now: Duration) -> Duration {
         let mut latest = None;
         let mut end = now;
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -11,9 +11,9 @@
 
 use super::{spawn, Hub};
 
-/// Interval between two reports. The control plane's entry for this server expires three seconds after the last report that
-/// arrives, and a quarter of the reports may be lost: at an interval of 700 ms, four losses in a row were enough for that,
-/// and they occurred every day.
+/// Interval between two reports. The control plane's entry for this server expires three seconds after the last report
+/// that arrives, and a quarter of the reports may be lost: at an interval of 700 ms, four losses in a row were enough
+/// for that, and they occurred every day.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Starts the coroutine that sends reports for as long as the process runs.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,13 +1,13 @@
-//! The handover link between the running process of a matcher (the predecessor) and a new process that takes over from it
-//! (the successor): text lines on a Unix socket.
+//! The handover link between the running process of a matcher (the predecessor) and a new process that takes over from
+//! it (the successor): text lines on a Unix socket.
 //!
 //! Over this link the predecessor passes its keys, and forwards the requests that still reach it; the successor returns
 //! their answers. The predecessor calls `listen_for_successor`, the successor `connect_to_predecessor`; both get a
 //! `PeerProcess` to send [`HandoverMessage`]s to. What arrives is parsed as a [`ReceivedMessage`] and passed to the
 //! reducer.
 //!
-//! The link exists for seconds, and a peer process that reads nothing must not block the reducer. So the link has threads of
-//! its own and a bounded queue. When the queue is full the link is closed, which both processes handle.
+//! The link exists for seconds, and a peer process that reads nothing must not block the reducer. So the link has
+//! threads of its own and a bounded queue. When the queue is full the link is closed, which both processes handle.
 
 use std::collections::HashMap;
 use std::io::{self, BufWriter, Write};
@@ -132,8 +132,8 @@
             };
             match parse(&line) {
                 Some(ReceivedMessage::Succession(event)) => {
-                    // If operators put the predecessor on standby, this process is on standby too. The fleet has to learn
-                    // that for the new incarnation.
+                    // If operators put the predecessor on standby, this process is on standby too. The fleet has to
+                    // learn that for the new incarnation.
                     if let (Succession::KeysComplete { standby: true }, Some(fleet)) = (&event, &hub.fleet) {
                         fleet.draining(true);
                     }
@@ -203,9 +203,9 @@
     !state.is_some_and(|state| state.starts_with(['Z', 'X']))
 }
 
-/// Called when the link has ended: waits until the peer process has exited, then reports `exited` to the reducer. If the
-/// link broke while both processes live, as it can when one of them was stopped for long, `disconnected` is reported first:
-/// two processes must not decide at the same time.
+/// Called when the link has ended: waits until the peer process has exited, then reports `exited` to the reducer. If
+/// the link broke while both processes live, as it can when one of them was stopped for long, `disconnected` is
+/// reported first: two processes must not decide at the same time.
 fn wait_for_exit(peer: Option<i32>, hub: &Hub, disconnected: Succession, exited: Succession) {
     let since = Instant::now();
     let mut disconnected = Some(disconnected);
@@ -221,8 +221,8 @@
     hub.push(Input::Succession(exited));
 }
 
-/// Maps "address not available" to an error that is retried: a Unix socket needs no such address, so the system's report is
-/// temporary.
+/// Maps "address not available" to an error that is retried: a Unix socket needs no such address, so the system's
+/// report is temporary.
 fn as_transient(e: io::Error) -> io::Error {
     match e.kind() {
         io::ErrorKind::AddrNotAvailable => Errno::ENOBUFS.into(),
@@ -240,8 +240,8 @@
         predecessor.open(stream)?;
         let (predecessor, hub) = (predecessor.clone(), hub.clone());
         let read = move || {
-            // This must precede any report that the predecessor has ended. Otherwise this process would believe for good
-            // that the predecessor is running.
+            // This must precede any report that the predecessor has ended. Otherwise this process would believe for
+            // good that the predecessor is running.
             hub.push(Input::Succession(Succession::PredecessorRunning));
             let pid = peer_pid(&reads);
             predecessor.read_messages(reads, &hub);
@@ -262,8 +262,8 @@
     Ok(listener)
 }
 
-/// Whether no process listens at this path. The check does not disturb a listener: it connects a socket of another type,
-/// which the system refuses, with another error than if nobody listens.
+/// Whether no process listens at this path. The check does not disturb a listener: it connects a socket of another
+/// type, which the system refuses, with another error than if nobody listens.
 fn is_stale(path: &Path) -> bool {
     let connected = UnixDatagram::unbound().and_then(|socket| socket.connect(path));
     connected.is_err_and(|e| matches!(e.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound))
@@ -287,13 +287,14 @@
                     let pid = peer_pid(&reads);
                     peer.read_messages(reads, &hub);
                     wait_for_exit(pid, &hub, Succession::SuccessorDisconnected, Succession::SuccessorExited);
-                    // Until the reducer has processed the exit, it may still send messages that are meant for the exited
-                    // successor. They must not reach the next one.
+                    // Until the reducer has processed the exit, it may still send messages that are meant for the
+                    // exited successor. They must not reach the next one.
                     hub.wait_for_reducer();
                 }
                 Err(e) => warn!("cannot open the handover link to the new process: {e}"),
             }
-            // The exited successor may have bound its own socket at this path. Then no other process would find this one.
+            // The exited successor may have bound its own socket at this path. Then no other process would find this
+            // one.
             if is_stale(&path) {
                 match bind(&path) {
                     Ok(rebound) => listener = rebound,
@@ -330,8 +331,8 @@
             Self::Request(r) => {
                 let micros = |t: Option<Duration>| t.map_or("-".to_string(), |t| t.as_micros().to_string());
                 let (timeout, cost) = (micros(r.timeout), micros(r.cost));
-                // The name of the object is appended only if there is one: a process of a version that does not know this
-                // field can then still read the other requests.
+                // The name of the object is appended only if there is one: a process of a version that does not know
+                // this field can then still read the other requests.
                 let object = r
                     .object
                     .as_ref()
@@ -423,8 +424,8 @@
                 answer: Answer { verdict, signal, close: true },
             }
         }
-        // A process of a version without tenants and costs leaves out these fields. One of a version that does not pass on
-        // the object's name only states whether there is one.
+        // A process of a version without tenants and costs leaves out these fields. One of a version that does not pass
+        // on the object's name only states whether there is one.
         ["request", conn, handle, class, start, timeout, caller, size_kb, rank, key, object, body, ref more @ ..] =>
         {
             let (tenant, cost, object_name) = match *more {
@@ -478,7 +479,8 @@
 
     #[test]
     fn a_running_predecessor_is_reported_before_its_messages_and_its_exit() {
-        // Guards against a successor that uses only half of its share for good because its predecessor exited immediately.
+        // Guards against a successor that uses only half of its share for good because its predecessor exited
+        // immediately.
         let path = std::env::temp_dir().join(format!("hopwalk-find-{}.sock", std::process::id()));
         let _ = std::fs::remove_file(&path);
         let listener = UnixListener::bind(&path).unwrap();
--- a/src/net/handshake_filter.rs
+++ b/src/net/handshake_filter.rs
@@ -1,8 +1,8 @@
 //! Keeps new TCP handshakes away from a listener that is about to close, while handshakes that have begun complete.
 //!
-//! When a listener closes, the system resets the connections in its backlog. So no connection may enter the backlog between
-//! the last check of the backlog and the close: new handshakes are dropped, or directed to another listener of the same
-//! address.
+//! When a listener closes, the system resets the connections in its backlog. So no connection may enter the backlog
+//! between the last check of the backlog and the close: new handshakes are dropped, or directed to another listener of
+//! the same address.
 
 use std::io;
 use std::os::fd::AsFd;
@@ -18,8 +18,8 @@
 /// Return values of a filter: the length to which the packet is truncated.
 const PASS: u32 = u32::MAX;
 const DROP: u32 = 0;
-/// The index of a successor's listener among the listeners of one address: the system keeps them in the order in which they
-/// began to listen, and there are at most two.
+/// The index of a successor's listener among the listeners of one address: the system keeps them in the order in which
+/// they began to listen, and there are at most two.
 const SUCCESSOR_INDEX: u32 = 1;
 /// An index that no listener has: the system chooses by the addresses of the connection, as it does without a program.
 const NO_INDEX: u32 = u32::MAX;
@@ -57,8 +57,8 @@
     attach_selection(listener, CHOOSE_SUCCESSOR)
 }
 
-/// Directs new handshakes to any listener of the same address. This is needed because a program stays in effect after the
-/// listener that attached it has closed, as long as there is another listener.
+/// Directs new handshakes to any listener of the same address. This is needed because a program stays in effect after
+/// the listener that attached it has closed, as long as there is another listener.
 ///
 /// # Errors
 /// The system's error if it does not support such programs.
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -1,5 +1,5 @@
-//! The hub: the state that the coroutines share with the reducer's thread. It holds the reducer's inbox, the table of client
-//! connections, and the settings and flags that the reducer publishes to the coroutines.
+//! The hub: the state that the coroutines share with the reducer's thread. It holds the reducer's inbox, the table of
+//! client connections, and the settings and flags that the reducer publishes to the coroutines.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -21,8 +21,8 @@
 
 /// How many inputs may be queued for the reducer. Beyond that, senders wait.
 const INBOX_CAPACITY: usize = 4096;
-/// Descriptors reserved for the agent, the vault, runs and calls at SCGI services, files and the runtime. At most half of
-/// all descriptors are reserved.
+/// Descriptors reserved for the agent, the vault, runs and calls at SCGI services, files and the runtime. At most half
+/// of all descriptors are reserved.
 const RESERVED_DESCRIPTORS: usize = 128;
 /// One in so many reserved descriptors is for connections that are closing, or that close after their next answer.
 const SPARE_DIVISOR: usize = 8;
@@ -122,8 +122,8 @@
         hub
     }
 
-    /// Sets the limits that depend on the number of descriptors. During a handover the two processes of a matcher share the
-    /// descriptors, so that each gets half of them.
+    /// Sets the limits that depend on the number of descriptors. During a handover the two processes of a matcher share
+    /// the descriptors, so that each gets half of them.
     pub(super) fn set_descriptor_share(&self, is_shared: bool) {
         let processes = if is_shared { 2 } else { 1 };
         let reserved = RESERVED_DESCRIPTORS.min(self.sockets / 2);
@@ -159,8 +159,8 @@
         let _ = self.inbox.send(input);
     }
 
-    /// Sends a query to the reducer. Returns its ticket and the channel on which the result arrives; the caller removes the
-    /// ticket from the pending queries when it no longer waits.
+    /// Sends a query to the reducer. Returns its ticket and the channel on which the result arrives; the caller removes
+    /// the ticket from the pending queries when it no longer waits.
     pub(super) fn submit_query(&self, query: Query) -> (u64, Receiver<QueryResult>) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let ticket = self.next_query.fetch_add(1, Ordering::Relaxed);
@@ -169,8 +169,8 @@
         (ticket, receiver)
     }
 
-    /// Waits until the reducer has processed all inputs sent before, and their effects have been carried out. Must be called
-    /// from threads only, not from coroutines.
+    /// Waits until the reducer has processed all inputs sent before, and their effects have been carried out. Must be
+    /// called from threads only, not from coroutines.
     pub(super) fn wait_for_reducer(&self) {
         let (ticket, result) = self.submit_query(Query::Status);
         // Receiving fails only while the process is exiting.
@@ -196,8 +196,8 @@
         self.classes.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Admits a new connection to the connection table. Returns its place, with the channel on which its answers arrive, or
-    /// `None` while there is no room.
+    /// Admits a new connection to the connection table. Returns its place, with the channel on which its answers
+    /// arrive, or `None` while there is no room.
     pub(super) fn admit(self: &Arc<Self>, stream: &Conn) -> Option<ConnectionSlot> {
         let conn = self.new_conn();
         let (answer, answers) = co::channel();
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -19,7 +19,8 @@
 /// Interval at which the reducer's answer is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Renders all metrics. Returns `None` if the reducer does not answer within `timeout`. Must be called from a coroutine.
+/// Renders all metrics. Returns `None` if the reducer does not answer within `timeout`. Must be called from a
+/// coroutine.
 pub(super) fn render(hub: &Hub, timeout: Duration) -> Option<String> {
     let (ticket, answer) = hub.submit_query(Query::Counters);
     let since = Instant::now();
--- a/src/net/spawn.rs
+++ b/src/net/spawn.rs
@@ -6,19 +6,19 @@
 use may::coroutine::Builder;
 use may::sync::mpsc::Receiver;
 
-/// Stack size of a coroutine in machine words (64 KiB). Only touched pages use memory, and the coroutines keep their buffers
-/// on the heap.
+/// Stack size of a coroutine in machine words (64 KiB). Only touched pages use memory, and the coroutines keep their
+/// buffers on the heap.
 const STACK_WORDS: usize = 0x2000;
 /// Stack size of a coroutine that runs TLS (512 KiB); a build without optimization uses much of it.
 const LARGE_STACK_WORDS: usize = 0x10000;
-/// The number of threads that run coroutines must be one. The `may` runtime passes a suspended coroutine to the thread that
-/// wakes it, and writes to data of that coroutine (its cancel data, the timer of its read) only afterwards. With two
-/// workers, the other one may have run the coroutine to its end by then, and the write corrupts freed memory
-/// (see docs/lab.md, the crash).
+/// The number of threads that run coroutines must be one. The `may` runtime passes a suspended coroutine to the thread
+/// that wakes it, and writes to data of that coroutine (its cancel data, the timer of its read) only afterwards. With
+/// two workers, the other one may have run the coroutine to its end by then, and the write corrupts freed memory (see
+/// docs/lab.md, the crash).
 ///
 /// The runtime's timer thread also runs coroutines: a coroutine that sleeps, or waits for a message with a timeout, is
-/// resumed there. So all such waits use [`sleep`] and [`recv_timeout`], which move the coroutine to the worker before it
-/// does anything else. Socket timeouts are handled by the worker itself.
+/// resumed there. So all such waits use [`sleep`] and [`recv_timeout`], which move the coroutine to the worker before
+/// it does anything else. Socket timeouts are handled by the worker itself.
 const WORKERS: usize = 1;
 /// How many stacks are kept for reuse. Each has touched a few pages.
 const STACK_POOL_CAPACITY: usize = 128;
@@ -38,7 +38,8 @@
     may::coroutine::yield_now();
 }
 
-/// Waits for the next message for at most `timeout`. The coroutine resumes on the worker thread, whichever thread woke it.
+/// Waits for the next message for at most `timeout`. The coroutine resumes on the worker thread, whichever thread woke
+/// it.
 ///
 /// # Errors
 /// The channel's error.
