--- a/src/fleet/driver/simulated.rs
+++ b/src/fleet/driver/simulated.rs
@@ -62,7 +62,7 @@
     }
 
     /// The member's lease, and the pending switch that it knows of.
-    pub fn promises(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
+    pub fn lease_and_switch(&self) -> (HeldLease, Option<(Turn, TimeWindow)>) {
         self.driver.routing.state().member.lease_and_switch()
     }
 
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallDecision {
     /// The call is made now, with this fence.
-    Go(Fence),
+    Allowed(Fence),
     /// `now` is inside the uncertainty of the switch: decide again at this moment of the member's clock.
     Wait(Duration),
     /// The request is answered from its key, which was run under this fence.
@@ -392,7 +392,7 @@
         };
         match request.tried {
             Some(tried) if tried.turn != fence.turn => CallDecision::Ended(tried),
-            _ => CallDecision::Go(fence),
+            _ => CallDecision::Allowed(fence),
         }
     }
 }
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
     /// The call is made now.
-    Go {
+    Allowed {
         /// The fence that the call carries. Turn 0 stands for the vault of the configuration, before any activation.
         fence: Fence,
         /// Where the call is sent; `None` for the vault of the configuration.
@@ -205,7 +205,7 @@
     /// Routes a call under this fence.
     fn route_under(&mut self, fence: Fence, call: &Call, clock: &Clock) -> RouteDecision {
         if fence.turn == 0 {
-            return RouteDecision::Go { fence, address: None, timeout: None, limits: None };
+            return RouteDecision::Allowed { fence, address: None, timeout: None, limits: None };
         }
         self.routed_calls = self.routed_calls.wrapping_add(1);
         let Self { member, counter, routed_calls, .. } = self;
@@ -227,7 +227,7 @@
         match found {
             Some((address, timeout, limits)) => {
                 let (address, timeout, limits) = (Some(address), Some(timeout), Some(limits));
-                RouteDecision::Go { fence, address, timeout, limits }
+                RouteDecision::Allowed { fence, address, timeout, limits }
             }
             // The class was added to the settings after the table had been checked.
             None => RouteDecision::Barred,
@@ -265,7 +265,7 @@
         let now = self.0.clock.now();
         let decision =
             match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None }) {
-                CallDecision::Go(fence) => state.route_under(fence, call, &self.0.clock),
+                CallDecision::Allowed(fence) => state.route_under(fence, call, &self.0.clock),
                 CallDecision::Wait(at) => {
                     RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
                 }
@@ -395,7 +395,7 @@
     /// The port to which a call is sent.
     fn port(decision: RouteDecision) -> Option<u16> {
         match decision {
-            RouteDecision::Go { address, .. } => address.map(|a| a.port()),
+            RouteDecision::Allowed { address, .. } => address.map(|a| a.port()),
             _ => None,
         }
     }
@@ -410,7 +410,7 @@
         assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
         let configured =
-            RouteDecision::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
+            RouteDecision::Allowed { fence: Fence::default(), address: None, timeout: None, limits: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, configured));
 
         let fence = Fence { turn: 1, version: 1 };
--- a/src/lab/sim/judge.rs
+++ b/src/lab/sim/judge.rs
@@ -213,7 +213,7 @@
         for machine in machines {
             // A clock that is looked at while its process is stopped shows too little.
             let Some(life) = machine.life.as_ref().filter(|life| !life.stopped()) else { continue };
-            let (lease, switch) = life.inside.promises();
+            let (lease, switch) = life.inside.lease_and_switch();
             // Both clocks drift by at most 90 ppm.
             let most = life.now() + left + left / 5000;
             if lease.until() > most && switch.is_none_or(|(knows, _)| knows < turn) {
--- a/src/lab/sim/machine.rs
+++ b/src/lab/sim/machine.rs
@@ -277,7 +277,7 @@
             last_fence,
             limits: None,
         };
-        if let RouteDecision::Go { fence, .. } = routing.route(&call(0, None)) {
+        if let RouteDecision::Allowed { fence, .. } = routing.route(&call(0, None)) {
             seen.acts = Some(fence);
         }
         seen.changed = seen.acts != self.acts;
@@ -295,7 +295,7 @@
             let Some(key) = self.keys.get_mut(&id) else { continue };
             let asked = call(id, key.tried);
             let (over, kind) = match routing.route(&asked) {
-                RouteDecision::Go { fence, address, .. } => {
+                RouteDecision::Allowed { fence, address, .. } => {
                     if let Some(under) = key.under.filter(|under| *under != fence) {
                         seen.two = Some((id, under, fence));
                     }
--- a/src/net/vault/mod.rs
+++ b/src/net/vault/mod.rs
@@ -398,7 +398,7 @@
             lock(self.pool).sent_fences.get(&ask.handle).map(|sent| sent.fence).or(call.last_fence);
         loop {
             match routing.route(call) {
-                RouteDecision::Go { fence, address, timeout, limits } => {
+                RouteDecision::Allowed { fence, address, timeout, limits } => {
                     ask.timeout = timeout.map_or(ask.timeout, |limit| ask.timeout.min(limit));
                     return Ok(Target { fence: Some(fence), address, limits });
                 }
--- a/src/net/vault/tests.rs
+++ b/src/net/vault/tests.rs
@@ -55,7 +55,12 @@
 
 /// A routing result that sends the call to `service`, under this turn.
 fn route_to(turn: u64, service: Option<&Service>) -> RouteDecision {
-    RouteDecision::Go { fence: fence(turn), address: service.map(|s| s.address), timeout: None, limits: None }
+    RouteDecision::Allowed {
+        fence: fence(turn),
+        address: service.map(|s| s.address),
+        timeout: None,
+        limits: None,
+    }
 }
 
 struct Bench {
@@ -174,7 +179,7 @@
     }
     let timeout = Some(Duration::from_millis(30));
     let bench = Bench::new(
-        [RouteDecision::Go { fence: fence(1), address: Some(silent.address), timeout, limits: None }],
+        [RouteDecision::Allowed { fence: fence(1), address: Some(silent.address), timeout, limits: None }],
         None,
     );
     let since = Instant::now();
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -113,7 +113,7 @@
 
 fn turn(driver: &Driver) -> Option<u64> {
     match route(driver) {
-        RouteDecision::Go { fence, .. } => Some(fence.turn),
+        RouteDecision::Allowed { fence, .. } => Some(fence.turn),
         _ => None,
     }
 }
@@ -152,7 +152,7 @@
     }
     println!("all switched {} us after the first", first.unwrap().elapsed().as_micros());
     let address = |driver: &Driver| match route(driver) {
-        RouteDecision::Go { address, .. } => address,
+        RouteDecision::Allowed { address, .. } => address,
         _ => None,
     };
     assert!(fleet.drivers.iter().all(|d| address(d) == fleet.services[0].local_addr().ok()));
@@ -358,7 +358,7 @@
             subject += 1;
             let call =
                 Call { class: "seat".into(), subject: subject.to_le_bytes().into(), ..Call::default() };
-            let RouteDecision::Go { address, .. } = driver.routing().route(&call) else { continue };
+            let RouteDecision::Allowed { address, .. } = driver.routing().route(&call) else { continue };
             let late = address == Some(addresses[0]) && subject.is_multiple_of(5);
             driver.routing().count(&call, if late { Kind::Late } else { Kind::Served });
         }
@@ -372,7 +372,9 @@
     assert!(why.is_some_and(|why| why.starts_with("new won: it served ")), "{shown:#?}");
     println!("winner after {} blocks, {} subjects", end["closed"], subject);
     for driver in &fleet.drivers {
-        assert!(matches!(route(driver), RouteDecision::Go { address, .. } if address == Some(addresses[1])));
+        assert!(
+            matches!(route(driver), RouteDecision::Allowed { address, .. } if address == Some(addresses[1]))
+        );
     }
     let history = fleet.order(2, Order::History).unwrap();
     assert_eq!(history["activations"].as_array().unwrap().len(), 2, "{history:#?}");
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -201,7 +201,7 @@
         let mut turns = Vec::new();
         for at in (0..N).filter(|at| self.now >= self.nodes[*at].paused_until) {
             let now = self.local(at);
-            if let CallDecision::Go(fence) =
+            if let CallDecision::Allowed(fence) =
                 self.nodes[at].member.route(now, CallRequest { read: now, ..CallRequest::default() })
             {
                 turns.push((fence.turn, at));
@@ -380,11 +380,11 @@
     };
     assert_eq!(route(&fleet, 1), CallDecision::Barred, "no reply of a leader yet");
     fleet.run(1500);
-    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(Fence::default())));
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Allowed(Fence::default())));
     fleet.prepare(1).unwrap();
     fleet.run(4000);
     let first = Fence { turn: 1, version: 1 };
-    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Go(first)));
+    assert!((0..N).all(|at| route(&fleet, at) == CallDecision::Allowed(first)));
     let member = &fleet.nodes[0].member;
     assert!(member.table_under(first).is_some() && member.table_under(Fence::default()).is_none());
     // Without a leader the lease ends.
@@ -455,7 +455,7 @@
     let member = fleet.nodes[2].member.clone();
     let window = member.lease_and_switch().1.unwrap().1;
     let route = |now, tried| member.route(now, CallRequest { read: now, tried, ran: None });
-    let CallDecision::Go(old) = route(fleet.local(2), None) else { panic!("no lease") };
+    let CallDecision::Allowed(old) = route(fleet.local(2), None) else { panic!("no lease") };
     assert_eq!(route(window.low, None), CallDecision::Wait(window.high));
     assert!(window.bound() <= ms(6) && window.bound() > Duration::ZERO);
     fleet.run(3000);
