--- a/src/core/succession.rs
+++ b/src/core/succession.rs
@@ -36,7 +36,7 @@
     pub(super) is_running: bool,
     /// A successor has ended after it had taken over. Until this time, tries may repeat runs of that process, which are
     /// unknown here.
-    barred_until: Duration,
+    may_lack_keys_until: Duration,
     /// Another successor has asked for the keys while runs of the previous successor may still be unknown here.
     successor_waits: bool,
 }
@@ -76,7 +76,7 @@
             Succession::KeyResolved { key, ran, result } => {
                 self.resolve_predecessor_key(now, &key, ran, result)
             }
-            // The predecessor still owns the keys that are missing here, and goes on serving: this process must not
+            // The predecessor still owns the keys that are missing here, and continues to serve: this process must not
             // serve.
             Succession::PredecessorDisconnected if !self.peer.has_all_keys => {
                 self.effects.push(Effect::AbortTakeover)
@@ -111,7 +111,7 @@
                 self.set_call_share_halved(false);
                 self.fail_forwarded();
                 let windows = self.site.settings.classes.iter().map(|c| c.window);
-                self.peer.barred_until = now + windows.max().unwrap_or_default();
+                self.peer.may_lack_keys_until = now + windows.max().unwrap_or_default();
                 self.effects.push(Effect::PeerExited);
             }
         }
@@ -120,7 +120,7 @@
     /// Whether a successor that ended may have run keys that are unknown here and of which tries may still arrive or
     /// be read.
     fn may_lack_keys(&self, now: Duration) -> bool {
-        let until = self.peer.barred_until;
+        let until = self.peer.may_lack_keys_until;
         !until.is_zero() && now <= until + self.longest_wait()
     }
 
@@ -222,7 +222,7 @@
     pub(super) fn may_have_run_elsewhere(&self, start: Duration, class: usize, key: Option<&Key>) -> bool {
         let keyed = self.site.settings.classes[class].repeat == Repeat::Deduplicated;
         let is_unknown = key.is_none_or(|k| self.keys.run_of(k).is_none());
-        keyed && is_unknown && (start <= self.peer.barred_until || self.peer.awaits_keys())
+        keyed && is_unknown && (start <= self.peer.may_lack_keys_until || self.peer.awaits_keys())
     }
 
     /// Makes a request wait for a run of the predecessor; returns false if `run` does not stand for such a run.
--- a/src/fleet/routes/leader.rs
+++ b/src/fleet/routes/leader.rs
@@ -130,8 +130,8 @@
         self.elected + timing.wait_out()
     }
 
-    /// Returns where the moment of a committed activation lies on the own clock: from zero until it is certainly past
-    /// if that is not known.
+    /// Returns a window on this leader's clock that contains the moment of a committed activation. If the moment is not
+    /// known, the window reaches from zero to the time at which it is certainly past.
     fn moment(&self, timing: Timing, turn: Turn, stamp: Stamp) -> TimeWindow {
         if stamp.term == self.term {
             return TimeWindow { low: stamp.at, high: stamp.at };
--- a/src/fleet/routes/member.rs
+++ b/src/fleet/routes/member.rs
@@ -56,7 +56,7 @@
     /// When the last byte of the request was read.
     pub read: Duration,
     /// The fence under which a call of the request was sent, if one was.
-    pub tried: Option<Fence>,
+    pub last_fence: Option<Fence>,
     /// The fence under which the request's key was run, if it was.
     pub ran: Option<Fence>,
 }
@@ -283,7 +283,8 @@
         is_other
     }
 
-    /// Takes the result of opening connections. The result for another turn is ignored: it says nothing of this one.
+    /// Takes the result of opening connections. The result for another turn is ignored: it is not about this
+    /// activation.
     fn opened(&mut self, turn: Turn, hash: Hash, opened: Result<(), SocketAddr>) {
         if !self.relevant_activations().any(|a| (a.fence.turn, a.hash) == (turn, hash)) {
             return;
@@ -390,8 +391,8 @@
             Some((_, window)) if now >= window.low => return CallDecision::Wait(window.high),
             _ => self.active.map_or(Fence::default(), |a| a.fence),
         };
-        match request.tried {
-            Some(tried) if tried.turn != fence.turn => CallDecision::Ended(tried),
+        match request.last_fence {
+            Some(last) if last.turn != fence.turn => CallDecision::Ended(last),
             _ => CallDecision::Allowed(fence),
         }
     }
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -87,7 +87,7 @@
     Wait(Instant),
     /// A call of the request was sent under an older version of the routes: this call ends as failed.
     Ended(Fence),
-    /// This matcher holds no lease: no call may be made.
+    /// No call may be made: this matcher holds no lease, or the table in force has no route for the call.
     Barred,
 }
 
@@ -96,7 +96,7 @@
 pub enum RouteState {
     /// Calls are made.
     Open,
-    /// There is no lease, and the table allows answers without the call: requests go on without their calls.
+    /// There is no lease, and the table allows answers without the call: requests continue without their calls.
     Skip,
     /// There is no lease, and the table allows no answer without the call: requests are refused immediately.
     Closed,
@@ -127,7 +127,7 @@
     NoRoutes,
     #[error("no answer from a leader in {} ms", timeout.as_millis())]
     #[diagnostic(help(
-        "`hopwalk fleet status` shows the voters that are heard: a majority of them is needed"
+        "`hopwalk fleet status` shows the voters that can be reached: a majority of them is needed"
     ))]
     NoLeader { timeout: Duration },
     #[error("the leader runs a version that does not know this order")]
@@ -263,15 +263,17 @@
     pub fn route(&self, call: &Call) -> RouteDecision {
         let mut state = self.state();
         let now = self.0.clock.now();
-        let decision =
-            match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None }) {
-                CallDecision::Allowed(fence) => state.route_under(fence, call, &self.0.clock),
-                CallDecision::Wait(at) => {
-                    RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
-                }
-                CallDecision::Ended(fence) => RouteDecision::Ended(fence),
-                CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
-            };
+        let decision = match state
+            .member
+            .route(now, CallRequest { read: now, last_fence: call.last_fence, ran: None })
+        {
+            CallDecision::Allowed(fence) => state.route_under(fence, call, &self.0.clock),
+            CallDecision::Wait(at) => {
+                RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
+            }
+            CallDecision::Ended(fence) => RouteDecision::Ended(fence),
+            CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
+        };
         if decision == RouteDecision::Barred {
             self.0.metrics.barred_calls.inc();
         }
--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -132,7 +132,7 @@
         (self.lead_at, self.term) = (at, self.term + 1);
         let window = self.nodes[at].member.lease_and_switch().1;
         let sent = self.local(at);
-        // The previous leader is not told, and acts as a stale leader.
+        // The previous leader is not notified, and acts as a stale leader.
         self.lead(at, leader::Input::Elected { term: self.term, window });
         self.lead(at, leader::Input::Confirmed { sent });
     }
@@ -454,13 +454,13 @@
     }
     let member = fleet.nodes[2].member.clone();
     let window = member.lease_and_switch().1.unwrap().1;
-    let route = |now, tried| member.route(now, CallRequest { read: now, tried, ran: None });
+    let route = |now, last_fence| member.route(now, CallRequest { read: now, last_fence, ran: None });
     let CallDecision::Allowed(old) = route(fleet.local(2), None) else { panic!("no lease") };
     assert_eq!(route(window.low, None), CallDecision::Wait(window.high));
     assert!(window.bound() <= ms(6) && window.bound() > Duration::ZERO);
     fleet.run(3000);
     let (now, member) = (fleet.local(2), &fleet.nodes[2].member);
-    let request = CallRequest { read: now, tried: Some(old), ran: None };
+    let request = CallRequest { read: now, last_fence: Some(old), ran: None };
     assert_eq!(member.route(now, request), CallDecision::Ended(old), "tried under the old version");
     assert_eq!(member.route(now, CallRequest { ran: Some(old), ..request }), CallDecision::FromKey(old));
 }
@@ -483,8 +483,8 @@
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let mut reachability = Reachability::new("m0", &voters, ms(200));
     assert_eq!(reachability.posture(ms(0)), Posture::Alone);
-    for (heard, posture) in [(2, Posture::Minority), (3, Posture::Majority), (5, Posture::Whole)] {
-        voters[1..heard].iter().for_each(|v| reachability.answered(v, ms(1000)));
+    for (reachable, posture) in [(2, Posture::Minority), (3, Posture::Majority), (5, Posture::Whole)] {
+        voters[1..reachable].iter().for_each(|v| reachability.answered(v, ms(1000)));
         assert_eq!(reachability.posture(ms(1100)), posture);
     }
     assert_eq!(
@@ -512,12 +512,12 @@
             Reachability::new(own, &voters, ms(200)),
             Reachability::new(own, &voters, ms(200)).with_membership(ms(100)),
         );
-        let hear = |mut reachability: Reachability| {
-            let heard = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
-            heard.for_each(|(_, name)| reachability.answered(name, ms(1000)));
+        let add_answers = |mut reachability: Reachability| {
+            let answering = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
+            answering.for_each(|(_, name)| reachability.answered(name, ms(1000)));
             reachability
         };
-        let (plain, mut beside) = (hear(plain), hear(beside));
+        let (plain, mut beside) = (add_answers(plain), add_answers(beside));
         let acked = all.iter().enumerate().filter(|(n, _)| membership >> n & 1 == 1);
         acked.clone().for_each(|(_, name)| beside.membership_answered(name, ms(1000)));
         let others = acked.filter(|(_, name)| *name != own).count() > 0;
