--- a/src/core/answers.rs
+++ b/src/core/answers.rs
@@ -10,7 +10,7 @@
 
 impl Core {
     pub(super) fn refuse(&mut self, now: Duration, id: RequestId, retry_after: Duration, no_retry: bool) {
-        // A retry-after time would keep clients away from the successor, which goes on serving.
+        // A retry-after time would keep clients away from the successor, which continues to serve.
         let (retry_after, no_retry) = match self.peer.has_taken_over {
             true => (Duration::ZERO, false),
             false => (retry_after, no_retry),
--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Marks a run that may never have begun: the decision module frees its slot, and the client goes on waiting
+    /// Marks a run that may never have begun: the decision module frees its slot, and the client keeps waiting
     /// until the deadline of its answer.
     fn orphan(&mut self, now: Duration, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -58,8 +58,8 @@
         let kill_after = earliest_kill(self.stop_after, &self.site);
         let until_close = kill_after.saturating_sub(CLOSE_TIME);
         if self.peer.has_taken_over {
-            // The matcher does not leave its fleet, as the successor goes on serving. Requests that are active here are
-            // completed, and new ones are forwarded.
+            // The matcher does not leave its fleet, as the successor continues to serve. Requests that are active here
+            // are completed, and new ones are forwarded.
             self.grace_over = true;
             self.arm(signalled_at + until_close, Timer::DrainGrace);
             self.effects.push(Effect::YieldToSuccessor);
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -197,7 +197,7 @@
 /// A handover event: a message between predecessor and successor, or a change of the peer process's state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Succession {
-    /// A predecessor is running; it goes on until it has handed over and ended.
+    /// A predecessor is running. It exits after it has handed over.
     PredecessorRunning,
     /// The successor asks for the keys, and decides from then on.
     HandoverRequested,
--- a/src/decisions/calls.rs
+++ b/src/decisions/calls.rs
@@ -145,7 +145,7 @@
         }
         self.set_phase(id, Phase::AwaitingCall);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        // A call that this server had no right to make does not count as a try.
+        // A call that was not made because this server holds no lease does not count as a try.
         r.call_tries += u8::from(outcome != Outcome::Barred);
         let ready_at = self.now + CALL_BACKOFF * u32::from(r.call_tries.max(1));
         let (stale, tries_left) = (outcome == Outcome::Stale, r.call_tries < max_tries);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Lets a request go on without its call where it may, and fails it otherwise.
+    /// Lets a request continue without its call if its class allows that, and fails it otherwise.
     fn skip_or_fail(&mut self, id: RequestId, may_skip: bool, actions: &mut Vec<Action>) {
         if may_skip {
             self.set_phase(id, Phase::Running);
@@ -171,7 +171,7 @@
 
     /// Makes waiting calls within a limit of their own, so that an overloaded dependency is not overloaded further.
     pub(super) fn make_calls(&mut self, actions: &mut Vec<Action>) {
-        // Calls that cannot be skipped go first. While one of them lacks room, those that can be skipped are.
+        // Calls that cannot be skipped are made first. While there is no room for one of them, all others are skipped.
         let waits =
             |id: &u32| self.requests.get(id).filter(|r| r.phase == Phase::AwaitingCall && !r.answered);
         self.waiting_calls.retain(|(_, id)| waits(id).is_some());
@@ -193,8 +193,7 @@
             let try_timeout =
                 Some(secs(self.calls.mean_s * CALL_TIMEOUT_DELAYS)).filter(|p| again && !p.is_zero());
             let timeout = left.min(try_timeout.unwrap_or(left)).max(TICK);
-            // The share holds whatever the delay: the call is abandoned before it has used up what is left of the
-            // share.
+            // Whatever the delay of the dependency, the call is abandoned before it has used up the rest of the share.
             let (min, max) = self.call_bounds();
             let max = (max - self.calls.held_back).max(min);
             let (window, linger_s) =
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -304,18 +304,18 @@
     Unreachable,
     /// The connection broke; it may have had its effect.
     Reset,
-    /// It was stopped, or ended at a call because nobody waits for it.
+    /// It was stopped, or ended at a call because no client waits for it any more.
     Cancelled,
     /// Nothing started, as the request was already over.
     NotStarted,
-    /// This server has no right to make the call now (it holds no lease); the call never ran.
+    /// This server holds no lease and so must not make the call now; the call never ran.
     Barred,
     /// The call belongs to an earlier version of the routes, and must not be made under a later one.
     Stale,
 }
 
 impl Outcome {
-    /// True where the outcome proves that nothing ran.
+    /// Whether the outcome proves that nothing ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Busy | Self::Unreachable | Self::NotStarted | Self::Barred)
     }
--- a/src/net/hub.rs
+++ b/src/net/hub.rs
@@ -65,7 +65,7 @@
     pub(super) fleet: Option<fleet::MembershipHandle>,
     /// The fleet's routes, if the fleet routes calls.
     pub(super) routing: Option<Arc<dyn Router>>,
-    /// According to the last report to the reducer, calls of some class may not be made.
+    /// Whether the last route states reported to the reducer forbid the calls of some class.
     pub(super) calls_blocked: AtomicBool,
     /// The names of the site's classes, as of the last reading of the configuration.
     pub(super) classes: Mutex<Vec<String>>,
--- a/src/net/listen.rs
+++ b/src/net/listen.rs
@@ -103,7 +103,7 @@
 #[derive(Debug, Default)]
 struct StopState {
     stop_requested: AtomicBool,
-    /// A successor listens at the same address, and goes on to.
+    /// A successor listens at the same address, and continues to.
     has_successor: AtomicBool,
     stop_begun: AtomicBool,
     is_closed: AtomicBool,
@@ -243,7 +243,7 @@
     }
 }
 
-/// Binds a frontend's address and starts to accept connections; `shared` says that the predecessor listens there too.
+/// Binds a frontend's address and starts to accept connections; `shared`: whether the predecessor listens there too.
 pub(super) fn listen(
     address: SocketAddr,
     hub: &Arc<Hub>,
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -445,7 +445,7 @@
 
 #[test]
 fn the_reported_readiness_follows_health_and_standby() {
-    // Guards against lease reports that said Ready whatever the health: at some sites the gateways' list follows them.
+    // Guards against lease reports of Ready whatever the health: at some sites the gateways' list follows them.
     let mut bench = Bench::new();
     let reports = |effects: &[Effect]| -> Vec<bool> {
         effects
