--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -197,7 +197,7 @@
 /// A handover event: a message between predecessor and successor, or a change of the peer process's state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Succession {
-    /// A predecessor is running; it goes on until it has handed over and ended.
+    /// A predecessor is running. It exits after it has handed over.
     PredecessorRunning,
     /// The successor asks for the keys, and decides from then on.
     HandoverRequested,
@@ -287,7 +287,7 @@
         /// How the run ended.
         end: End,
         /// How long the run took.
-        lasted: Option<Duration>,
+        duration: Option<Duration>,
         /// The result of the run.
         result: Option<Bytes>,
     },
@@ -458,7 +458,7 @@
         /// The call needs a connection on which nothing was sent before.
         fresh: bool,
         /// Digests of the replies to earlier calls of the request: a copy of one of them is not the reply to this call.
-        earlier: Arc<[ReplyDigest]>,
+        earlier_replies: Arc<[ReplyDigest]>,
         /// How long the reply is awaited.
         timeout: Duration,
         /// The body of the call.
--- a/src/fleet/routing.rs
+++ b/src/fleet/routing.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteDecision {
     /// The call is made now.
-    Go {
+    Allowed {
         /// The fence that the call carries. Turn 0 stands for the vault of the configuration, before any activation.
         fence: Fence,
         /// Where the call is sent; `None` for the vault of the configuration.
@@ -87,7 +87,7 @@
     Wait(Instant),
     /// A call of the request was sent under an older version of the routes: this call ends as failed.
     Ended(Fence),
-    /// This matcher holds no lease: no call may be made.
+    /// No call may be made: this matcher holds no lease, or the table in force has no route for the call.
     Barred,
 }
 
@@ -96,7 +96,7 @@
 pub enum RouteState {
     /// Calls are made.
     Open,
-    /// There is no lease, and the table allows answers without the call: requests go on without their calls.
+    /// There is no lease, and the table allows answers without the call: requests continue without their calls.
     Skip,
     /// There is no lease, and the table allows no answer without the call: requests are refused immediately.
     Closed,
@@ -127,7 +127,7 @@
     NoRoutes,
     #[error("no answer from a leader in {} ms", timeout.as_millis())]
     #[diagnostic(help(
-        "`hopwalk fleet status` shows the voters that are heard: a majority of them is needed"
+        "`hopwalk fleet status` shows the voters that can be reached: a majority of them is needed"
     ))]
     NoLeader { timeout: Duration },
     #[error("the leader runs a version that does not know this order")]
@@ -205,7 +205,7 @@
     /// Routes a call under this fence.
     fn route_under(&mut self, fence: Fence, call: &Call, clock: &Clock) -> RouteDecision {
         if fence.turn == 0 {
-            return RouteDecision::Go { fence, address: None, timeout: None, limits: None };
+            return RouteDecision::Allowed { fence, address: None, timeout: None, limits: None };
         }
         self.routed_calls = self.routed_calls.wrapping_add(1);
         let Self { member, counter, routed_calls, .. } = self;
@@ -227,7 +227,7 @@
         match found {
             Some((address, timeout, limits)) => {
                 let (address, timeout, limits) = (Some(address), Some(timeout), Some(limits));
-                RouteDecision::Go { fence, address, timeout, limits }
+                RouteDecision::Allowed { fence, address, timeout, limits }
             }
             // The class was added to the settings after the table had been checked.
             None => RouteDecision::Barred,
@@ -263,15 +263,17 @@
     pub fn route(&self, call: &Call) -> RouteDecision {
         let mut state = self.state();
         let now = self.0.clock.now();
-        let decision =
-            match state.member.route(now, CallRequest { read: now, tried: call.last_fence, ran: None }) {
-                CallDecision::Go(fence) => state.route_under(fence, call, &self.0.clock),
-                CallDecision::Wait(at) => {
-                    RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
-                }
-                CallDecision::Ended(fence) => RouteDecision::Ended(fence),
-                CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
-            };
+        let decision = match state
+            .member
+            .route(now, CallRequest { read: now, last_fence: call.last_fence, ran: None })
+        {
+            CallDecision::Allowed(fence) => state.route_under(fence, call, &self.0.clock),
+            CallDecision::Wait(at) => {
+                RouteDecision::Wait(Instant::now() + self.0.clock.until(at).max(MIN_WAIT))
+            }
+            CallDecision::Ended(fence) => RouteDecision::Ended(fence),
+            CallDecision::FromKey(_) | CallDecision::Barred => RouteDecision::Barred,
+        };
         if decision == RouteDecision::Barred {
             self.0.metrics.barred_calls.inc();
         }
@@ -395,7 +397,7 @@
     /// The port to which a call is sent.
     fn port(decision: RouteDecision) -> Option<u16> {
         match decision {
-            RouteDecision::Go { address, .. } => address.map(|a| a.port()),
+            RouteDecision::Allowed { address, .. } => address.map(|a| a.port()),
             _ => None,
         }
     }
@@ -410,7 +412,7 @@
         assert_eq!(routing.route_states(&classes), [RouteState::Closed, RouteState::Closed]);
         grant(&routing, Duration::from_secs(60), None);
         let configured =
-            RouteDecision::Go { fence: Fence::default(), address: None, timeout: None, limits: None };
+            RouteDecision::Allowed { fence: Fence::default(), address: None, timeout: None, limits: None };
         assert_eq!((routing.ready(), routing.route(&call("seat", None, b""))), (true, configured));
 
         let fence = Fence { turn: 1, version: 1 };
--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -103,7 +103,7 @@
     match bytes.get(to) {
         None => Ok(None),
         Some(b',') => Ok(Some((&bytes[from..to], to + 1))),
-        Some(_) => Err(RequestError::bad_request("the header block does not end where its length says")),
+        Some(_) => Err(RequestError::bad_request("the header block does not end at its announced length")),
     }
 }
 
@@ -281,8 +281,8 @@
         spawn(move || {
             let started = Instant::now();
             let (end, result) = exchange(address, &encode_call(&path, handle, timeout, &arg), timeout);
-            let lasted = Some(started.elapsed());
-            let notice = Notice::Outcome { handle, end, lasted, result };
+            let duration = Some(started.elapsed());
+            let notice = Notice::Outcome { handle, end, duration, result };
             hub.push(Input::Agent { link: LinkId::NONE, notice });
         });
     }
--- a/tests/core/calls.rs
+++ b/tests/core/calls.rs
@@ -17,7 +17,7 @@
 /// The last attempt, and the digests of the earlier replies whose copies it ignores.
 fn last_call(bench: &Bench) -> (u32, Vec<ReplyDigest>) {
     let call = |effect: &Effect| match effect {
-        Effect::Call { attempt, earlier, .. } => Some((*attempt, earlier.to_vec())),
+        Effect::Call { attempt, earlier_replies, .. } => Some((*attempt, earlier_replies.to_vec())),
         _ => None,
     };
     bench.effects.iter().rev().find_map(call).expect("a call")
@@ -82,7 +82,7 @@
     end_call(&mut bench, 430, run, End::NotNow, None);
     assert_eq!(bench.answers(1), [&Verdict::Failed], "the second status line may be a copy of the first");
     assert_eq!(calls(&bench), 3);
-    bench.notice(440, Notice::Outcome { handle: run, end: End::Cancelled, lasted: None, result: None });
+    bench.notice(440, Notice::Outcome { handle: run, end: End::Cancelled, duration: None, result: None });
     let next = bench.send(450, "queue-status", None);
     assert_eq!(launches_of(&bench.effects, next), 1);
 }
