--- a/src/acme/mod.rs
+++ b/src/acme/mod.rs
@@ -90,7 +90,9 @@
     let store = Store::open(&settings.store).map_err(open_error)?;
     match store.certificate() {
         Ok(certificate) => shared.lock().certificate = certificate.map(Arc::new),
-        Err(e) => warn!("cannot use the stored certificate; ordering a new one: {}", error_text::single_line(&e)),
+        Err(e) => {
+            warn!("cannot use the stored certificate; ordering a new one: {}", error_text::single_line(&e))
+        }
     }
     let client = client::Client::new(&settings)?;
     std::thread::Builder::new()
--- a/tests/program/payloads.rs
+++ b/tests/program/payloads.rs
@@ -79,7 +79,9 @@
     let launch = link.expect_command("launch");
     for (round, name) in ["first", "second", "third"].into_iter().enumerate() {
         program.reload(&[("lobby-confirm".to_string(), name.to_string())]);
-        wait_for("the reload", || program.log().matches("the configuration was read again").count() == round + 1);
+        wait_for("the reload", || {
+            program.log().matches("the configuration was read again").count() == round + 1
+        });
         let mut stream = connect(program.http);
         let class = Request { class: name, ..Request::keyed(&format!("k-{name}"), name.as_bytes()) };
         stream.write_all(&class.http()).unwrap();
