--- a/tests/routes/main.rs
+++ b/tests/routes/main.rs
@@ -481,17 +481,13 @@
 #[test]
 fn the_posture_of_a_member_that_is_cut_off_changes_before_the_others_are_declared_dead() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
-    let mut reachability = Reachability::new("m0", &voters, ms(200));
-    assert_eq!(reachability.posture(ms(0)), Posture::Alone);
+    let mut reach = Reachability::new("m0", &voters, ms(200));
+    assert_eq!(reach.posture(ms(0)), Posture::Alone);
     for (reachable, posture) in [(2, Posture::Minority), (3, Posture::Majority), (5, Posture::Whole)] {
-        voters[1..reachable].iter().for_each(|v| reachability.answered(v, ms(1000)));
-        assert_eq!(reachability.posture(ms(1100)), posture);
+        voters[1..reachable].iter().for_each(|v| reach.answered(v, ms(1000)));
+        assert_eq!(reach.posture(ms(1100)), posture);
     }
-    assert_eq!(
-        reachability.posture(ms(1000) + ms(200) * REACHABLE_PERIODS),
-        Posture::Alone,
-        "5 periods: 1 s"
-    );
+    assert_eq!(reach.posture(ms(1000) + ms(200) * REACHABLE_PERIODS), Posture::Alone, "5 periods: 1 s");
     for p in [Posture::Whole, Posture::Majority, Posture::Minority, Posture::Alone] {
         let (may, quorum) = (p.permissions(), p >= Posture::Majority);
         assert!(may.serve && [may.propose, may.prepare, may.activate, may.decide] == [quorum; 4]);
@@ -502,16 +498,13 @@
 fn the_membership_distinguishes_a_minority_from_alone_and_permits_nothing_more() {
     let voters: Vec<String> = (0..5).map(|n| format!("m{n}")).collect();
     let all: Vec<String> = (0..7).map(|n| format!("m{n}")).collect();
-    // Each set of voters that answer the record, with each set of members that answer the membership, for a voter and
-    // for a member that is not a voter.
+    // Each set of voters that answer the record with each set of members that answer the membership, for m0 and for m6.
     for (own, record, membership) in ["m0", "m6"]
         .into_iter()
         .flat_map(|own| (0..32u32).flat_map(move |r| (0..128u32).map(move |m| (own, r, m))))
     {
-        let (plain, beside) = (
-            Reachability::new(own, &voters, ms(200)),
-            Reachability::new(own, &voters, ms(200)).with_membership(ms(100)),
-        );
+        let new = || Reachability::new(own, &voters, ms(200));
+        let (plain, beside) = (new(), new().with_membership(ms(100)));
         let add_answers = |mut reachability: Reachability| {
             let answering = voters.iter().enumerate().filter(|(n, _)| record >> n & 1 == 1);
             answering.for_each(|(_, name)| reachability.answered(name, ms(1000)));
