--- a/src/core/delivery/recovery.rs
+++ b/src/core/delivery/recovery.rs
@@ -107,9 +107,9 @@
         self.events.push_back(Event::Finished { id, outcome: Outcome::Reset, took });
     }
 
-    /// The same for an answered request, whose run is still awaited for the sake of later tries of its key. If it has
-    /// no key, or too many such runs are awaited already, the run is assumed to be lost, and its key may not run
-    /// again.
+    /// Like [`Core::orphan`], for an answered request whose run is still awaited for the sake of later tries of its
+    /// key. If it has no key, or too many such runs are awaited already, the run is assumed to be lost, and its key may
+    /// not run again.
     pub(in crate::core) fn orphan_answered(&mut self, now: Duration, id: RequestId) {
         let awaited =
             self.requests.values().filter(|request| request.is_orphan && request.conn.is_none()).count();
--- a/src/decisions/guards.rs
+++ b/src/decisions/guards.rs
@@ -141,8 +141,8 @@
             * LOAD_MARGIN
     }
 
-    /// Detects a hang: events still arrive, but the work makes no progress. Health checks fail until it does again,
-    /// so that callers use other servers.
+    /// Detects a hang: events still arrive, but the work makes no progress. Health checks fail until it makes progress
+    /// again, so that callers use other servers.
     pub(super) fn check_hang(&mut self, actions: &mut Vec<Action>) {
         let timeout = HANG_AFTER.max(secs(self.mean_length() * HANG_RUNS));
         let hung = self.running > 0 && self.now > self.last_progress + timeout;
--- a/src/decisions/keys.rs
+++ b/src/decisions/keys.rs
@@ -131,7 +131,7 @@
         while let Some(&(at, group)) = self.key_groups.checks.first().filter(|(at, _)| *at < self.now) {
             self.key_groups.checks.remove(&(at, group));
             let Some(g) = self.key_groups.groups.get_mut(&group) else { continue };
-            // A try that is still here may outlast a short window. No later try names one that never ran and is gone.
+            // A try that is still active may outlast a short window. No later try names one that ended without a run.
             if g.tries.iter().any(|t| self.requests.contains_key(t)) {
                 self.key_groups.checks.insert((self.now + TICK, group));
                 continue;
--- a/src/fleet/posture/mod.rs
+++ b/src/fleet/posture/mod.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Removes a member that is gone for good and is not a voter.
+    /// Removes a member that is not a voter and will not return.
     pub fn forget(&mut self, name: &str) {
         self.answered_at.remove(name);
         self.membership_answered_at.remove(name);
--- a/src/net/call_routing.rs
+++ b/src/net/call_routing.rs
@@ -92,8 +92,8 @@
     let hub = hub.clone();
     let report_states = move |hub: &Hub, states: &Vec<(String, RouteState)>| {
         hub.push(Input::RouteStates(states.clone()));
-        // The order matters: a request that is read after a readiness check succeeded is behind these states in the
-        // inbox.
+        // This must follow the push, so that a request that is read after a successful readiness check is queued behind
+        // these states.
         hub.calls_blocked
             .store(states.iter().any(|(_, state)| *state != RouteState::Open), Ordering::Release);
     };
@@ -108,7 +108,7 @@
     report_limits(&hub, &*router, &mut known);
     spawn(move || loop {
         crate::net::spawn::sleep(CHECK_INTERVAL);
-        // Before the states: when this matcher is ready, the reducer has the limits of its table.
+        // The limits are reported before the states, so that the reducer has them once this matcher is ready.
         report_limits(&hub, &*router, &mut known);
         let now = route_states(&*router, &hub.classes());
         if now != reported {
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -192,11 +192,12 @@
 }
 
 impl WaitTimes {
-    /// How much longer to wait. `closed_for` is the time since the server stopped accepting connections, if it has.
-    pub fn remaining(&self, idle_limit: Duration, closed_for: Option<Duration>) -> Duration {
+    /// How much longer to wait. `stopped_accepting_for` is the time since the server stopped accepting connections, if
+    /// it has.
+    pub fn remaining(&self, idle_limit: Duration, stopped_accepting_for: Option<Duration>) -> Duration {
         let first =
             self.since_accept.map_or(Duration::MAX, |since| FIRST_REQUEST_TIMEOUT.saturating_sub(since));
-        let next = match (self.since_first_byte, self.since_accept, closed_for) {
+        let next = match (self.since_first_byte, self.since_accept, stopped_accepting_for) {
             // A request whose announced length is wrong must not delay the end of a drain.
             (Some(since), _, Some(closed)) => {
                 READ_TIMEOUT.saturating_sub(since).min(FINAL_READ_TIMEOUT.saturating_sub(closed))
