--- a/src/net/scgi.rs
+++ b/src/net/scgi.rs
@@ -103,7 +103,7 @@
     match bytes.get(to) {
         None => Ok(None),
         Some(b',') => Ok(Some((&bytes[from..to], to + 1))),
-        Some(_) => Err(RequestError::bad_request("the header block does not end at its announced length")),
+        Some(_) => Err(RequestError::bad_request("the header block does not end where its length says")),
     }
 }
 
